--- a/agent/packetfront/admission_test.go
+++ b/agent/packetfront/admission_test.go
@@ -36,7 +36,7 @@
 
 // fill gives the target as many requests as it should have.
 func (f *fixture) fill() {
-	for i := range f.limit() {
+	for i := range f.targetLimit() {
 		f.opens(i, load(2), 0)
 		f.asks(i)
 	}
@@ -70,7 +70,7 @@
 // that package backlog names.
 func TestRequestsBeyondTheLimitWaitForASlot(t *testing.T) {
 	f := newFixture()
-	require.Equal(t, 6, f.limit(), "four slots and half a request queued for each")
+	require.Equal(t, 6, f.targetLimit(), "four slots and half a request queued for each")
 	f.fill()
 	require.Equal(t, []int{0, 1, 2, 3, 4, 5}, f.atTarget())
 	f.opens(100, load(2), 0)
@@ -120,7 +120,7 @@
 		require.Equal(t, 7, f.Busy(), name)
 		leave(f)
 		require.Equal(t, 6, f.Busy(), name)
-		require.Zero(t, f.held.Len(), name)
+		require.Zero(t, f.queue.Len(), name)
 		f.answers(0)
 		require.Len(t, f.atTarget(), 6, name)
 	}
@@ -160,7 +160,7 @@
 	passed := f.port.Last()
 	require.Equal(t, nextIP, passed.To)
 	require.Equal(t, flow.IPv4(9), passed.Env.Best, "it was offered here first")
-	require.Equal(t, f.wait(f.now).Truncate(time.Millisecond), passed.Env.BestWait)
+	require.Equal(t, f.expectedWait(f.now).Truncate(time.Millisecond), passed.Env.BestWait)
 
 	last := load(2)
 	last.Best, last.BestWait = nextIP, 10*time.Millisecond
@@ -186,7 +186,7 @@
 func TestALongWaitIsLeftToTheNextOpeningPacket(t *testing.T) {
 	f := newFixture()
 	f.fill()
-	for client := 100; f.wait(f.now) <= 200*time.Millisecond; client++ {
+	for client := 100; f.expectedWait(f.now) <= 200*time.Millisecond; client++ {
 		f.opens(client, load(2), 2)
 		f.asks(client)
 	}
@@ -207,7 +207,7 @@
 	f.fill()
 	patient := load(2)
 	patient.Deadline = time.Minute
-	for client := 100; f.wait(f.now) <= 500*time.Millisecond; client++ {
+	for client := 100; f.expectedWait(f.now) <= 500*time.Millisecond; client++ {
 		f.opens(client, patient, 2)
 		f.asks(client)
 	}
@@ -226,7 +226,7 @@
 	f := newFixture()
 	f.fill()
 	client := 100
-	for ; f.wait(f.now) <= 1900*time.Millisecond-f.pace.Took(); client++ {
+	for ; f.expectedWait(f.now) <= 1900*time.Millisecond-f.pace.Took(); client++ {
 		f.opens(client, load(2), 2)
 		f.asks(client)
 	}
@@ -250,7 +250,7 @@
 	client := 100
 	long := load(2)
 	long.Deadline = time.Minute
-	for ; f.wait(f.now) < 200*time.Millisecond; client++ {
+	for ; f.expectedWait(f.now) < 200*time.Millisecond; client++ {
 		f.opens(client, long, 2)
 		f.asks(client)
 	}
@@ -260,7 +260,7 @@
 			f.asks(waiting)
 		}
 	}
-	require.True(t, f.overload.stands)
+	require.True(t, f.overload.active)
 	f.opens(client, load(2), 2)
 	require.False(t, f.opened(client))
 	require.Equal(t, envelope.Returned, f.port.Last().Kind)
@@ -289,7 +289,7 @@
 	f.fill()
 	f.opens(100, load(2), 0)
 	f.asks(100)
-	f.pass(2 * openingLoad)
+	f.pass(2 * pendingOpenTTL)
 	require.Equal(t, 7, f.Busy())
 	require.Len(t, f.atTarget(), 6)
 }
@@ -301,7 +301,7 @@
 	f.asks(100)
 	f.Probed(f.now, ProbeRefused)
 	require.Zero(t, f.Busy())
-	require.Zero(t, f.held.Len())
+	require.Zero(t, f.queue.Len())
 	f.Probed(f.now, ProbeAccepted)
 	f.pass(time.Second)
 	require.Len(t, f.atTarget(), 6)
@@ -317,7 +317,7 @@
 	f.pass(3 * time.Second)
 	f.asks(0)
 	require.Len(t, f.atTarget(), 7)
-	require.Equal(t, 1, f.held.Len())
+	require.Equal(t, 1, f.queue.Len())
 	f.pass(2 * time.Second)
 	f.answers(1)
 	require.Equal(t, 0, f.atTarget()[7], "its client has waited for two seconds, not five")
@@ -340,7 +340,7 @@
 	f.answers(100)
 	f.fill()
 	f.deliver(envelope.Envelope{}, data(100, 8, "next"))
-	require.Equal(t, 1, f.held.Len())
+	require.Equal(t, 1, f.queue.Len())
 	busy := f.Busy()
 	f.answers(100)
 	require.Equal(t, busy, f.Busy(), "it is load as before")
@@ -358,14 +358,14 @@
 	f.opens(100, patient, 0)
 	f.asks(100)
 	for range 2 * pendingTTL / time.Second {
-		for i := range f.limit() {
+		for i := range f.targetLimit() {
 			// The target works on the others all the time.
 			f.targetSends(i, flow.ACK, 501, 0)
 			f.flows.get(keyOf(i)).pendingAt = f.now
 		}
 		f.pass(time.Second)
 	}
-	require.Equal(t, 1, f.held.Len())
+	require.Equal(t, 1, f.queue.Len())
 	require.Equal(t, 7, f.Busy())
 	f.answers(0)
 	require.Equal(t, 1, count(f.atTarget(), 100))
@@ -379,7 +379,7 @@
 	f.opens(100, load(2), 0)
 	f.asks(100)
 	f.targetSends(100, flow.RST, 500, 0)
-	require.Zero(t, f.held.Len())
+	require.Zero(t, f.queue.Len())
 	f.pass(2 * time.Second)
 	f.fill()
 	f.deliver(load(2), packet(keyOf(100), flow.SYN, 0, ""))
@@ -387,7 +387,7 @@
 	f.deliver(envelope.Envelope{}, packet(keyOf(100), flow.ACK, 1_000_000, "request"))
 	f.pass(time.Second)
 	require.Zero(t, f.tally.gaveUp, "its client waits")
-	require.Equal(t, 1, f.held.Len())
+	require.Equal(t, 1, f.queue.Len())
 }
 
 // TestARepeatedAnswerAnswersNoLaterRequest: the target sends its last answer once more when it
@@ -416,6 +416,6 @@
 	f.opens(100, patient, 0)
 	f.asks(100)
 	f.pass(openingTTL + time.Second)
-	require.Zero(t, f.held.Len())
+	require.Zero(t, f.queue.Len())
 	require.Equal(t, 1, count(f.atTarget(), 100))
 }
--- a/agent/packetfront/core.go
+++ b/agent/packetfront/core.go
@@ -43,23 +43,23 @@
 const (
 	// joinPeriod is the pause between tries to join by the seeds.
 	joinPeriod = 100 * time.Millisecond
-	// unlistedPeriod is the pause between announcements to the seeds of a target that
+	// unregisteredPeriod is the pause between announcements to the seeds of a target that
 	// is not in the registry: two within the time that a balancer takes its view
 	// for incomplete.
-	unlistedPeriod = 200 * time.Millisecond
-	// announceGap is the least pause between announcements of the load.
-	announceGap = 100 * time.Millisecond
-	// busyStep is the change of load, in slots, that is announced early.
-	busyStep = 2
-	// assumedSlots is what a target is taken for before its first heartbeat.
-	assumedSlots = 4
-	// missedHeartbeats after which the target is probed.
-	missedHeartbeats = 2.5
-	// silenceProbe is how long the target may owe an answer to any packet before
+	unregisteredPeriod = 200 * time.Millisecond
+	// minAnnouncePause is the least pause between announcements of the load.
+	minAnnouncePause = 100 * time.Millisecond
+	// loadChangeStep is the change of load, in slots, that is announced early.
+	loadChangeStep = 2
+	// defaultSlots is what a target is taken for before its first heartbeat.
+	defaultSlots = 4
+	// probeAfterMissedHeartbeats after which the target is probed.
+	probeAfterMissedHeartbeats = 2.5
+	// answerTimeout is how long the target may owe an answer to any packet before
 	// it is probed.
-	silenceProbe = 300 * time.Millisecond
-	// leaveGrace is how long a target that has said its last word may still send.
-	leaveGrace = 500 * time.Millisecond
+	answerTimeout = 300 * time.Millisecond
+	// deregistrationGrace is how long a target that has said its last word may still send.
+	deregistrationGrace = 500 * time.Millisecond
 )
 
 // Core decides what happens to each packet beside one target. It is not safe for
@@ -74,40 +74,40 @@
 	// evacuations are the emptied zones, as of the highest revision heard of.
 	evacuations flow.Evacuations
 	flows       *flows
-	notes       *notes
+	deliveries  *deliveryRing
 	target      target
 
-	acks   acks
-	health health
-	cold   cold
-	kept   kept
-	held   backlog.Queue[flow.Key]
-	pace   backlog.Pace
-	// pacedAt is when an answer was observed last.
-	pacedAt  time.Time
-	outage   backlog.Outage
-	overload overload
-	opening  []openingFlow
+	acks       acks
+	health     health
+	cold       cold
+	configCopy configCopy
+	queue      backlog.Queue[flow.Key]
+	pace       backlog.Pace
+	// lastAnswerAt is when an answer was observed last.
+	lastAnswerAt time.Time
+	outage       backlog.Outage
+	overload     overload
+	pendingOpens []pendingOpen
 
-	// known is set once something was heard of the target, or a probe has told.
-	known bool
-	// wanted is what the registry is to show, listing what it shows as far as that is
+	// targetKnown is set once something was heard of the target, or a probe has told.
+	targetKnown bool
+	// wantedPresence is what the registry is to show, listing what it shows as far as that is
 	// known.
-	wanted  fleet.Presence
-	listing fleet.Listing
+	wantedPresence fleet.Presence
+	registration   fleet.Listing
 	// introduced is set once the balancers may hear of the agent.
-	introduced  bool
-	seq         uint32
-	leaving     bool
-	announced   fleet.Announcement
-	announcedAt time.Time
-	// nextNear and nextFar are when balancers of the own and of other zones are
+	introduced       bool
+	seq              uint32
+	leaving          bool
+	lastAnnouncement fleet.Announcement
+	lastAnnouncedAt  time.Time
+	// nextSameZone and nextCrossZone are when balancers of the own and of other zones are
 	// told again, farPeriod is the pause for the latter.
-	nextNear, nextFar time.Time
-	farPeriod         time.Duration
-	relays            relays
-	nextJoin          time.Time
-	nextExpire        time.Time
+	nextSameZone, nextCrossZone time.Time
+	crossZonePeriod             time.Duration
+	relays                      crossZone
+	nextJoin                    time.Time
+	nextExpire                  time.Time
 
 	// Scratch space, so that a packet costs no allocation.
 	env envelope.Envelope
@@ -121,11 +121,11 @@
 	}
 	c := &Core{
 		opts: opts, port: port, codec: codec, events: events,
-		view: fleet.NewView(), notes: newNotes(), acks: newAcks(), health: newHealth(),
-		pace: backlog.NewPace(assumedWork, assumedSlots),
+		view: fleet.NewView(), deliveries: newDeliveryRing(), acks: newAcks(), health: newHealth(),
+		pace: backlog.NewPace(defaultWork, defaultSlots),
 		buf:  make([]byte, 0, 2048), relays: newRelays(opts, events.ZoneRelayed),
 	}
-	c.flows = newFlows(func(r *heldRequest) { c.held.Remove(r.key) })
+	c.flows = newFlows(func(r *queuedRequest) { c.queue.Remove(r.key) })
 	c.cold.window.Blind(now)
 	c.overload.Outage(now)
 	return c
@@ -177,15 +177,15 @@
 		return err
 	}
 	if h.IsOpening() {
-		c.deliverOpening(now, &h, packet)
+		c.handleSYN(now, &h, packet)
 		return nil
 	}
-	c.deliverOpen(now, &h, packet)
+	c.deliverToFlow(now, &h, packet)
 	return nil
 }
 
-// deliverOpening gives a SYN to the target, or to the next candidate.
-func (c *Core) deliverOpening(now time.Time, h *flow.Header, packet []byte) {
+// handleSYN gives a SYN to the target, or to the next candidate.
+func (c *Core) handleSYN(now time.Time, h *flow.Header, packet []byte) {
 	key := h.FromClient()
 	reason, ok := c.refusal()
 	if ok && c.health.ejected && c.env.Count > 0 {
@@ -196,11 +196,11 @@
 	}
 	if !ok {
 		c.events.PassedOn(key, reason, int(c.env.Hops))
-		c.settleElsewhere()
-		c.passOn(packet, true)
+		c.sendToShortestWait()
+		c.passToNextCandidate(packet, true)
 		return
 	}
-	if c.flows.get(key) == nil && c.full() && !c.settles(now, key, h, packet) {
+	if c.flows.get(key) == nil && c.full() && !c.admitWhenFull(now, key, h, packet) {
 		return
 	}
 	c.admit(now, key, h, packet)
@@ -209,20 +209,20 @@
 // admit gives a SYN to the target.
 func (c *Core) admit(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	c.cold.window.Give(now)
-	if r := c.flows.get(key); r != nil && r.over(now, now.Add(-backlog.Age(h.Ack))) {
-		r.request = c.termsOf(now, h)
+	if r := c.flows.get(key); r != nil && r.supersededBy(now, now.Add(-backlog.Age(h.Ack))) {
+		r.request = c.requestParamsOf(now, h)
 	}
 	if c.flows.get(key) == nil {
 		r := c.flows.ensure(now, key)
 		r.stage = offered
-		r.request = c.termsOf(now, h)
-		c.arrives(now, h)
-		c.countOpening(now, key, r)
+		r.request = c.requestParamsOf(now, h)
+		c.countArrival(now, h)
+		c.addPendingOpen(now, key, r)
 		if c.env.Hops > 0 {
 			r.balancer = c.env.Balancer
 		}
 	}
-	c.toTarget(now, key, packet)
+	c.deliverRecorded(now, key, packet)
 }
 
 // refusal tells whether the target may get a new flow now, and why not.
@@ -232,27 +232,27 @@
 		return "another service", false
 	case c.evacuations.Has(c.opts.Zone):
 		return "zone emptied", false
-	case !c.target.takesNew() || c.leaving:
+	case !c.target.acceptsFlows() || c.leaving:
 		return "target " + c.target.state().String(), false
 	}
 	return "", true
 }
 
-// toTarget delivers a packet that the target may bounce.
-func (c *Core) toTarget(now time.Time, key flow.Key, packet []byte) {
-	c.codec.SetEcho(packet, c.notes.put(key, &c.env))
-	c.target.owes(now)
+// deliverRecorded delivers a packet that the target may bounce.
+func (c *Core) deliverRecorded(now time.Time, key flow.Key, packet []byte) {
+	c.codec.SetEcho(packet, c.deliveries.put(key, &c.env))
+	c.target.expectAnswer(now)
 	c.events.Delivered()
 	c.port.ToTarget(packet)
 }
 
-// deliverOpen gives a packet of an open flow to the target if it may be the
+// deliverToFlow gives a packet of an open flow to the target if it may be the
 // target's, and passes it on otherwise.
-func (c *Core) deliverOpen(now time.Time, h *flow.Header, packet []byte) {
+func (c *Core) deliverToFlow(now time.Time, h *flow.Header, packet []byte) {
 	key := h.FromClient()
 	r := c.flows.get(key)
 	if r == nil || !r.holds(h) {
-		c.deliverUnknown(now, key, h, packet)
+		c.deliverUnknownFlow(now, key, h, packet)
 		return
 	}
 	if r.stage == dead {
@@ -260,19 +260,19 @@
 		c.port.Reset(key, h.Ack)
 		return
 	}
-	c.noteClient(now, r, h)
+	c.recordClientPacket(now, r, h)
 	// The acknowledgement fits this target's: the flow is nowhere else, also while
 	// the target has not seen it yet.
 	if c.env.Flags&envelope.Search != 0 || c.env.Hops > 0 {
-		c.tellOwner(key, c.env.Balancer, c.env.Hops)
+		c.sendOwner(key, c.env.Balancer, c.env.Hops)
 	}
-	if h.Len > 0 && !c.takesData(now, key, r, h, packet) {
+	if h.Len > 0 && !c.acceptData(now, key, r, h, packet) {
 		return
 	}
-	c.toOpen(now, key, r, packet)
+	c.deliverPacket(now, key, r, packet)
 	if endsFlow(h) {
-		c.leaves(now, key, r, ClientLeft)
-		c.releaseHeld(now)
+		c.abandon(now, key, r, ClientLeft)
+		c.dispatchQueued(now)
 	}
 }
 
@@ -282,35 +282,35 @@
 	return h.Len == 0 && (h.Flags.Has(flow.FIN) || h.Flags.Has(flow.RST))
 }
 
-// takesData tells whether the target is to get a client's data now.
-func (c *Core) takesData(now time.Time, key flow.Key, r *record, h *flow.Header, packet []byte) bool {
-	if c.withholds(now, key, r, packet) {
+// acceptData tells whether the target is to get a client's data now.
+func (c *Core) acceptData(now time.Time, key flow.Key, r *record, h *flow.Header, packet []byte) bool {
+	if c.withhold(now, key, r, packet) {
 		return false
 	}
-	c.arrivesLater(now, r)
+	c.countLaterRequest(now, r)
 	c.flows.requested(now, r)
-	if c.waits(now, key, r, h, packet) {
+	if c.enqueueIfBusy(now, key, r, h, packet) {
 		return false
 	}
-	r.givenAt = now
+	r.deliveredAt = now
 	return true
 }
 
-// toOpen gives a packet to the target of its flow.
-func (c *Core) toOpen(now time.Time, key flow.Key, r *record, packet []byte) {
+// deliverPacket gives a packet to the target of its flow.
+func (c *Core) deliverPacket(now time.Time, key flow.Key, r *record, packet []byte) {
 	if r.stage == halfOpen {
-		c.toTarget(now, key, packet)
+		c.deliverRecorded(now, key, packet)
 		return
 	}
 	c.codec.SetEcho(packet, 0)
-	c.target.owes(now)
+	c.target.expectAnswer(now)
 	c.events.Delivered()
 	c.port.ToTarget(packet)
 }
 
-// noteClient keeps what a client's packet says of its flow.
-func (c *Core) noteClient(now time.Time, r *record, h *flow.Header) {
-	if h.Len > 0 && r.held == nil && !r.withheld && now.Sub(r.usedAt) > promptTime {
+// recordClientPacket keeps what a client's packet says of its flow.
+func (c *Core) recordClientPacket(now time.Time, r *record, h *flow.Header) {
+	if h.Len > 0 && r.queued == nil && !r.withheld && now.Sub(r.usedAt) > firstRequestWindow {
 		r.request.began = time.Time{}
 	}
 	r.usedAt = now
@@ -320,29 +320,29 @@
 	}
 }
 
-// deliverUnknown handles a packet of a flow that is not known here. An agent
+// deliverUnknownFlow handles a packet of a flow that is not known here. An agent
 // that saw its target start knows all its flows; another one asks the target.
-func (c *Core) deliverUnknown(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
+func (c *Core) deliverUnknownFlow(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	if c.target.state() == fleet.Absent || c.target.state() == fleet.Gone {
-		c.passOn(packet, c.target.holdsNothing())
+		c.passToNextCandidate(packet, c.target.certainlyAbsent())
 		return
 	}
 	if c.target.sawStart && !c.flows.overflowed {
-		c.passOn(packet, true)
+		c.passToNextCandidate(packet, true)
 		return
 	}
 	// What the target sends on this flow will show that it holds it.
 	r := c.flows.ensure(now, key)
 	r.balancer = c.env.Balancer
 	if endsFlow(h) {
-		r.left = ClientLeft
+		r.abandonedFor = ClientLeft
 	}
-	c.toTarget(now, key, packet)
+	c.deliverRecorded(now, key, packet)
 }
 
-// passOn sends a packet to its next candidate, or back to its balancer when
+// passToNextCandidate sends a packet to its next candidate, or back to its balancer when
 // there is none. sure tells that this target certainly does not hold the flow.
-func (c *Core) passOn(packet []byte, sure bool) {
+func (c *Core) passToNextCandidate(packet []byte, sure bool) {
 	if !sure {
 		c.env.Flags |= envelope.Unsure
 	}
@@ -368,8 +368,8 @@
 	c.port.ToNode(to, c.buf, packet)
 }
 
-// tellOwner tells a balancer that a flow is held here.
-func (c *Core) tellOwner(key flow.Key, balancer flow.IPv4, hops uint8) {
+// sendOwner tells a balancer that a flow is held here.
+func (c *Core) sendOwner(key flow.Key, balancer flow.IPv4, hops uint8) {
 	e := envelope.Envelope{Kind: envelope.Owner, Balancer: balancer, Hops: hops, Service: c.opts.Service}
 	c.buf = envelope.AppendKey(e.Append(c.buf[:0]), key)
 	c.port.ToNode(balancer, c.buf, nil)
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -37,9 +37,9 @@
 
 func (quiet) Delivered()                                         {}
 func (quiet) Request(flow.Key, []byte, int, int)                 {}
-func (quiet) Waiting(flow.Key, []byte, int, time.Duration)       {}
+func (quiet) Queued(flow.Key, []byte, int, time.Duration)        {}
 func (quiet) Postponed(flow.Key, time.Duration)                  {}
-func (quiet) GaveUp(flow.Key, time.Duration)                     {}
+func (quiet) Expired(flow.Key, time.Duration)                    {}
 func (quiet) Withheld(flow.Key, []byte, Abandoned)               {}
 func (quiet) Unwanted(flow.Key, time.Duration)                   {}
 func (quiet) PassedOn(flow.Key, string, int)                     {}
@@ -49,11 +49,11 @@
 func (quiet) TargetReport(string, fleet.Heartbeat)               {}
 func (quiet) Failed()                                            {}
 func (quiet) Ejected(bool, int, int)                             {}
-func (quiet) Unproven(int, time.Duration)                        {}
+func (quiet) OnProbation(int, time.Duration)                     {}
 func (quiet) Overloaded(bool, backlog.Load, int, time.Duration)  {}
 func (quiet) PeerChanged(flow.IPv4, string)                      {}
 func (quiet) ZoneRelayed(flow.Tag, int, bool)                    {}
-func (quiet) Asked(flow.IPv4, time.Duration)                     {}
+func (quiet) Probed(flow.IPv4, time.Duration)                    {}
 func (quiet) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
 
 // tally counts the requests that were for nobody, and the overloads that stood.
@@ -65,7 +65,7 @@
 
 func (t *tally) Withheld(flow.Key, []byte, Abandoned) { t.withheld++ }
 func (t *tally) Unwanted(flow.Key, time.Duration)     { t.unwanted++ }
-func (t *tally) GaveUp(flow.Key, time.Duration)       { t.gaveUp++ }
+func (t *tally) Expired(flow.Key, time.Duration)      { t.gaveUp++ }
 
 func (t *tally) Overloaded(stands bool, _ backlog.Load, _ int, _ time.Duration) {
 	if stands {
@@ -101,7 +101,7 @@
 // registered lets the store take the agent's entry.
 func (f *fixture) registered() {
 	f.Presence(f.now)
-	f.Shown(f.now, fleet.PresenceHere)
+	f.PresenceStored(f.now, fleet.PresenceHere)
 }
 
 func (f *fixture) beat(draining bool) {
@@ -291,22 +291,22 @@
 		f := open()
 		f.Leave(f.now, fleet.Life{TargetID: "i-1"})
 		f.Probed(f.now, ProbeSilent)
-		f.pass(leaveGrace / 2)
+		f.pass(deregistrationGrace / 2)
 		require.Empty(t, f.port.Resets, "it may still send")
-		f.pass(leaveGrace)
+		f.pass(deregistrationGrace)
 		require.Len(t, f.port.Resets, 1)
 	})
 	t.Run("it has left, still listens, and the agent stood still", func(t *testing.T) {
 		f := open()
 		f.Leave(f.now, fleet.Life{TargetID: "i-1"})
 		f.Probed(f.now, ProbeAccepted)
-		f.pass(2 * leaveGrace)
+		f.pass(2 * deregistrationGrace)
 		require.Empty(t, f.port.Resets, "no probe has told that it does not")
 		f.Probed(f.now, ProbeAccepted)
-		f.pass(leaveGrace / 2)
+		f.pass(deregistrationGrace / 2)
 		require.Empty(t, f.port.Resets)
 		f.Probed(f.now, ProbeSilent)
-		f.pass(leaveGrace)
+		f.pass(deregistrationGrace)
 		require.Len(t, f.port.Resets, 1)
 	})
 	t.Run("it bounces an open flow", func(t *testing.T) {
@@ -325,12 +325,12 @@
 
 func TestFlowsWithoutARequestStopCountingAsLoad(t *testing.T) {
 	f := newFixture()
-	for i := range f.limit() {
+	for i := range f.targetLimit() {
 		f.syn(i, 0, 0)
 		f.targetSends(i, flow.SYN|flow.ACK, 500, 0)
 	}
-	require.Equal(t, f.limit(), f.Busy())
-	f.pass(openingLoad + time.Millisecond)
+	require.Equal(t, f.targetLimit(), f.Busy())
+	f.pass(pendingOpenTTL + time.Millisecond)
 	require.Zero(t, f.Busy())
 }
 
@@ -347,10 +347,10 @@
 
 func TestProbesAreWantedInDoubtOnly(t *testing.T) {
 	f := newFixture()
-	f.pass(silenceProbe * 2)
+	f.pass(answerTimeout * 2)
 	require.False(t, f.WantsProbe(f.now))
 	f.syn(1, 0, 0)
-	f.pass(silenceProbe + time.Millisecond)
+	f.pass(answerTimeout + time.Millisecond)
 	require.True(t, f.WantsProbe(f.now), "it owes an answer")
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
 	require.False(t, f.WantsProbe(f.now))
--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -40,14 +40,14 @@
 	Delivered()
 	// Request is the first packet of a request, delivered to the target.
 	Request(key flow.Key, requestID []byte, busy, slots int)
-	// Waiting is a request for which the target has no slot at the moment; wait is
+	// Queued is a request for which the target has no slot at the moment; wait is
 	// how long it is expected to.
-	Waiting(key flow.Key, requestID []byte, held int, wait time.Duration)
+	Queued(key flow.Key, requestID []byte, held int, wait time.Duration)
 	// Postponed is a new flow that waits for its client's next opening packet; wait
 	// is what it would have waited at the best target.
 	Postponed(key flow.Key, wait time.Duration)
-	// GaveUp is a request that waited until its client had gone.
-	GaveUp(key flow.Key, waited time.Duration)
+	// Expired is a request that waited until its client had gone.
+	Expired(key flow.Key, waited time.Duration)
 	// Withheld is a request that came, or came again, when nobody waited for it any
 	// more, and was not given to the target; each is told of once.
 	Withheld(key flow.Key, requestID []byte, reason Abandoned)
@@ -64,9 +64,9 @@
 	// Ejected tells that the target gets no new flows because it fails, or that this
 	// has ended; trials and failures are those of the time before.
 	Ejected(ejected bool, trials, failures int)
-	// Unproven tells that the target is up again after so many unplanned ends in a row
+	// OnProbation tells that the target is up again after so many unplanned ends in a row
 	// and gets no new flows for a while.
-	Unproven(ends int, proof time.Duration)
+	OnProbation(ends int, proof time.Duration)
 	// Overloaded tells that an overload of the target stands, or that this has ended; held
 	// requests wait, a new one would for wait.
 	Overloaded(stands bool, load backlog.Load, held int, wait time.Duration)
@@ -74,8 +74,8 @@
 	// ZoneRelayed tells that another zone is told through relays from now on, or
 	// directly again, and how many of its balancers were heard lately.
 	ZoneRelayed(zone flow.Tag, balancers int, relayed bool)
-	// Asked is a balancer of another zone whose messages are not relayed any more.
-	Asked(ip flow.IPv4, silent time.Duration)
+	// Probed is a balancer of another zone whose messages are not relayed any more.
+	Probed(ip flow.IPv4, silent time.Duration)
 	// EvacuationsChanged tells that other zones than formerly are emptied; from is who
 	// told it.
 	EvacuationsChanged(now, former flow.Evacuations, from string)
--- a/agent/packetfront/flows.go
+++ b/agent/packetfront/flows.go
@@ -51,37 +51,37 @@
 	// its flow was given to the target.
 	pendingAt time.Time
 	// request is what the flow's requests ask for.
-	request terms
-	// held is the request that waits for a slot, nil when none does; runningAt is
+	request requestParams
+	// queued is the request that waits for a slot, nil when none does; runningAt is
 	// when the present request was given to the target, zero before, givenAt when its
 	// last packet so far was, and among how many the target had at first, this one
 	// included.
-	held      *heldRequest
-	runningAt time.Time
-	givenAt   time.Time
-	among     int
+	queued      *queuedRequest
+	runningAt   time.Time
+	deliveredAt time.Time
+	concurrent  int
 	// balancer is told that the flow is here once the target has taken it; zero
 	// when it knows.
 	balancer             flow.IPv4
 	clientFin, targetFin bool
-	// left is set once nobody waits for the flow's requests any more, withheld once one
+	// abandonedFor is set once nobody waits for the flow's requests any more, withheld once one
 	// was kept from the target for it.
-	left     Abandoned
-	withheld bool
+	abandonedFor Abandoned
+	withheld     bool
 }
 
 // abandoned tells whether nobody waits for the flow's requests any more, and why. Only
 // the first one's age is known before it was given to the target.
 func (r *record) abandoned(now time.Time) (Abandoned, bool) {
-	if r.left != "" {
-		return r.left, true
+	if r.abandonedFor != "" {
+		return r.abandonedFor, true
 	}
 	return DeadlinePassed, r.request.expired(now)
 }
 
-// over tells that an opening packet between the same ports is that of a later flow, or
+// supersededBy tells that an opening packet between the same ports is that of a later flow, or
 // says nothing new; began is when that flow began. All copies are sent within a try.
-func (r *record) over(now, began time.Time) bool {
+func (r *record) supersededBy(now, began time.Time) bool {
 	_, abandoned := r.abandoned(now)
 	later := !r.request.began.IsZero() && began.Sub(r.request.began) > backlog.TryTime
 	return abandoned || later || r.stage == closed || r.stage == dead
@@ -92,11 +92,11 @@
 	return r.stage != offered && flow.SameFlow(h.Ack, r.targetSeq)
 }
 
-// awaited tells that a request of the flow has no answer yet. The first one's answer
+// awaitsAnswer tells that a request of the flow has no answer yet. The first one's answer
 // may be all that the target sends after its handshake; before the target has got the
 // request it may only refuse the flow, which is no answer.
-func (r *record) awaited() bool {
-	return !r.pendingAt.IsZero() && r.held == nil && (r.stage == open || !r.runningAt.IsZero())
+func (r *record) awaitsAnswer() bool {
+	return !r.pendingAt.IsZero() && r.queued == nil && (r.stage == open || !r.runningAt.IsZero())
 }
 
 // flows is the table of an agent.
@@ -104,15 +104,15 @@
 	byKey map[flow.Key]*record
 	// overflowed is set once a flow had to be forgotten early.
 	overflowed bool
-	// unheld is told of a request that no longer waits because the target owes nothing.
-	unheld func(*heldRequest)
+	// onDequeue is told of a request that no longer waits because the target owes nothing.
+	onDequeue func(*queuedRequest)
 	// busy counts the flows that owe an answer or may soon, running those whose
 	// request the target has.
 	busy, running, open int
 }
 
-func newFlows(unheld func(*heldRequest)) *flows {
-	return &flows{byKey: map[flow.Key]*record{}, unheld: unheld}
+func newFlows(unheld func(*queuedRequest)) *flows {
+	return &flows{byKey: map[flow.Key]*record{}, onDequeue: unheld}
 }
 
 func (f *flows) get(key flow.Key) *record { return f.byKey[key] }
@@ -164,7 +164,7 @@
 // started notes that the target has the flow's request.
 func (f *flows) started(now time.Time, r *record) {
 	f.running++
-	r.runningAt, r.among = now, f.running
+	r.runningAt, r.concurrent = now, f.running
 }
 
 // answered notes that the target owes nothing.
@@ -173,9 +173,9 @@
 		r.runningAt = time.Time{}
 		f.running--
 	}
-	if r.held != nil {
-		f.unheld(r.held)
-		r.held = nil
+	if r.queued != nil {
+		f.onDequeue(r.queued)
+		r.queued = nil
 	}
 	if !r.pendingAt.IsZero() {
 		r.pendingAt = time.Time{}
@@ -186,7 +186,7 @@
 // expire forgets what is over. A request that waits has its own deadline.
 func (f *flows) expire(now time.Time, ttl time.Duration) {
 	for key, r := range f.byKey {
-		if r.held != nil {
+		if r.queued != nil {
 			continue
 		}
 		limit := ttl
--- a/agent/packetfront/fromtarget.go
+++ b/agent/packetfront/fromtarget.go
@@ -9,44 +9,44 @@
 
 // HandleTarget takes a packet that the target sent.
 func (c *Core) HandleTarget(now time.Time, h *flow.Header, packet []byte) {
-	c.heard(now)
-	c.learned(now)
+	c.targetSent(now)
+	c.setTargetKnown(now)
 	if h.Flags.Has(flow.Bounced) {
 		c.handleBounced(now, h, packet)
 		return
 	}
 	key := h.FromTarget()
-	c.noteTarget(now, key, h, packet)
-	c.noteSlots(now)
-	c.releaseHeld(now)
+	c.recordTargetPacket(now, key, h, packet)
+	c.updateSlots(now)
+	c.dispatchQueued(now)
 	c.port.ToClient(key.ClientIP, packet)
 }
 
-// noteTarget keeps what a target's packet says of its flow.
-func (c *Core) noteTarget(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
+// recordTargetPacket keeps what a target's packet says of its flow.
+func (c *Core) recordTargetPacket(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	r := c.flows.ensure(now, key)
 	switch {
 	case h.Flags.Has(flow.RST):
-		if r.awaited() {
-			c.outcome(now, true)
+		if r.awaitsAnswer() {
+			c.recordOutcome(now, true)
 		}
 		c.flows.answered(r)
 		c.flows.setStage(r, closed)
 	case h.Flags.Has(flow.SYN):
-		c.noteAccepted(now, key, r, h)
+		c.recordSYNACK(now, key, r, h)
 	default:
 		if h.Len > 0 {
-			c.noteAnswer(now, r, c.codec.Answer(packet))
+			c.recordAnswer(now, r, c.codec.Answer(packet))
 		}
-		c.noteSent(key, r, h)
+		c.recordSent(key, r, h)
 	}
 }
 
-// noteAnswer takes the first bytes of an answer. One that fails or is shed says nothing of
+// recordAnswer takes the first bytes of an answer. One that fails or is shed says nothing of
 // how the target works, and it comes sooner: a target that fails must not look fast.
-func (c *Core) noteAnswer(now time.Time, r *record, answer flow.Answer) {
-	if r.awaited() {
-		c.answered(now, r, answer)
+func (c *Core) recordAnswer(now time.Time, r *record, answer flow.Answer) {
+	if r.awaitsAnswer() {
+		c.recordAnswerOutcome(now, r, answer)
 	}
 	if r.runningAt.IsZero() {
 		return
@@ -55,11 +55,11 @@
 	if answer != flow.AnswerGiven {
 		return
 	}
-	served := backlog.Served{Took: now.Sub(r.runningAt), Work: now.Sub(r.givenAt), Among: r.among}
-	if !c.pacedAt.IsZero() {
-		served.Gap = now.Sub(c.pacedAt)
+	served := backlog.Served{Took: now.Sub(r.runningAt), Work: now.Sub(r.deliveredAt), Among: r.concurrent}
+	if !c.lastAnswerAt.IsZero() {
+		served.Gap = now.Sub(c.lastAnswerAt)
 	}
-	c.pacedAt = now
+	c.lastAnswerAt = now
 	c.pace.Done(served, c.target.slots())
 }
 
@@ -69,16 +69,16 @@
 // time.
 const paceTTL = 2 * time.Second
 
-// doubtPace forgets an observation of a target that has had no work for long.
-func (c *Core) doubtPace(now time.Time) {
-	if c.flows.busy == 0 && now.Sub(c.pacedAt) > paceTTL {
+// expirePace forgets an observation of a target that has had no work for long.
+func (c *Core) expirePace(now time.Time) {
+	if c.flows.busy == 0 && now.Sub(c.lastAnswerAt) > paceTTL {
 		c.pace.Doubt()
 	}
 }
 
-// noteAccepted notes a SYN+ACK. A balancer whose SYN was passed on learns where
+// recordSYNACK notes a SYN+ACK. A balancer whose SYN was passed on learns where
 // it went. The answer to a late copy of the SYN does not set an open flow back.
-func (c *Core) noteAccepted(now time.Time, key flow.Key, r *record, h *flow.Header) {
+func (c *Core) recordSYNACK(now time.Time, key flow.Key, r *record, h *flow.Header) {
 	if (r.stage == halfOpen || r.stage == open) && flow.SameFlow(h.Seq, r.targetSeq) {
 		return
 	}
@@ -88,24 +88,24 @@
 	}
 	c.flows.setStage(r, halfOpen)
 	r.targetSeq, r.clientFin, r.targetFin = h.Seq, false, false
-	r.left, r.withheld = "", false
-	c.tellFound(key, r)
+	r.abandonedFor, r.withheld = "", false
+	c.sendFound(key, r)
 }
 
-// tellFound tells the balancer that looked for a flow that it is held here.
-func (c *Core) tellFound(key flow.Key, r *record) {
+// sendFound tells the balancer that looked for a flow that it is held here.
+func (c *Core) sendFound(key flow.Key, r *record) {
 	if r.balancer != 0 {
-		c.tellOwner(key, r.balancer, 1)
+		c.sendOwner(key, r.balancer, 1)
 		r.balancer = 0
 	}
 }
 
-// noteSent notes a packet after the handshake: the flow is open here. What the target
+// recordSent notes a packet after the handshake: the flow is open here. What the target
 // sends is no answer to a request that it has not got yet.
-func (c *Core) noteSent(key flow.Key, r *record, h *flow.Header) {
-	c.tellFound(key, r)
+func (c *Core) recordSent(key flow.Key, r *record, h *flow.Header) {
+	c.sendFound(key, r)
 	r.targetSeq = h.Seq + uint32(h.Len)
-	if h.Len > 0 && r.held == nil {
+	if h.Len > 0 && r.queued == nil {
 		c.flows.answered(r)
 	}
 	if h.Flags.Has(flow.FIN) {
@@ -125,10 +125,10 @@
 func (c *Core) handleBounced(now time.Time, h *flow.Header, packet []byte) {
 	key := h.FromClient()
 	c.codec.Unmark(packet)
-	env := c.notes.take(h.Echo, key)
+	env := c.deliveries.take(h.Echo, key)
 	r := c.flows.get(key)
 	if env == nil {
-		c.bouncedOpen(now, key, r, h)
+		c.handleBouncedOpen(now, key, r, h)
 		return
 	}
 	// A target may refuse a copy of a SYN whose flow it holds half open.
@@ -137,12 +137,12 @@
 	}
 	c.env = *env
 	c.events.Bounced(key, h.IsOpening())
-	c.passOn(packet, true)
+	c.passToNextCandidate(packet, true)
 }
 
-// bouncedOpen handles a packet that was delivered to an open flow. The target that
+// handleBouncedOpen handles a packet that was delivered to an open flow. The target that
 // held it has ended then, for it was seen open here: no other target can hold it.
-func (c *Core) bouncedOpen(now time.Time, key flow.Key, r *record, h *flow.Header) {
+func (c *Core) handleBouncedOpen(now time.Time, key flow.Key, r *record, h *flow.Header) {
 	if r == nil || r.stage != open || !r.holds(h) {
 		c.events.Dropped(DropBounced)
 		return
@@ -151,7 +151,7 @@
 	c.flows.setStage(r, dead)
 	r.usedAt = now
 	// The target may have started again without a word.
-	c.cold.doubtedAt = now
+	c.cold.suspectedAt = now
 	c.events.Reset(key, "its target no longer holds it")
 	c.port.Reset(key, h.Ack)
 }
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -31,8 +31,8 @@
 	tickPeriod = 50 * time.Millisecond
 	// probeTimeout bounds a connection to the target, which is on the same VM.
 	probeTimeout = 250 * time.Millisecond
-	// lonePeriod is how often an agent looks whether it knows a balancer.
-	lonePeriod = 500 * time.Millisecond
+	// isolationCheckPeriod is how often an agent looks whether it knows a balancer.
+	isolationCheckPeriod = 500 * time.Millisecond
 	// storeTimeout bounds a call at the store, which answers in milliseconds.
 	storeTimeout = 900 * time.Millisecond
 )
@@ -56,11 +56,11 @@
 	core     *Core
 	observer *observer
 	// sent counts what goes to other nodes.
-	sent  *telemetry.SentTraffic
-	alone fleet.Alone
-	entry *registry.Registry
-	// kept is the copy of the configuration, nil before the first.
-	kept *configcopy.Copy
+	sent      *telemetry.SentTraffic
+	isolation fleet.Alone
+	entry     *registry.Registry
+	// configCopy is the copy of the configuration, nil before the first.
+	configCopy *configcopy.Copy
 	// peers fetches it from balancers.
 	peers *configcopy.Client
 }
@@ -86,7 +86,7 @@
 	counters := telemetry.Counters{Registry: f.reg, Subsystem: "packetagent"}
 	stored, calls := platform.NewStore(cfg.Store, storeTimeout), telemetry.NewStoreCalls(counters)
 	f.registry = calls.For(telemetry.PurposeRegistry, stored)
-	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleAgent, f.self, opts.Epoch, log, func(p fleet.Presence) { f.locked(func(now time.Time) { f.core.Shown(now, p) }) })
+	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleAgent, f.self, opts.Epoch, log, func(p fleet.Presence) { f.locked(func(now time.Time) { f.core.PresenceStored(now, p) }) })
 	f.observer = newObserver(log, f.reg)
 	f.sent = telemetry.NewSentTraffic(counters, envelope.KindNames)
 	f.core = New(time.Now(), opts, f, platform.Codec{}, f.observer)
@@ -136,9 +136,9 @@
 	group.Go(work, "heartbeats", func(ctx context.Context) error {
 		return telemetry.ServeHTTP(ctx, f.cfg.Control, platform.HeartbeatHandler(f.cfg.Service, f))
 	})
-	group.Go(work, "copy of the configuration", f.keepConfig)
+	group.Go(work, "copy of the configuration", f.copyConfig)
 	group.Go(work, "internal calls", func(ctx context.Context) error {
-		return telemetry.ServeHTTP(ctx, f.cfg.Internal, configcopy.Handler(f.copy, f.log))
+		return telemetry.ServeHTTP(ctx, f.cfg.Internal, configcopy.Handler(f.currentCopy, f.log))
 	})
 	if f.cfg.Metrics != "" {
 		group.Go(work, "metrics", func(ctx context.Context) error { return telemetry.ServeMetrics(ctx, f.cfg.Metrics, f.reg) })
@@ -153,11 +153,11 @@
 
 func (f *Front) tick() {
 	f.locked(f.core.Tick)
-	f.showPresence()
+	f.updatePresence()
 }
 
-// showPresence keeps the agent's entry in the registry as its target is.
-func (f *Front) showPresence() {
+// updatePresence keeps the agent's entry in the registry as its target is.
+func (f *Front) updatePresence() {
 	presence := fleet.PresenceUnknown
 	f.locked(func(now time.Time) { presence = f.core.Presence(now) })
 	if presence != fleet.PresenceUnknown {
@@ -169,7 +169,7 @@
 // balancers.
 func (f *Front) stop() {
 	leaves := false
-	f.locked(func(time.Time) { leaves = f.core.TakesLeave() })
+	f.locked(func(time.Time) { leaves = f.core.RemovesEntry() })
 	if leaves {
 		f.entry.Leave()
 	}
@@ -235,7 +235,7 @@
 		if wanted {
 			p := probe(ctx, f.target)
 			f.locked(func(now time.Time) { f.core.Probed(now, p) })
-			f.showPresence()
+			f.updatePresence()
 		}
 		if wanted && tries < quickProbes {
 			worker.Sleep(ctx, probePause)
@@ -262,8 +262,8 @@
 
 // followRegistry reads the balancers from the store while none is known.
 func (f *Front) followRegistry(ctx context.Context) error {
-	return worker.Every(ctx, lonePeriod, func() {
-		if !f.lone() {
+	return worker.Every(ctx, isolationCheckPeriod, func() {
+		if !f.isolated() {
 			return
 		}
 		balancers, err := registry.List(ctx, f.registry, fleet.RoleBalancer)
@@ -274,12 +274,12 @@
 		if balancers.Passed > 0 {
 			f.log.Warn("invalid registry entries", zap.Int("entries", balancers.Passed))
 		}
-		f.locked(func(now time.Time) { f.core.Greet(now, fleet.Addresses(balancers.Entries)) })
+		f.locked(func(now time.Time) { f.core.AnnounceToUnknown(now, fleet.Addresses(balancers.Entries)) })
 	})
 }
 
-// lone tells that no balancer has been known for a while.
-func (f *Front) lone() (due bool) {
-	f.locked(func(now time.Time) { due = f.alone.Due(now, f.core.Balancers() == 0) })
+// isolated tells that no balancer has been known for a while.
+func (f *Front) isolated() (due bool) {
+	f.locked(func(now time.Time) { due = f.isolation.Due(now, f.core.Balancers() == 0) })
 	return due
 }
--- a/agent/packetfront/health.go
+++ b/agent/packetfront/health.go
@@ -7,9 +7,9 @@
 	"github.com/poppywall/poppywall/outlier"
 )
 
-// comebackTime is how long a target counts as warming after an ejection, so that it
+// readmissionWarmup is how long a target counts as warming after an ejection, so that it
 // gets its share back gradually.
-const comebackTime = 2 * time.Second
+const readmissionWarmup = 2 * time.Second
 
 // onlyTarget names the one target in its detector.
 const onlyTarget = "target"
@@ -29,45 +29,45 @@
 type health struct {
 	detector *outlier.Detector
 	ejected  bool
-	// backAt is when the last ejection ended.
-	backAt time.Time
-	// ends counts the unplanned ends in a row, lastEnd is when the last one was seen;
+	// readmittedAt is when the last ejection ended.
+	readmittedAt time.Time
+	// crashes counts the unplanned crashes in a row, lastEnd is when the last one was seen;
 	// provenAt is when the target has been up for long enough since.
-	ends     int
-	lastEnd  time.Time
-	provenAt time.Time
+	crashes      int
+	lastCrash    time.Time
+	probationEnd time.Time
 }
 
 // Times of the proof of a target that has ended unplanned.
 const (
-	// leastProof is how long it has to stay up after the first end, as long as a target
+	// minProbation is how long it has to stay up after the first end, as long as a target
 	// is slow after its start anyway; each further end in a row doubles it up to
 	// mostProof. Of the writes to targets that go down and up each 0.8 s 0.10% are lost
 	// with it and 0.25% without (model, pattern "flap").
-	leastProof = 2 * time.Second
-	mostProof  = 30 * time.Second
-	// relapseTime is how long after an end another one counts as a relapse: a target that
+	minProbation = 2 * time.Second
+	maxProbation = 30 * time.Second
+	// crashMemory is how long after an end another one counts as a relapse: a target that
 	// has stayed up for the longest proof starts over.
-	relapseTime = 30 * time.Second
+	crashMemory = 30 * time.Second
 )
 
-// endedUnplanned notes an end without a word.
-func (h *health) endedUnplanned(now time.Time) {
-	if now.Sub(h.lastEnd) > relapseTime {
-		h.ends = 0
+// recordCrash notes an end without a word.
+func (h *health) recordCrash(now time.Time) {
+	if now.Sub(h.lastCrash) > crashMemory {
+		h.crashes = 0
 	}
-	h.ends++
-	h.lastEnd = now
+	h.crashes++
+	h.lastCrash = now
 }
 
-// startedAgain notes that the target is up, and tells how long it has to prove itself;
+// recordRestart notes that the target is up, and tells how long it has to prove itself;
 // zero where it has not ended lately.
-func (h *health) startedAgain(now time.Time) time.Duration {
-	if h.ends == 0 || now.Sub(h.lastEnd) > relapseTime {
+func (h *health) recordRestart(now time.Time) time.Duration {
+	if h.crashes == 0 || now.Sub(h.lastCrash) > crashMemory {
 		return 0
 	}
-	proof := min(leastProof<<min(h.ends-1, maxDoublings), mostProof)
-	h.provenAt, h.ejected = now.Add(proof), true
+	proof := min(minProbation<<min(h.crashes-1, maxDoublings), maxProbation)
+	h.probationEnd, h.ejected = now.Add(proof), true
 	return proof
 }
 
@@ -78,18 +78,18 @@
 	return health{detector: outlier.New(outlier.Defaults(), outlier.DefaultJudge())}
 }
 
-// answered takes the answer to a request. That a target sheds what it would have to
+// recordAnswerOutcome takes the answer to a request. That a target sheds what it would have to
 // queue is no fault of its own; it is where it has slots.
-func (c *Core) answered(now time.Time, r *record, a flow.Answer) {
-	if a == flow.AnswerShed && r.among > c.target.slots() {
+func (c *Core) recordAnswerOutcome(now time.Time, r *record, a flow.Answer) {
+	if a == flow.AnswerShed && r.concurrent > c.target.slots() {
 		c.events.Failed()
 		return
 	}
-	c.outcome(now, a != flow.AnswerGiven)
+	c.recordOutcome(now, a != flow.AnswerGiven)
 }
 
-// outcome takes the outcome of a request.
-func (c *Core) outcome(now time.Time, failed bool) {
+// recordOutcome takes the recordOutcome of a request.
+func (c *Core) recordOutcome(now time.Time, failed bool) {
 	if failed {
 		c.events.Failed()
 	}
@@ -104,10 +104,10 @@
 
 // checkHealth ends an ejection whose time is over.
 func (c *Core) checkHealth(now time.Time) {
-	if !c.health.ejected || c.health.detector.Ejected(now, onlyTarget) || now.Before(c.health.provenAt) {
+	if !c.health.ejected || c.health.detector.Ejected(now, onlyTarget) || now.Before(c.health.probationEnd) {
 		return
 	}
-	c.health.ejected, c.health.backAt = false, now
+	c.health.ejected, c.health.readmittedAt = false, now
 	c.events.Ejected(false, 0, 0)
 	c.announceChange(now)
 }
@@ -115,6 +115,6 @@
 // warmup is how long the target is to get less than its share: it says so itself
 // after its start, or comes back from an ejection.
 func (c *Core) warmup(now time.Time) time.Duration {
-	comeback := c.health.backAt.Add(comebackTime).Sub(now)
+	comeback := c.health.readmittedAt.Add(readmissionWarmup).Sub(now)
 	return max(c.target.warmup(now), comeback, 0)
 }
--- a/agent/packetfront/health_test.go
+++ b/agent/packetfront/health_test.go
@@ -173,8 +173,8 @@
 	a := f.announcement(f.now)
 	require.False(t, a.Ejected)
 	require.Equal(t, fleet.Ready, a.State)
-	require.EqualValues(t, comebackTime.Milliseconds(), a.WarmupMillis)
-	f.pass(comebackTime)
+	require.EqualValues(t, readmissionWarmup.Milliseconds(), a.WarmupMillis)
+	f.pass(readmissionWarmup)
 	require.Zero(t, f.announcement(f.now).WarmupMillis)
 }
 
@@ -203,9 +203,9 @@
 		f.goesDownAndUp(800 * time.Millisecond)
 		require.Equal(t, want*time.Second, f.unprovenFor())
 	}
-	require.Equal(t, mostProof, relapseTime)
+	require.Equal(t, maxProbation, crashMemory)
 	f.goesDownAndUp(800 * time.Millisecond)
-	require.Equal(t, leastProof, f.unprovenFor(), "it was up for long")
+	require.Equal(t, minProbation, f.unprovenFor(), "it was up for long")
 }
 
 // TestATargetThatGoesDownAndUpByTurnsGetsNoFlow: it does not stay up for long enough.
@@ -235,7 +235,7 @@
 		},
 		"long ago": func(f *fixture) {
 			f.Probed(f.now, ProbeRefused)
-			f.pass(relapseTime + 1)
+			f.pass(crashMemory + 1)
 			f.Probed(f.now, ProbeAccepted)
 		},
 	} {
--- a/agent/packetfront/keepconfig.go
+++ b/agent/packetfront/keepconfig.go
@@ -20,60 +20,60 @@
 
 // Times of keeping the configuration.
 const (
-	// keepDelay and keepSpread are how long after a version was heard of an agent fetches
+	// copyDelay and keepSpread are how long after a version was heard of an agent fetches
 	// it: the agents of a zone ask one after the other, for the link and the processor
 	// of the balancer that is asked may be small.
-	keepDelay  = 500 * time.Millisecond
-	keepSpread = 2 * time.Second
-	// keepPause is the pause after a fetch that failed.
-	keepPause = 2 * time.Second
-	// keepPeriod is how often an agent looks whether it lacks a version.
-	keepPeriod = 200 * time.Millisecond
+	copyDelay  = 500 * time.Millisecond
+	copySpread = 2 * time.Second
+	// copyRetryPause is the pause after a fetch that failed.
+	copyRetryPause = 2 * time.Second
+	// copyPeriod is how often an agent looks whether it lacks a version.
+	copyPeriod = 200 * time.Millisecond
 )
 
-// kept is the version that the agent has a copy of, and the fetch of the next one.
-type kept struct {
+// configCopy is the version that the agent has a copy of, and the fetch of the next one.
+type configCopy struct {
 	version int64
-	// heard is the newest version that a balancer has, dueAt when it is fetched.
-	heard int64
-	dueAt time.Time
+	// newest is the newest version that a balancer has, dueAt when it is fetched.
+	newest int64
+	dueAt  time.Time
 }
 
-// KeepFrom returns a balancer to fetch a newer configuration from than the agent has, and
+// CopySource returns a balancer to fetch a newer configuration from than the agent has, and
 // its version, when that is due.
-func (c *Core) KeepFrom(now time.Time) (from flow.IPv4, version int64, due bool) {
-	from, version, newer := c.view.NewestNear(c.kept.version, c.opts.Zone)
+func (c *Core) CopySource(now time.Time) (from flow.IPv4, version int64, due bool) {
+	from, version, newer := c.view.NewestNear(c.configCopy.version, c.opts.Zone)
 	if !newer {
 		return 0, 0, false
 	}
-	if version != c.kept.heard {
-		spread := time.Duration(c.opts.Epoch % uint64(keepSpread))
-		c.kept.heard, c.kept.dueAt = version, now.Add(keepDelay+spread)
+	if version != c.configCopy.newest {
+		spread := time.Duration(c.opts.Epoch % uint64(copySpread))
+		c.configCopy.newest, c.configCopy.dueAt = version, now.Add(copyDelay+spread)
 	}
-	if now.Before(c.kept.dueAt) {
+	if now.Before(c.configCopy.dueAt) {
 		return 0, 0, false
 	}
-	c.kept.dueAt = now.Add(keepPause)
+	c.configCopy.dueAt = now.Add(copyRetryPause)
 	return from, version, true
 }
 
-// Kept notes that the agent has a copy of a version, or of a later one, and tells
+// CopyStored notes that the agent has a copy of a version, or of a later one, and tells
 // whether it replaces the one before.
-func (c *Core) Kept(version int64) bool {
-	if version <= c.kept.version {
+func (c *Core) CopyStored(version int64) bool {
+	if version <= c.configCopy.version {
 		return false
 	}
-	c.kept.version = version
+	c.configCopy.version = version
 	return true
 }
 
-// keepConfig fetches copies for as long as the agent runs.
-func (f *Front) keepConfig(ctx context.Context) error {
-	return worker.Every(ctx, keepPeriod, func() {
+// copyConfig fetches copies for as long as the agent runs.
+func (f *Front) copyConfig(ctx context.Context) error {
+	return worker.Every(ctx, copyPeriod, func() {
 		var from flow.IPv4
 		var version int64
 		due := false
-		f.locked(func(now time.Time) { from, version, due = f.core.KeepFrom(now) })
+		f.locked(func(now time.Time) { from, version, due = f.core.CopySource(now) })
 		if due {
 			f.fetchCopy(ctx, from, version)
 		}
@@ -88,15 +88,15 @@
 		return
 	}
 	f.locked(func(time.Time) {
-		if f.core.Kept(version) {
-			f.kept = stored
+		if f.core.CopyStored(version) {
+			f.configCopy = stored
 		}
 	})
 	f.log.Info("copy of the configuration kept", append(fields, zap.Int(telemetry.FieldBytes, len(stored.Packed())))...)
 }
 
-// copy returns the copy that is kept, nil before the first.
-func (f *Front) copy() (stored *configcopy.Copy) {
-	f.locked(func(time.Time) { stored = f.kept })
+// currentCopy returns the currentCopy that is kept, nil before the first.
+func (f *Front) currentCopy() (stored *configcopy.Copy) {
+	f.locked(func(time.Time) { stored = f.configCopy })
 	return stored
 }
--- a/agent/packetfront/keepconfig_test.go
+++ b/agent/packetfront/keepconfig_test.go
@@ -22,7 +22,7 @@
 }
 
 // latest is the longest that an agent waits before it fetches a version.
-const latest = keepDelay + keepSpread
+const latest = copyDelay + copySpread
 
 // TestAnAgentKeepsTheNewestConfiguration: it asks a balancer of its own zone, one with a
 // wide link, after a delay of its own, and says in its announcements what it has.
@@ -33,21 +33,21 @@
 	f.has(balancerIP+1, near, 8, 14)
 	f.has(balancerIP+2, near, 8, 200)
 	f.has(balancerIP+3, near, 7, 1000)
-	_, _, due := f.KeepFrom(f.now)
+	_, _, due := f.CopySource(f.now)
 	require.False(t, due, "not at once: all agents have heard it")
 	f.now = f.now.Add(latest)
-	from, version, due := f.KeepFrom(f.now)
+	from, version, due := f.CopySource(f.now)
 	require.True(t, due)
 	require.Equal(t, balancerIP+2, from)
 	require.EqualValues(t, 8, version)
-	_, _, due = f.KeepFrom(f.now)
+	_, _, due = f.CopySource(f.now)
 	require.False(t, due, "it is on its way, or did not come")
-	f.now = f.now.Add(keepPause)
-	_, _, due = f.KeepFrom(f.now)
+	f.now = f.now.Add(copyRetryPause)
+	_, _, due = f.CopySource(f.now)
 	require.True(t, due)
 
-	require.True(t, f.Kept(8))
-	_, _, due = f.KeepFrom(f.now)
+	require.True(t, f.CopyStored(8))
+	_, _, due = f.CopySource(f.now)
 	require.False(t, due)
 	f.port.Nodes = nil
 	f.pass(fleet.NearPeriod)
@@ -55,12 +55,12 @@
 	require.NoError(t, err)
 	require.EqualValues(t, 8, a.ConfigVersion)
 
-	require.False(t, f.Kept(7), "one that comes late")
+	require.False(t, f.CopyStored(7), "one that comes late")
 	f.has(balancerIP+3, near, 9, 14)
-	_, _, due = f.KeepFrom(f.now)
+	_, _, due = f.CopySource(f.now)
 	require.False(t, due)
 	f.now = f.now.Add(latest)
-	from, version, due = f.KeepFrom(f.now)
+	from, version, due = f.CopySource(f.now)
 	require.True(t, due)
 	require.Equal(t, balancerIP+3, from)
 	require.EqualValues(t, 9, version)
--- a/agent/packetfront/life_test.go
+++ b/agent/packetfront/life_test.go
@@ -81,7 +81,7 @@
 			require.NotZero(t, believed, "%s, down for %v", name, down)
 			require.LessOrEqual(t, believed-1, c.shutOut, "%s, down for %v", name, down)
 			require.Equal(t, fleet.Ready, f.target.state(), "%s: the life before was draining", name)
-			require.Equal(t, c.next, f.target.life, name)
+			require.Equal(t, c.next, f.target.incarnation, name)
 			require.True(t, f.report(heartbeatPause, c.next, 9, true), name)
 			require.Equal(t, fleet.Draining, f.target.state(), "%s: its own drain counts", name)
 		}
@@ -102,7 +102,7 @@
 			}
 		}
 		require.NotZero(t, believed, name)
-		require.Equal(t, secondLife, f.target.life, name)
+		require.Equal(t, secondLife, f.target.incarnation, name)
 		require.Equal(t, fleet.Ready, f.target.state(), name)
 	}
 }
@@ -128,7 +128,7 @@
 			f.now = f.now.Add(heartbeatPause / 4)
 			late(f, 2*i+1)
 			require.Equal(t, fleet.Ready, f.target.state(), name)
-			require.Equal(t, secondLife, f.target.life, name)
+			require.Equal(t, secondLife, f.target.incarnation, name)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 			f.targetSends(client, flow.SYN|flow.ACK, seq, 0)
 			f.targetSends(client, flow.ACK, seq, 10)
 		}
-		f.target.beat.Draining = false
+		f.target.heartbeat.Draining = false
 		open(1, 500)
 		if seen {
 			f.Probed(f.now, ProbeRefused)
@@ -258,7 +258,7 @@
 			f.Tick(f.now)
 			f.beatOfLife(present)
 		}
-		require.Equal(t, present.Life, f.target.life)
+		require.Equal(t, present.Life, f.target.incarnation)
 		require.Equal(t, present.sequence, f.target.sequence)
 		require.Equal(t, fleet.Ready, f.target.state())
 	})
--- a/agent/packetfront/lifetime.go
+++ b/agent/packetfront/lifetime.go
@@ -9,20 +9,20 @@
 
 // Parameters of the judgement of heartbeats.
 const (
-	// formerLives is how many earlier lives at this address are remembered.
-	formerLives = 8
-	// aliveBeats is how many heartbeat periods a target may be silent and still
+	// maxFormerIncarnations is how many earlier lives at this address are remembered.
+	maxFormerIncarnations = 8
+	// alivePeriods is how many heartbeat periods a target may be silent and still
 	// count as alive when another life reports.
-	aliveBeats = 1.5
-	// firstCalls is how many calls a target may have made by the time its first
+	alivePeriods = 1.5
+	// initialCalls is how many calls a target may have made by the time its first
 	// heartbeat gets through, beside one for each leastCallGap since its start.
-	firstCalls = 4
-	// leastCallGap is the least mean pause between the calls of a target: a fifth
+	initialCalls = 4
+	// minCallPause is the least mean pause between the calls of a target: a fifth
 	// of the second after which one that gets no answer repeats its call.
-	leastCallGap = 200 * time.Millisecond
+	minCallPause = 200 * time.Millisecond
 )
 
-// lifetimes tells the heartbeats of the present life from those of an earlier
+// incarnationHistory tells the heartbeats of the present life from those of an earlier
 // one at the same address: one that was held up on its way may arrive after its
 // sender has ended and another has reported.
 //
@@ -36,81 +36,81 @@
 //     millisecond. So a life that is not believed is the present one after all if it
 //     goes on to report while that one is silent, and at once if the present one was
 //     seen to end and the other may have started since.
-type lifetimes struct {
+type incarnationHistory struct {
 	former []fleet.Life
 	// claimant is the last life that was not believed, claim its sequence.
-	claimant fleet.Life
-	claim    uint64
+	claimant      fleet.Life
+	claimSequence uint64
 }
 
 // retire remembers a life that was replaced.
-func (l *lifetimes) retire(life fleet.Life) {
+func (l *incarnationHistory) retire(life fleet.Life) {
 	if life.TargetID == "" {
 		return
 	}
 	l.former = slices.DeleteFunc(l.former, func(f fleet.Life) bool { return f == life })
-	if len(l.former) == formerLives {
+	if len(l.former) == maxFormerIncarnations {
 		l.former = slices.Delete(l.former, 0, 1)
 	}
 	l.former = append(l.former, life)
 }
 
-// insists tells whether a life that is not believed has reported twice in a row.
-func (l *lifetimes) insists(b fleet.Heartbeat) bool {
-	again := l.claimant == b.Life && b.Sequence > l.claim
-	l.claimant, l.claim = b.Life, b.Sequence
+// repeatsClaim tells whether a life that is not believed has reported twice in a row.
+func (l *incarnationHistory) repeatsClaim(b fleet.Heartbeat) bool {
+	again := l.claimant == b.Life && b.Sequence > l.claimSequence
+	l.claimant, l.claimSequence = b.Life, b.Sequence
 	return again
 }
 
-// belief is what a heartbeat is taken for.
-type belief uint8
+// heartbeatSource is what a heartbeat is taken for.
+type heartbeatSource uint8
 
 const (
-	// lateBeat is that of a life that has ended.
-	lateBeat belief = iota
-	// ownBeat is that of the present life.
-	ownBeat
-	// firstBeat is the first one of a life that has taken the place of the present one.
-	firstBeat
+	// staleHeartbeat is that of a life that has ended.
+	staleHeartbeat heartbeatSource = iota
+	// currentHeartbeat is that of the present life.
+	currentHeartbeat
+	// newHeartbeat is the first one of a life that has taken the place of the present one.
+	newHeartbeat
 )
 
-// judge tells whose a heartbeat is.
-func (h *target) judge(now time.Time, b fleet.Heartbeat, period time.Duration) belief {
+// classify tells whose a heartbeat is.
+func (h *target) classify(now time.Time, b fleet.Heartbeat, period time.Duration) heartbeatSource {
 	switch {
-	case h.life.TargetID == "":
-		return firstBeat
-	case b.Life == h.life && b.Sequence > h.sequence:
-		h.lifetimes.claimant = fleet.Life{}
-		return ownBeat
-	case b.Born == 0 && h.life.Born != 0:
+	case h.incarnation.TargetID == "":
+		return newHeartbeat
+	case b.Life == h.incarnation && b.Sequence > h.sequence:
+		h.history.claimant = fleet.Life{}
+		return currentHeartbeat
+	case b.Born == 0 && h.incarnation.Born != 0:
 		// The present target says when it was born; a report that does not is not its own.
-		return lateBeat
-	case h.succeeded(now, b, period):
-		return firstBeat
-	case h.lifetimes.insists(b) && h.gaveWay(now, b, period):
-		return firstBeat
+		return staleHeartbeat
+	case h.replaced(now, b, period):
+		return newHeartbeat
+	case h.history.repeatsClaim(b) && h.mayHaveEnded(now, b, period):
+		return newHeartbeat
 	default:
-		return lateBeat
+		return staleHeartbeat
 	}
 }
 
-// succeeded tells whether another life has taken the place of the present one.
-func (h *target) succeeded(now time.Time, b fleet.Heartbeat, period time.Duration) bool {
+// replaced tells whether another life has taken the place of the present one.
+func (h *target) replaced(now time.Time, b fleet.Heartbeat, period time.Duration) bool {
 	if h.sawEnd && h.up && h.mayHaveStarted(now, b) {
 		return true
 	}
-	if b.Life == h.life || b.Born < h.life.Born || slices.Contains(h.lifetimes.former, b.Life) {
+	if b.Life == h.incarnation || b.Born < h.incarnation.Born || slices.Contains(h.history.former, b.Life) {
 		return false
 	}
 	return !h.alive(now, period) || h.mayHaveStarted(now, b)
 }
 
-// gaveWay tells whether the present life may have ended, given that another one goes
+// mayHaveEnded tells whether the present life may have ended, given that another one goes
 // on to report. Where targets say when they were born a late report is told from the
 // present life's by the silence of that one, too; otherwise only its being repeated
 // counts.
-func (h *target) gaveWay(now time.Time, b fleet.Heartbeat, period time.Duration) bool {
-	if b.Life == h.life {
+func (h *target) mayHaveEnded(now time.Time, b fleet.Heartbeat, period time.Duration) bool {
+	if b.Life == h.incarnation {
 		return !h.alive(now, period) && h.mayHaveStarted(now, b)
 	}
 	return b.Born == 0 || !h.alive(now, period)
@@ -118,11 +118,11 @@
 
 // alive tells whether the present life reported lately and has not ended since.
 func (h *target) alive(now time.Time, period time.Duration) bool {
-	return h.life.TargetID != "" && h.up && !h.sawEnd && h.left.IsZero() && now.Sub(h.beatAt) <= time.Duration(aliveBeats*float64(period))
+	return h.incarnation.TargetID != "" && h.up && !h.sawEnd && h.deregisteredAt.IsZero() && now.Sub(h.heartbeatAt) <= time.Duration(alivePeriods*float64(period))
 }
 
 // mayHaveStarted tells whether the sender of a heartbeat may have started after the
 // present life's last one.
 func (h *target) mayHaveStarted(now time.Time, b fleet.Heartbeat) bool {
-	return b.Sequence <= firstCalls+uint64(now.Sub(h.beatAt)/leastCallGap)
+	return b.Sequence <= initialCalls+uint64(now.Sub(h.heartbeatAt)/minCallPause)
 }
--- a/agent/packetfront/lifetime_test.go
+++ b/agent/packetfront/lifetime_test.go
@@ -44,12 +44,12 @@
 			f = freshAgent()
 		}
 		f.beatOf(time.Second, "i-2", 3, false)
-		present := f.target.life.TargetID
+		present := f.target.incarnation.TargetID
 		c.late(f)
 		if name == "two targets before" {
 			present = "i-3"
 		}
-		require.Equal(t, present, f.target.life.TargetID, name)
+		require.Equal(t, present, f.target.incarnation.TargetID, name)
 		require.Equal(t, fleet.Ready, f.target.state(), name)
 	}
 }
@@ -61,10 +61,10 @@
 	f.beatOf(0, "i-2", 30, false)
 	// So low that its sender may have started since.
 	f.beatOf(900*time.Millisecond, "i-1", 2, false)
-	require.Equal(t, "i-1", f.target.life.TargetID)
+	require.Equal(t, "i-1", f.target.incarnation.TargetID)
 	f.beatOf(100*time.Millisecond, "i-2", 31, true)
 	f.beatOf(time.Second, "i-2", 32, true)
-	require.Equal(t, "i-2", f.target.life.TargetID)
+	require.Equal(t, "i-2", f.target.incarnation.TargetID)
 	require.Equal(t, fleet.Draining, f.target.state())
 	require.False(t, f.target.sawStart, "flows from before may live at it")
 }
@@ -86,7 +86,7 @@
 		f := newFixture()
 		c.end(f)
 		f.beatOf(time.Second, "i-2", 1, false)
-		require.Equal(t, "i-2", f.target.life.TargetID, name)
+		require.Equal(t, "i-2", f.target.incarnation.TargetID, name)
 		require.Equal(t, c.seen, f.target.sawStart, name)
 	}
 }
@@ -124,7 +124,7 @@
 			last.sequence++
 			f.beatOf(time.Second, last.id, last.sequence, false)
 		}
-		require.Equal(t, last.id, f.target.life.TargetID)
+		require.Equal(t, last.id, f.target.incarnation.TargetID)
 		require.Equal(t, fleet.Ready, f.target.state())
 	})
 }
--- a/agent/packetfront/load_test.go
+++ b/agent/packetfront/load_test.go
@@ -133,7 +133,7 @@
 	k := c.key
 	h := flow.Header{Src: k.FrontIP, SrcPort: k.FrontPort, Dst: k.ClientIP, DstPort: k.ClientPort, Flags: flags, Seq: seq, Len: length}
 	l.HandleTarget(l.now, &h, make([]byte, platform.HeadLen+length))
-	l.waitsBesideRoom = l.waitsBesideRoom || (l.held.Len() > 0 && l.flows.running < l.limit())
+	l.waitsBesideRoom = l.waitsBesideRoom || (l.queue.Len() > 0 && l.flows.running < l.targetLimit())
 }
 
 // check looks at what the target got since the last look, and at the agent's counts.
@@ -170,7 +170,7 @@
 // it, and is as old as its own packet.
 func (l *randomLoad) late(c *caller) bool {
 	began := c.askedAt
-	if c.requests == 1 && c.askedAt.Sub(c.acceptedAt) <= promptTime {
+	if c.requests == 1 && c.askedAt.Sub(c.acceptedAt) <= firstRequestWindow {
 		began = c.opened
 	}
 	return c.terms.Deadline > 0 && l.now.After(began.Add(c.terms.Deadline))
@@ -194,9 +194,9 @@
 		if !r.runningAt.IsZero() {
 			running++
 			require.False(t, r.pendingAt.IsZero(), "what runs is load")
-			require.Nil(t, r.held, "what runs does not wait")
+			require.Nil(t, r.queued, "what runs does not wait")
 		}
-		if r.held != nil {
+		if r.queued != nil {
 			held++
 			require.False(t, r.pendingAt.IsZero(), "what waits is load")
 		}
@@ -207,9 +207,9 @@
 	require.Equal(t, busy, l.flows.busy)
 	require.Equal(t, running, l.flows.running)
 	require.Equal(t, opened, l.flows.open)
-	require.Equal(t, held, l.held.Len(), "each request that waits is queued once")
+	require.Equal(t, held, l.queue.Len(), "each request that waits is queued once")
 	require.GreaterOrEqual(t, busy, running)
-	require.LessOrEqual(t, held, maxHeld)
+	require.LessOrEqual(t, held, maxQueued)
 	for _, c := range l.callers {
 		c.forgotten = c.forgotten || l.flows.get(c.key) == nil
 	}
@@ -219,8 +219,8 @@
 func (l *randomLoad) tick(t *rapid.T) {
 	l.Tick(l.now)
 	l.check(t)
-	if l.flows.running < l.limit() {
-		require.Zero(t, l.held.Len(), "it waits although there is room")
+	if l.flows.running < l.targetLimit() {
+		require.Zero(t, l.queue.Len(), "it waits although there is room")
 	}
 }
 
@@ -272,15 +272,15 @@
 	const step = 10 * time.Millisecond
 	for range 2 * shortest / step {
 		l.now = l.now.Add(step)
-		for held := l.held.Len(); held >= 0; held-- {
+		for held := l.queue.Len(); held >= 0; held-- {
 			// Each answer lets a request in that waited.
 			l.check(t)
 			l.answersFirst(len(l.callers))
 		}
 		l.tick(t)
 	}
-	require.False(t, l.overload.stands, "an overload outlives its load")
-	require.Zero(t, l.held.Len())
+	require.False(t, l.overload.active, "an overload outlives its load")
+	require.Zero(t, l.queue.Len())
 	require.Zero(t, l.flows.running, "a request that was answered, or whose client left, runs")
 	require.Zero(t, l.Busy())
 	l.checkServed(t)
--- a/agent/packetfront/nodes.go
+++ b/agent/packetfront/nodes.go
@@ -39,7 +39,7 @@
 	case newer:
 		if heard.Has(c.opts.Zone) != former.Has(c.opts.Zone) || former.Revision == 0 {
 			// The targets of a zone may have become cold meanwhile.
-			c.cold.doubtedAt = now
+			c.cold.suspectedAt = now
 		}
 		if differ {
 			c.events.EvacuationsChanged(heard, former, from.String())
@@ -56,18 +56,20 @@
 		return err
 	}
 	// Their answers must not name peers again: each answer would be answered.
-	c.greet(now, names.Balancers, false)
+	c.announceToUnknown(now, names.Balancers, false)
 	return nil
 }
 
-// Greet announces the target to balancers that the store names.
-func (c *Core) Greet(now time.Time, balancers []flow.IPv4) { c.greet(now, balancers, true) }
+// AnnounceToUnknown announces the target to balancers that the store names.
+func (c *Core) AnnounceToUnknown(now time.Time, balancers []flow.IPv4) {
+	c.announceToUnknown(now, balancers, true)
+}
 
-// greet announces the target to balancers that are not known yet; they answer with
+// announceToUnknown announces the target to balancers that are not known yet; they answer with
 // a beacon.
-func (c *Core) greet(now time.Time, balancers []flow.IPv4, wantPeers bool) {
+func (c *Core) announceToUnknown(now time.Time, balancers []flow.IPv4, wantPeers bool) {
 	for _, ip := range balancers {
-		if !c.view.KnowsBalancer(ip) && c.relays.greeted.May(now, ip, zonecast.GreetPause) {
+		if !c.view.KnowsBalancer(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
 			c.announceTo(now, ip, wantPeers)
 		}
 	}
@@ -77,16 +79,16 @@
 func (c *Core) Tick(now time.Time) {
 	c.introduce(now)
 	c.join(now)
-	if left := c.target.left; !left.IsZero() && now.Sub(left) > leaveGrace && !c.target.listens(now) {
-		c.kill(now, "its target has left")
+	if left := c.target.deregisteredAt; !left.IsZero() && now.Sub(left) > deregistrationGrace && !c.target.mayListen(now) {
+		c.endFlows(now, "its target has left")
 	}
 	c.checkHealth(now)
-	c.doubtPace(now)
+	c.expirePace(now)
 	c.expire(now)
-	c.expireOpening(now)
-	c.expireHeld(now)
-	c.releaseHeld(now)
-	c.judgeLoad(now)
+	c.expirePendingOpens(now)
+	c.expireQueued(now)
+	c.dispatchQueued(now)
+	c.updateOverload(now)
 	c.announceDue(now)
 }
 
@@ -97,7 +99,7 @@
 		return
 	}
 	c.nextExpire = now.Add(time.Second)
-	c.askOverdue(now)
+	c.probeOverdue(now)
 	c.flows.expire(now, c.opts.FlowTTL)
 	_, balancers := c.view.Expire(now)
 	for _, e := range balancers {
@@ -110,13 +112,13 @@
 // registry does not have the target either, the seeds hear of it again and again:
 // balancers that start have only each other to learn of it from.
 func (c *Core) join(now time.Time) {
-	alone, unlisted := len(c.view.Balancers()) == 0, c.target.up && c.listing != fleet.ListingThere
+	alone, unlisted := len(c.view.Balancers()) == 0, c.target.up && c.registration != fleet.ListingThere
 	if !c.introduced || !(alone || unlisted) || now.Before(c.nextJoin) {
 		return
 	}
 	c.nextJoin = now.Add(joinPeriod)
 	if !alone {
-		c.nextJoin = now.Add(unlistedPeriod)
+		c.nextJoin = now.Add(unregisteredPeriod)
 	}
 	for _, ip := range c.opts.Seeds {
 		c.announceTo(now, ip, alone)
@@ -131,63 +133,63 @@
 	for _, ip := range c.acks.due(now) {
 		c.announceTo(now, ip, false)
 	}
-	if !now.Before(c.nextFar) {
-		c.announceFar(now)
+	if !now.Before(c.nextCrossZone) {
+		c.announceCrossZone(now)
 	}
 	near, _ := c.view.BalancersByZone(c.opts.Zone)
-	if !now.Before(c.nextNear) {
-		c.nextNear = fleet.NextRound(now, fleet.NearPeriod, c.opts.Self)
-		c.announceIn(now, near)
+	if !now.Before(c.nextSameZone) {
+		c.nextSameZone = fleet.NextRound(now, fleet.NearPeriod, c.opts.Self)
+		c.announceToAll(now, near)
 		return
 	}
-	step := c.flows.busy - int(c.announced.Busy)
-	if (step >= busyStep || step <= -busyStep) && now.Sub(c.announcedAt) >= announceGap {
-		c.announceIn(now, near)
+	step := c.flows.busy - int(c.lastAnnouncement.Busy)
+	if (step >= loadChangeStep || step <= -loadChangeStep) && now.Sub(c.lastAnnouncedAt) >= minAnnouncePause {
+		c.announceToAll(now, near)
 	}
 }
 
 // announceChange tells every balancer at once when the target's state changed.
 func (c *Core) announceChange(now time.Time) {
 	next := c.announcement(now)
-	if c.namedOnly(now, next) {
-		c.nextNear, c.nextFar = now, now
+	if c.onlyIdentified(now, next) {
+		c.nextSameZone, c.nextCrossZone = now, now
 		return
 	}
-	if next.State != c.announced.State || next.Incarnation != c.announced.Incarnation ||
-		next.Slots != c.announced.Slots || next.Ejected != c.announced.Ejected ||
-		(next.Listing != c.announced.Listing && next.Listing == fleet.ListingTakenAway) {
+	if next.State != c.lastAnnouncement.State || next.Incarnation != c.lastAnnouncement.Incarnation ||
+		next.Slots != c.lastAnnouncement.Slots || next.Ejected != c.lastAnnouncement.Ejected ||
+		(next.Listing != c.lastAnnouncement.Listing && next.Listing == fleet.ListingTakenAway) {
 		c.acks.changed(c.seq + 1)
 		c.announceAll(now)
 	}
 }
 
-// namedOnly tells whether nothing has changed but that the target has said who it is and
+// onlyIdentified tells whether nothing has changed but that the target has said who it is and
 // how much it can do. It is as ready as it was, so where other zones are told through
 // relays, which all agents would do at once after the return of all callers, this goes the
 // same way.
-func (c *Core) namedOnly(now time.Time, next fleet.Announcement) bool {
-	former := c.announced
+func (c *Core) onlyIdentified(now time.Time, next fleet.Announcement) bool {
+	former := c.lastAnnouncement
 	return former.Incarnation == 0 && next.Incarnation != 0 &&
 		next.State == former.State && next.Ejected == former.Ejected && next.Listing == former.Listing &&
-		len(c.relays.rounds.Plan(now, c.view).Relays) > 0
+		len(c.relays.planner.Plan(now, c.view).Relays) > 0
 }
 
 func (c *Core) announceAll(now time.Time) {
 	near, far := c.view.BalancersByZone(c.opts.Zone)
-	c.farPeriod = c.relays.rounds.Plan(now, c.view).Period
-	c.nextNear, c.nextFar = fleet.NextRound(now, fleet.NearPeriod, c.opts.Self), fleet.NextRound(now, c.farPeriod, c.opts.Self)
-	c.announceIn(now, near)
-	c.announceIn(now, far)
+	c.crossZonePeriod = c.relays.planner.Plan(now, c.view).Period
+	c.nextSameZone, c.nextCrossZone = fleet.NextRound(now, fleet.NearPeriod, c.opts.Self), fleet.NextRound(now, c.crossZonePeriod, c.opts.Self)
+	c.announceToAll(now, near)
+	c.announceToAll(now, far)
 	// Also where nobody is known yet: those who are met later are told the same.
-	c.announced = c.announcement(now)
+	c.lastAnnouncement = c.announcement(now)
 }
 
-func (c *Core) announceIn(now time.Time, balancers []flow.IPv4) {
+func (c *Core) announceToAll(now time.Time, balancers []flow.IPv4) {
 	if len(balancers) == 0 {
 		return
 	}
-	c.announcedAt = now
-	c.announced = c.announcement(now)
+	c.lastAnnouncedAt = now
+	c.lastAnnouncement = c.announcement(now)
 	for _, ip := range balancers {
 		c.announceTo(now, ip, false)
 	}
@@ -198,25 +200,25 @@
 // still in the registry beside a target that has ended is left to the balancers.
 func (c *Core) Stop(now time.Time) {
 	c.leaving = true
-	if !c.target.left.IsZero() {
-		c.kill(now, "its target has left")
+	if !c.target.deregisteredAt.IsZero() {
+		c.endFlows(now, "its target has left")
 	}
-	if c.target.holdsNothing() && c.listing != fleet.ListingTakenAway {
-		c.listing = fleet.ListingLeft
+	if c.target.certainlyAbsent() && c.registration != fleet.ListingTakenAway {
+		c.registration = fleet.ListingLeft
 	}
 	c.announceAll(now)
 }
 
 func (c *Core) announcement(now time.Time) fleet.Announcement {
 	state := c.target.state()
-	if c.target.holdsNothing() || (c.target.sawStart && c.awaitsRegistry(now)) {
+	if c.target.certainlyAbsent() || (c.target.sawStart && c.awaitsRegistration(now)) {
 		// Balancers need not ask here for open flows.
 		state = fleet.Gone
 	}
 	if c.leaving && state == fleet.Ready {
 		state = fleet.Draining
 	}
-	room, cold := c.coldRoom(now)
+	room, cold := c.coldHeadroom(now)
 	return fleet.Announcement{
 		Zone: c.opts.Zone, Service: c.opts.Service,
 		Incarnation:   c.incarnation(),
@@ -226,68 +228,68 @@
 		Open:          uint16(min(c.flows.open, 1<<16-1)),
 		WarmupMillis:  uint16(min(c.warmup(now).Milliseconds(), 1<<16-1)),
 		Ejected:       c.health.ejected,
-		Listing:       c.listing,
-		ConfigVersion: c.kept.version,
+		Listing:       c.registration,
+		ConfigVersion: c.configCopy.version,
 		Cold:          cold,
 		Room:          uint16(min(room, 1<<16-1)),
-		Readings:      c.readings(now),
+		Readings:      c.loadReport(now),
 	}
 }
 
-// readings are what the balancers hear of the target's work.
-func (c *Core) readings(now time.Time) fleet.Readings {
+// loadReport are what the balancers hear of the target's work.
+func (c *Core) loadReport(now time.Time) fleet.Readings {
 	if !c.pace.Observed() {
 		return fleet.Readings{}
 	}
-	return fleet.Readings{Wait: c.wait(now), Each: c.pace.Each(), Took: c.pace.Took(), Overloaded: c.overload.stands}
+	return fleet.Readings{Wait: c.expectedWait(now), Each: c.pace.Each(), Took: c.pace.Took(), Overloaded: c.overload.active}
 }
 
 // incarnation tells the target's life from others, zero while it is not known.
 func (c *Core) incarnation() flow.Tag {
-	if c.target.life.TargetID == "" {
+	if c.target.incarnation.TargetID == "" {
 		return 0
 	}
-	return c.target.life.Tag()
+	return c.target.incarnation.Tag()
 }
 
-// registerPatience is how long an agent with a target waits for its entry in the
+// registrationTimeout is how long an agent with a target waits for its entry in the
 // registry before it offers the target all the same: the store answers in
 // milliseconds, and may be away for long.
-const registerPatience = 250 * time.Millisecond
+const registrationTimeout = 250 * time.Millisecond
 
-// learned notes that something is known of the target.
-func (c *Core) learned(now time.Time) {
-	c.known = true
+// setTargetKnown notes that something is known of the target.
+func (c *Core) setTargetKnown(now time.Time) {
+	c.targetKnown = true
 	c.introduce(now)
 }
 
-// Shown notes that the registry shows what it is to show of the agent.
-func (c *Core) Shown(now time.Time, p fleet.Presence) {
+// PresenceStored notes that the registry shows what it is to show of the agent.
+func (c *Core) PresenceStored(now time.Time, p fleet.Presence) {
 	switch {
-	case p != c.wanted:
+	case p != c.wantedPresence:
 		// It is to show something else by now.
 		return
 	case p == fleet.PresenceHere:
-		c.listing = fleet.ListingThere
+		c.registration = fleet.ListingThere
 	case p == fleet.PresenceEnded:
-		c.listing = fleet.ListingTakenAway
+		c.registration = fleet.ListingTakenAway
 	}
 	c.introduce(now)
 	c.announceChange(now)
 }
 
-// awaitsRegistry tells that the target is there and the agent is not registered
+// awaitsRegistration tells that the target is there and the agent is not registered
 // yet: a target takes no flow before balancers that have not heard of it can find
 // it in the registry.
-func (c *Core) awaitsRegistry(now time.Time) bool {
-	return c.target.up && c.listing != fleet.ListingThere && now.Sub(c.target.upSince) < registerPatience
+func (c *Core) awaitsRegistration(now time.Time) bool {
+	return c.target.up && c.registration != fleet.ListingThere && now.Sub(c.target.upSince) < registrationTimeout
 }
 
 // introduce lets the balancers hear of the agent once it knows its target. What it
 // said before would only be its own ignorance, and would stand for long if it was
 // the last thing that a balancer heard.
 func (c *Core) introduce(now time.Time) {
-	if c.introduced || !c.known || c.awaitsRegistry(now) {
+	if c.introduced || !c.targetKnown || c.awaitsRegistration(now) {
 		return
 	}
 	c.introduced = true
@@ -303,7 +305,7 @@
 	if zone, known := c.view.ZoneOf(ip); known && zone == c.opts.Zone {
 		return fleet.NearPeriod
 	}
-	return c.farPeriod
+	return c.crossZonePeriod
 }
 
 func (c *Core) announceTo(now time.Time, to flow.IPv4, wantPeers bool) {
--- a/agent/packetfront/nodes_test.go
+++ b/agent/packetfront/nodes_test.go
@@ -29,10 +29,10 @@
 	}
 	f.pass(fleet.NearPeriod)
 	f.port.Nodes = nil
-	for i := range busyStep {
+	for i := range loadChangeStep {
 		f.syn(i, 0, 0)
 	}
-	f.pass(announceGap)
+	f.pass(minAnnouncePause)
 	require.Len(t, f.port.Nodes, 1)
 	require.Equal(t, balancerIP, f.port.Last().To)
 	f.pass(fleet.NearPeriod)
@@ -129,7 +129,7 @@
 	f.opts.Seeds = []flow.IPv4{nextIP}
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 	f.Probed(f.now, ProbeAccepted)
-	f.pass(registerPatience - 1)
+	f.pass(registrationTimeout - 1)
 	require.Empty(t, f.port.Nodes)
 	f.pass(1)
 	require.NotEmpty(t, f.port.Nodes)
@@ -143,7 +143,7 @@
 	require.Equal(t, fleet.PresenceUnknown, f.Presence(f.now))
 	f.Probed(f.now, ProbeRefused)
 	require.Equal(t, fleet.PresenceUnknown, f.Presence(f.now), "it may be about to start")
-	f.now = f.now.Add(endedTime + 1)
+	f.now = f.now.Add(presenceHoldTime + 1)
 	f.Probed(f.now, ProbeRefused)
 	require.Equal(t, fleet.PresenceEnded, f.Presence(f.now))
 	f.Probed(f.now, ProbeAccepted)
@@ -165,7 +165,7 @@
 	f := newFixture()
 	f.Leave(f.now, fleet.Life{TargetID: "i-1"})
 	f.Probed(f.now, ProbeSilent)
-	f.pass(leaveGrace)
+	f.pass(deregistrationGrace)
 	require.Equal(t, fleet.PresenceUnknown, f.Presence(f.now))
 	f.pass(1)
 	require.Equal(t, fleet.PresenceEnded, f.Presence(f.now))
@@ -178,14 +178,14 @@
 		up   time.Duration
 		want fleet.Presence
 	}{
-		"there for long":  {endedTime + 1, fleet.PresenceEnded},
-		"there for short": {endedTime, fleet.PresenceUnknown},
+		"there for long":  {presenceHoldTime + 1, fleet.PresenceEnded},
+		"there for short": {presenceHoldTime, fleet.PresenceUnknown},
 	} {
 		f := newFixture()
 		f.now = f.now.Add(c.up)
 		f.Probed(f.now, ProbeRefused)
 		require.Equal(t, c.want, f.Presence(f.now), name)
-		require.Equal(t, fleet.PresenceEnded, f.Presence(f.now.Add(endedTime+1)), name)
+		require.Equal(t, fleet.PresenceEnded, f.Presence(f.now.Add(presenceHoldTime+1)), name)
 	}
 }
 
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -104,8 +104,8 @@
 		zap.Int(fieldLoad, busy), zap.Int(fieldSlots, slots))
 }
 
-// Waiting implements Events.
-func (o *observer) Waiting(key flow.Key, requestID []byte, held int, wait time.Duration) {
+// Queued implements Events.
+func (o *observer) Queued(key flow.Key, requestID []byte, held int, wait time.Duration) {
 	o.waited.Inc()
 	o.Write(&o.passes, "request waits for a slot", zap.Stringer(fieldFlow, key), zap.ByteString(fieldRequest, requestID),
 		zap.Int("held", held), zap.Duration("wait", wait))
@@ -117,8 +117,8 @@
 	o.Write(&o.passes, "new flow postponed", zap.Stringer(fieldFlow, key), zap.Duration("wait", wait))
 }
 
-// GaveUp implements Events.
-func (o *observer) GaveUp(key flow.Key, waited time.Duration) {
+// Expired implements Events.
+func (o *observer) Expired(key flow.Key, waited time.Duration) {
 	o.gaveUp.Inc()
 	o.Write(&o.gone, "request's client has gone", zap.Stringer(fieldFlow, key), zap.Duration("waited", waited))
 }
@@ -179,8 +179,8 @@
 	o.Log.Warn("target ejected", zap.Int("trials", trials), zap.Int("failures", failures))
 }
 
-// Unproven implements Events.
-func (o *observer) Unproven(ends int, proof time.Duration) {
+// OnProbation implements Events.
+func (o *observer) OnProbation(ends int, proof time.Duration) {
 	o.unproven.Inc()
 	o.Write(&o.reports, "target up again, not proven", zap.Int("ends", ends), zap.Duration("proof", proof))
 }
@@ -213,8 +213,8 @@
 	o.Log.Info("relaying to another zone changed", zap.Uint32("zone_tag", uint32(zone)), zap.Int("balancers", balancers), zap.Bool("relayed", relayed))
 }
 
-// Asked implements Events.
-func (o *observer) Asked(ip flow.IPv4, silent time.Duration) {
+// Probed implements Events.
+func (o *observer) Probed(ip flow.IPv4, silent time.Duration) {
 	o.asked.Inc()
 	o.Write(&o.other, "balancer not relayed any more, asked", zap.Stringer(telemetry.FieldPeer, ip), zap.Duration("silent", silent))
 }
--- a/agent/packetfront/overload.go
+++ b/agent/packetfront/overload.go
@@ -12,66 +12,66 @@
 // overload judges whether the target has more to do than it can answer.
 type overload struct {
 	backlog.Overload
-	stands bool
+	active bool
 	// changedAt is when the judgement changed last.
 	changedAt time.Time
 }
 
-// tellFarPeriod is how long after one change of the judgement other zones hear of the next
+// crossZoneNotifyPause is how long after one change of the judgement other zones hear of the next
 // one at the earliest: a service's targets change it together.
-const tellFarPeriod = time.Second
+const crossZoneNotifyPause = time.Second
 
-// arrives notes a new flow where its way ends: at the target that takes it or leaves it to
+// countArrival notes a new flow where its way ends: at the target that takes it or leaves it to
 // its client's next packet, or else at the last one that it is offered to. A target that
 // others pass their flows on to has these to answer, not those that pass them on. A flow
 // that a balancer sends again is the same arrival.
-func (c *Core) arrives(now time.Time, h *flow.Header) {
+func (c *Core) countArrival(now time.Time, h *flow.Header) {
 	if c.env.Flags&envelope.Repeated == 0 {
 		c.overload.Arrived(now, c.env.Deadline, h.Ack > 0)
 	}
 }
 
-// declines passes a new flow on for which the target has no room.
-func (c *Core) declines(now time.Time, key flow.Key, h *flow.Header, packet []byte, reason string) {
+// decline passes a new flow on for which the target has no room.
+func (c *Core) decline(now time.Time, key flow.Key, h *flow.Header, packet []byte, reason string) {
 	c.events.PassedOn(key, reason, int(c.env.Hops))
 	if c.env.Count == 0 {
-		c.arrives(now, h)
+		c.countArrival(now, h)
 	}
-	c.passOn(packet, true)
+	c.passToNextCandidate(packet, true)
 }
 
-// arrivesLater notes a later request of a flow. Its first one was noted with its opening
+// countLaterRequest notes a later request of a flow. Its first one was noted with its opening
 // packet.
-func (c *Core) arrivesLater(now time.Time, r *record) {
+func (c *Core) countLaterRequest(now time.Time, r *record) {
 	if r.pendingAt.IsZero() && r.request.began.IsZero() {
 		c.overload.ArrivedLater(now, r.request.deadline)
 	}
 }
 
-// noteSlots notes whether the target has a free slot: requests whose bodies are on their
+// updateSlots notes whether the target has a free slot: requests whose bodies are on their
 // way keep none.
-func (c *Core) noteSlots(now time.Time) {
+func (c *Core) updateSlots(now time.Time) {
 	working := float64(c.flows.running) * c.pace.Share()
 	c.overload.Slots(now, working < float64(c.target.slots()))
 }
 
-// judgeLoad tells balancers at once when an overload stands, and when it does no
+// updateOverload tells balancers at once when an overload stands, and when it does no
 // longer: they refuse for all others what it means for this target alone.
-func (c *Core) judgeLoad(now time.Time) {
+func (c *Core) updateOverload(now time.Time) {
 	if c.target.warmup(now) > 0 || c.target.state() == fleet.Absent {
 		c.overload.Outage(now)
 	}
-	c.noteSlots(now)
-	wait := c.wait(now)
+	c.updateSlots(now)
+	wait := c.expectedWait(now)
 	stands := c.overload.Stands(now, wait)
-	if stands == c.overload.stands {
+	if stands == c.overload.active {
 		return
 	}
-	c.overload.stands = stands
-	c.events.Overloaded(stands, c.overload.Load(now), c.held.Len(), wait)
-	c.nextNear = now
-	if next := c.overload.changedAt.Add(tellFarPeriod); next.Before(c.nextFar) {
-		c.nextFar = next
+	c.overload.active = stands
+	c.events.Overloaded(stands, c.overload.Load(now), c.queue.Len(), wait)
+	c.nextSameZone = now
+	if next := c.overload.changedAt.Add(crossZoneNotifyPause); next.Before(c.nextCrossZone) {
+		c.nextCrossZone = next
 	}
 	c.overload.changedAt = now
 }
@@ -80,16 +80,16 @@
 // objective after a wait, where it states one, and else before its deadline.
 func (c *Core) meetsObjective(wait time.Duration, h *flow.Header) bool {
 	if c.env.Objective == 0 {
-		return c.servable(wait, h)
+		return c.canMeetDeadline(wait, h)
 	}
 	expected := fleet.Readings{Wait: wait, Took: c.pace.Took()}
-	return c.held.Len() < maxHeld && expected.InTime(backlog.Age(h.Ack), c.env.Objective)
+	return c.queue.Len() < maxQueued && expected.InTime(backlog.Age(h.Ack), c.env.Objective)
 }
 
-// nextHeld takes out the request that gets the next slot.
-func (c *Core) nextHeld(now time.Time) (flow.Key, bool) {
-	if c.overload.stands {
-		return c.held.NextInTime(now, c.pace)
+// nextQueued takes out the request that gets the next slot.
+func (c *Core) nextQueued(now time.Time) (flow.Key, bool) {
+	if c.overload.active {
+		return c.queue.NextInTime(now, c.pace)
 	}
-	return c.held.Next(now, c.pace)
+	return c.queue.Next(now, c.pace)
 }
--- a/agent/packetfront/overload_test.go
+++ b/agent/packetfront/overload_test.go
@@ -46,7 +46,7 @@
 		c.serve()
 		if c.now.UnixMilli()%50 == 0 {
 			c.Tick(c.now)
-			c.target.owesSince = time.Time{}
+			c.target.awaitingSince = time.Time{}
 		}
 	}
 }
@@ -94,7 +94,7 @@
 
 // workOf is how long a request stays at the target: those beyond the slots share them.
 func (c *crowd) workOf(r *record) time.Duration {
-	shared := max(float64(r.among)/float64(c.target.slots()), 1)
+	shared := max(float64(r.concurrent)/float64(c.target.slots()), 1)
 	return time.Duration(shared * float64(c.work))
 }
 
@@ -107,14 +107,14 @@
 	c.play(3*time.Second, 0.5*capacity)
 	require.Zero(t, c.returned+c.postponed+c.late)
 	c.play(1500*time.Millisecond, 2.4*capacity)
-	require.True(t, c.overload.stands)
+	require.True(t, c.overload.active)
 	c.offered, c.returned, c.postponed, c.inTime, c.late = 0, 0, 0, 0, 0
 	c.play(4500*time.Millisecond, 2.4*capacity)
 	require.Zero(t, c.postponed, "nothing is left to its next opening packet")
 	require.Greater(t, float64(c.inTime), 0.9*4.5*capacity)
 	require.Greater(t, float64(c.returned), 0.5*float64(c.offered))
 	c.play(500*time.Millisecond, 0.5*capacity)
-	require.False(t, c.overload.stands)
+	require.False(t, c.overload.active)
 	c.returned, c.late = 0, 0
 	c.play(3*time.Second, 0.5*capacity)
 	require.Zero(t, c.returned+c.postponed+c.late)
@@ -127,9 +127,9 @@
 	c.hops = 1
 	const capacity = 4 / 0.030
 	c.play(3*time.Second, 0.5*capacity)
-	require.False(t, c.overload.stands)
+	require.False(t, c.overload.active)
 	c.play(1500*time.Millisecond, 2.4*capacity)
-	require.True(t, c.overload.stands)
+	require.True(t, c.overload.active)
 	require.InEpsilon(t, 2.4*capacity, c.overload.Load(c.now).Arrived, 0.1)
 }
 
@@ -151,7 +151,7 @@
 	const capacity = 4 / 0.030
 	c.play(3*time.Second, 0.5*capacity)
 	c.play(1500*time.Millisecond, 2.4*capacity)
-	require.True(t, c.overload.stands)
+	require.True(t, c.overload.active)
 	for hops, to := range []flow.IPv4{nextIP, balancerIP} {
 		env := load(2)
 		env.Balancer, env.Hops = balancerIP, uint8(hops)
@@ -208,7 +208,7 @@
 // overloaded or leaving, is no reason to refuse what another one would have served.
 func TestALastCandidateSendsAFlowToOneThatCanTakeIt(t *testing.T) {
 	for name, prepare := range map[string]func(f *fixture){
-		"overloaded": func(f *fixture) { f.fill(); f.overload.stands = true },
+		"overloaded": func(f *fixture) { f.fill(); f.overload.active = true },
 		"draining":   func(f *fixture) { f.beat(true) },
 	} {
 		f := newFixture()
@@ -244,14 +244,14 @@
 func TestLateRequestsAreNotAheadInAnOverload(t *testing.T) {
 	f := newFixture()
 	f.fill()
-	alone := f.wait(f.now)
+	alone := f.expectedWait(f.now)
 	for client := 100; client < 110; client++ {
 		f.opens(client, load(2), 2)
 		f.asks(client)
 	}
 	f.pass(load(2).Objective)
-	require.Equal(t, 10, f.held.Len())
-	require.Greater(t, f.wait(f.now), 2*alone)
-	f.overload.stands = true
-	require.Equal(t, alone, f.wait(f.now))
+	require.Equal(t, 10, f.queue.Len())
+	require.Greater(t, f.expectedWait(f.now), 2*alone)
+	f.overload.active = true
+	require.Equal(t, alone, f.expectedWait(f.now))
 }
--- a/agent/packetfront/presence.go
+++ b/agent/packetfront/presence.go
@@ -6,23 +6,25 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// endedTime is how long a target has to be away before its agent's entry in the
+// presenceHoldTime is how long a target has to be away before its agent's entry in the
 // registry goes if it was there for less: one that goes down and up by turns costs
 // no writes. The end of any other target is told at once, for balancers that start
 // just then wait for every agent on the list.
-const endedTime = 2 * time.Second
+const presenceHoldTime = 2 * time.Second
 
 // TargetEnded tells whether the target has ended for certain, so that no flow can be
 // open here.
-func (c *Core) TargetEnded() bool { return !c.target.left.IsZero() || c.target.holdsNothing() }
+func (c *Core) TargetEnded() bool {
+	return !c.target.deregisteredAt.IsZero() || c.target.certainlyAbsent()
+}
 
-// TakesLeave tells whether the agent, which is about to stop, has to take its entry out
+// RemovesEntry tells whether the agent, which is about to stop, has to take its entry out
 // of the registry: its target has ended.
-func (c *Core) TakesLeave() bool {
-	if !c.TargetEnded() || c.listing == fleet.ListingTakenAway {
+func (c *Core) RemovesEntry() bool {
+	if !c.TargetEnded() || c.registration == fleet.ListingTakenAway {
 		return false
 	}
-	c.wanted = fleet.PresenceEnded
+	c.wantedPresence = fleet.PresenceEnded
 	return true
 }
 
@@ -31,23 +33,23 @@
 func (c *Core) Presence(now time.Time) fleet.Presence {
 	h, wanted := &c.target, fleet.PresenceUnknown
 	switch {
-	case h.up && h.left.IsZero():
+	case h.up && h.deregisteredAt.IsZero():
 		wanted = fleet.PresenceHere
-	case h.holdsNothing() && h.stayedAway(now):
+	case h.certainlyAbsent() && h.staysAway(now):
 		wanted = fleet.PresenceEnded
 	}
-	if wanted != fleet.PresenceUnknown && wanted != c.wanted {
+	if wanted != fleet.PresenceUnknown && wanted != c.wantedPresence {
 		// Until the store has answered its answer may be either.
-		c.wanted, c.listing = wanted, fleet.ListingUnknown
+		c.wantedPresence, c.registration = wanted, fleet.ListingUnknown
 	}
 	return wanted
 }
 
-// stayedAway tells whether a target that has ended is not expected back at once: it
+// staysAway tells whether a target that has ended is not expected back at once: it
 // has said farewell, was there for long before, or has been away for long. One that
 // this process has never seen may be about to start; until then the agent answers
 // for it.
-func (h *target) stayedAway(now time.Time) bool {
-	steady := !h.upSince.IsZero() && h.downSince.Sub(h.upSince) > endedTime
-	return !h.left.IsZero() || steady || now.Sub(h.downSince) > endedTime
+func (h *target) staysAway(now time.Time) bool {
+	steady := !h.upSince.IsZero() && h.downSince.Sub(h.upSince) > presenceHoldTime
+	return !h.deregisteredAt.IsZero() || steady || now.Sub(h.downSince) > presenceHoldTime
 }
--- a/agent/packetfront/probe.go
+++ b/agent/packetfront/probe.go
@@ -11,18 +11,18 @@
 // farewell and its end was not seen yet.
 func (c *Core) WantsProbe(now time.Time) bool {
 	h := &c.target
-	if !h.left.IsZero() {
-		return !h.killed
+	if !h.deregisteredAt.IsZero() {
+		return !h.flowsEnded
 	}
 	if !h.up {
 		return true
 	}
-	if now.Sub(h.probedAt) < silenceProbe {
+	if now.Sub(h.probedAt) < answerTimeout {
 		return false
 	}
-	silent := !h.owesSince.IsZero() && now.Sub(h.owesSince) > silenceProbe
-	missed := time.Duration(missedHeartbeats * float64(c.opts.HeartbeatPeriod))
-	return silent || (h.life.TargetID != "" && now.Sub(h.beatAt) > missed && now.Sub(h.probedAt) > c.opts.HeartbeatPeriod)
+	silent := !h.awaitingSince.IsZero() && now.Sub(h.awaitingSince) > answerTimeout
+	missed := time.Duration(probeAfterMissedHeartbeats * float64(c.opts.HeartbeatPeriod))
+	return silent || (h.incarnation.TargetID != "" && now.Sub(h.heartbeatAt) > missed && now.Sub(h.probedAt) > c.opts.HeartbeatPeriod)
 }
 
 // Probe is the outcome of a connection to the target.
@@ -41,41 +41,41 @@
 // Probed takes the outcome of a probe.
 func (c *Core) Probed(now time.Time, p Probe) {
 	h := &c.target
-	h.probedAt, h.unanswered = now, p != ProbeAccepted
+	h.probedAt, h.lastProbeFailed = now, p != ProbeAccepted
 	if p == ProbeAccepted {
 		h.acceptedAt = now
 	}
-	defer c.learned(now)
+	defer c.setTargetKnown(now)
 	switch {
 	case p == ProbeAccepted && !h.up:
-		c.cameUp(now)
-		h.beat = fleet.Heartbeat{Slots: h.beat.Slots}
-		h.sawStart = h.sawDown
-		c.events.TargetReport("target listens", h.beat)
+		c.targetUp(now)
+		h.heartbeat = fleet.Heartbeat{Slots: h.heartbeat.Slots}
+		h.sawStart = h.probeRefused
+		c.events.TargetReport("target listens", h.heartbeat)
 		c.announceChange(now)
 	case p == ProbeAccepted:
-		h.owesSince = time.Time{}
+		h.awaitingSince = time.Time{}
 	case p == ProbeRefused:
-		c.refused(now)
+		c.targetRefused(now)
 	}
 }
 
-// refused notes that no target listens.
-func (c *Core) refused(now time.Time) {
+// targetRefused notes that no target listens.
+func (c *Core) targetRefused(now time.Time) {
 	h := &c.target
-	h.sawDown = true
+	h.probeRefused = true
 	if h.downSince.IsZero() {
 		h.downSince = now
 	}
 	if !h.up {
 		return
 	}
-	if h.left.IsZero() {
-		c.health.endedUnplanned(now)
+	if h.deregisteredAt.IsZero() {
+		c.health.recordCrash(now)
 	}
-	h.up, h.owesSince = false, time.Time{}
+	h.up, h.awaitingSince = false, time.Time{}
 	h.sawEnd = true
-	c.events.TargetReport("target does not listen", h.beat)
-	c.kill(now, "its target has ended")
+	c.events.TargetReport("target does not listen", h.heartbeat)
+	c.endFlows(now, "its target has ended")
 	c.announceChange(now)
 }
--- a/agent/packetfront/relay.go
+++ b/agent/packetfront/relay.go
@@ -11,46 +11,46 @@
 )
 
 const (
-	// relayWithin is how lately a balancer was heard that is asked to relay messages: two
+	// relayFreshness is how lately a balancer was heard that is asked to relay messages: two
 	// of the periods in which agents hear of those of other zones, and a round.
-	relayWithin = 2*zonecast.AgentFlushPeriod + zonecast.Period
-	// askBalancersAfter is how long a balancer of another zone may stay unheard before it
+	relayFreshness = 2*zonecast.AgentFlushPeriod + zonecast.Period
+	// probeBalancersAfter is how long a balancer of another zone may stay unheard before it
 	// is asked; it is forgotten after fleet.Forget, and changes would not reach it then.
-	askBalancersAfter = fleet.Forget / 2
-	// maxGreeted bounds the balancers whose greeting is remembered.
-	maxGreeted = 4096
+	probeBalancersAfter = fleet.Forget / 2
+	// maxIntroduced bounds the balancers whose greeting is remembered.
+	maxIntroduced = 4096
 )
 
-// relays is what an agent knows of the way of messages between zones.
-type relays struct {
-	// rounds plans how other zones are told.
-	rounds zonecast.Planner
-	// greeted are balancers that others named.
-	greeted zonecast.Greetings
+// crossZone is what an agent knows of the way of messages between zones.
+type crossZone struct {
+	// planner plans how other zones are told.
+	planner zonecast.Planner
+	// introduced are balancers that others named.
+	introduced zonecast.Greetings
 }
 
-func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) relays {
-	return relays{
-		greeted: zonecast.Greetings{Max: maxGreeted},
-		rounds:  zonecast.Planner{Self: opts.Self, Zone: opts.Zone, From: opts.RelayFrom, Within: relayWithin, Report: report},
+func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) crossZone {
+	return crossZone{
+		introduced: zonecast.Greetings{Max: maxIntroduced},
+		planner:    zonecast.Planner{Self: opts.Self, Zone: opts.Zone, From: opts.RelayFrom, Within: relayFreshness, Report: report},
 	}
 }
 
-// announceFar repeats the announcement to other zones.
-func (c *Core) announceFar(now time.Time) {
-	c.relays.rounds.Begin()
-	plan := c.relays.rounds.Plan(now, c.view)
-	c.farPeriod = plan.Period
-	c.nextFar = fleet.NextRound(now, c.farPeriod, c.opts.Self)
-	c.announceIn(now, plan.Direct)
+// announceCrossZone repeats the announcement to other zones.
+func (c *Core) announceCrossZone(now time.Time) {
+	c.relays.planner.Begin()
+	plan := c.relays.planner.Plan(now, c.view)
+	c.crossZonePeriod = plan.Period
+	c.nextCrossZone = fleet.NextRound(now, c.crossZonePeriod, c.opts.Self)
+	c.announceToAll(now, plan.Direct)
 	if c.introduced && len(plan.Relays) > 0 {
-		c.announceThrough(now, plan.Relays)
+		c.announceViaRelays(now, plan.Relays)
 	}
 }
 
-// announceThrough asks balancers to relay the announcement. All get the same, so that
+// announceViaRelays asks balancers to relay the announcement. All get the same, so that
 // one can tell that another has done it.
-func (c *Core) announceThrough(now time.Time, relays []flow.IPv4) {
+func (c *Core) announceViaRelays(now time.Time, relays []flow.IPv4) {
 	a := c.announcementTo(now, relays[0])
 	for _, ip := range relays {
 		a.WantReply = c.acks.wants(ip)
@@ -67,14 +67,14 @@
 		return err
 	}
 	for _, r := range messages {
-		if e := c.hearOfPeer(now, r); e != nil {
+		if e := c.handleRelayedBeacon(now, r); e != nil {
 			err = e
 		}
 	}
 	return err
 }
 
-func (c *Core) hearOfPeer(now time.Time, r fleet.RelayedMessage) error {
+func (c *Core) handleRelayedBeacon(now time.Time, r fleet.RelayedMessage) error {
 	if kind, err := r.Kind(); err != nil || kind != envelope.Beacon {
 		return fleet.ErrMalformed
 	}
@@ -89,29 +89,29 @@
 			c.compareEvacuations(now, r.From, m.Evacuations)
 		}
 	case fleet.Unknown:
-		c.greetNamed(now, r.From)
+		c.probeNamed(now, r.From)
 	}
 	return nil
 }
 
-// greetNamed greets a balancer that others name, which then announces itself.
-func (c *Core) greetNamed(now time.Time, ip flow.IPv4) {
-	if c.relays.greeted.May(now, ip, zonecast.NamedPause) {
-		c.askBalancer(now, ip)
+// probeNamed greets a balancer that others name, which then announces itself.
+func (c *Core) probeNamed(now time.Time, ip flow.IPv4) {
+	if c.relays.introduced.May(now, ip, zonecast.NamedPause) {
+		c.probeBalancer(now, ip)
 	}
 }
 
-// askOverdue asks balancers of other zones whose messages are not relayed any more.
-func (c *Core) askOverdue(now time.Time) {
-	for _, ip := range c.view.OverduePeers(now, c.opts.Zone, askBalancersAfter, false) {
+// probeOverdue asks balancers of other zones whose messages are not relayed any more.
+func (c *Core) probeOverdue(now time.Time) {
+	for _, ip := range c.view.OverduePeers(now, c.opts.Zone, probeBalancersAfter, false) {
 		p, _ := c.view.Peer(ip)
-		c.events.Asked(ip, now.Sub(p.HeardAt))
-		c.askBalancer(now, ip)
+		c.events.Probed(ip, now.Sub(p.HeardAt))
+		c.probeBalancer(now, ip)
 	}
 }
 
-// askBalancer announces the target to a balancer that has to answer.
-func (c *Core) askBalancer(now time.Time, ip flow.IPv4) {
+// probeBalancer announces the target to a balancer that has to answer.
+func (c *Core) probeBalancer(now time.Time, ip flow.IPv4) {
 	if !c.introduced {
 		return
 	}
--- a/agent/packetfront/relay_test.go
+++ b/agent/packetfront/relay_test.go
@@ -40,7 +40,7 @@
 	for count, relayed := range map[int]bool{zonecast.From - 1: false, zonecast.From: true, 40: true} {
 		f := newFixture()
 		f.meetsZone(count)
-		f.announceFar(f.now)
+		f.announceCrossZone(f.now)
 		if !relayed {
 			require.Len(t, f.port.OfKind(envelope.Announce), count)
 			require.Empty(t, f.port.OfKind(envelope.Relay))
@@ -155,7 +155,7 @@
 		told  int
 	}{"has it": {1, 0}, "has not": {0, 1}} {
 		f := newFixture()
-		f.Greet(f.now, []flow.IPv4{balancerIP})
+		f.AnnounceToUnknown(f.now, []flow.IPv4{balancerIP})
 		last := f.Core.seq
 		f.port.Nodes = nil
 		f.beacon(balancerIP, 0, last*c.heard)
--- a/agent/packetfront/reusedports_test.go
+++ b/agent/packetfront/reusedports_test.go
@@ -61,7 +61,7 @@
 		again(f)
 		f.deliver(envelope.Envelope{}, request)
 		f.pass(time.Second)
-		for i := range f.limit() {
+		for i := range f.targetLimit() {
 			f.answers(i)
 		}
 		require.Equal(t, 1, count(f.atTarget(), 100))
@@ -80,7 +80,7 @@
 		f.fill()
 		f.opens(100, load(2), 2)
 		end(f)
-		for i := range f.limit() {
+		for i := range f.targetLimit() {
 			f.answers(i)
 		}
 		f.pass(2600 * time.Millisecond)
--- a/agent/packetfront/upload_test.go
+++ b/agent/packetfront/upload_test.go
@@ -46,7 +46,7 @@
 		f.peak = max(f.peak, f.flows.running)
 		if f.now.UnixMilli()%50 == 0 {
 			f.Tick(f.now)
-			f.target.owesSince = time.Time{}
+			f.target.awaitingSince = time.Time{}
 		}
 	}
 	return taken, passedOn
@@ -62,7 +62,7 @@
 		}
 		if r := f.flows.get(keyOf(u.client)); r == nil {
 			continue
-		} else if r.held != nil {
+		} else if r.queued != nil {
 			// It waits at the agent; the target works on it from its release on.
 			u.nextAt = f.now.Add(work)
 			left = append(left, u)
@@ -102,12 +102,12 @@
 func TestATargetThatIsFullStillIs(t *testing.T) {
 	f := longThere()
 	f.uploads(500*time.Millisecond, 10*time.Millisecond, time.Millisecond, 200*time.Millisecond, 1)
-	require.Equal(t, 6, f.limit())
+	require.Equal(t, 6, f.targetLimit())
 	require.Equal(t, 6, f.peak)
-	require.Positive(t, f.held.Len(), "the rest waits at the agent, in its order")
+	require.Positive(t, f.queue.Len(), "the rest waits at the agent, in its order")
 	_, passedOn := f.uploads(20*time.Second, 10*time.Millisecond, time.Millisecond, 200*time.Millisecond, 1)
-	require.Equal(t, 6, f.limit())
+	require.Equal(t, 6, f.targetLimit())
 	require.Equal(t, 6, f.peak)
 	require.Greater(t, passedOn, 900, "of 1,500 flows the target can serve 300, and the clients of some have gone")
-	require.Zero(t, f.held.Len())
+	require.Zero(t, f.queue.Len())
 }
--- a/agent/packetfront/withheld_test.go
+++ b/agent/packetfront/withheld_test.go
@@ -22,10 +22,10 @@
 		f.fill()
 		f.opens(100, load(2), 0)
 		leave(f)
-		for i := range f.limit() {
+		for i := range f.targetLimit() {
 			f.answers(i)
 		}
-		f.pass(openingLoad)
+		f.pass(pendingOpenTTL)
 		require.Zero(t, f.Busy(), name)
 		for range 3 {
 			f.pass(1600 * time.Millisecond)
@@ -58,7 +58,7 @@
 	f.opens(100, e, 2)
 	for range 3 {
 		f.asks(100)
-		f.pass(promptTime + 100*time.Millisecond)
+		f.pass(firstRequestWindow + 100*time.Millisecond)
 	}
 	require.NotContains(t, f.atTarget(), 100)
 	require.Equal(t, 1, f.tally.withheld)
@@ -85,10 +85,10 @@
 	f.answers(100)
 	f.fill()
 	f.deliver(envelope.Envelope{}, data(100, 8, "again"))
-	require.Equal(t, 1, f.held.Len())
+	require.Equal(t, 1, f.queue.Len())
 	f.pass(2600 * time.Millisecond)
-	require.Zero(t, f.held.Len())
-	for i := range f.limit() {
+	require.Zero(t, f.queue.Len())
+	for i := range f.targetLimit() {
 		f.answers(i)
 	}
 	f.deliver(envelope.Envelope{}, data(100, 8, "again"))
@@ -131,9 +131,9 @@
 	f.fill()
 	f.asks(101)
 	f.pass(2400 * time.Millisecond)
-	require.Equal(t, 1, f.held.Len(), "it waits to its own deadline")
+	require.Equal(t, 1, f.queue.Len(), "it waits to its own deadline")
 	f.pass(200 * time.Millisecond)
-	require.Zero(t, f.held.Len())
+	require.Zero(t, f.queue.Len())
 }
 
 // TestARequestThatEndsItsDirectionIsServed: such a client waits for its answer.
--- a/e2e/packets/packets_test.go
+++ b/e2e/packets/packets_test.go
@@ -262,9 +262,9 @@
 // stop ends the agent, with the word and the removal of a planned stop or without.
 func (a *agentNode) stop(planned bool) {
 	if planned {
-		if a.Core.TakesLeave() && !a.w.Now.Before(a.w.StoreBack) {
+		if a.Core.RemovesEntry() && !a.w.Now.Before(a.w.StoreBack) {
 			delete(a.w.Registry, a.IP)
-			a.Core.Shown(a.w.Now, fleet.PresenceEnded)
+			a.Core.PresenceStored(a.w.Now, fleet.PresenceEnded)
 		}
 		a.Core.Stop(a.w.Now)
 	}
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -244,7 +244,7 @@
 			w.Registry[a.IP] = fleet.Entry{IP: a.IP, Epoch: epoch}
 			w.Calls[CallRegister]++
 		}
-		a.Core.Shown(w.Now, want)
+		a.Core.PresenceStored(w.Now, want)
 		return true
 	})
 	w.Every(fleet.Forget, func() bool {
--- a/model/sim/quiet.go
+++ b/model/sim/quiet.go
@@ -43,9 +43,9 @@
 // Delivered implements agentfront.Events, as do the methods below.
 func (QuietAgent) Delivered()                                         {}
 func (QuietAgent) Request(flow.Key, []byte, int, int)                 {}
-func (QuietAgent) Waiting(flow.Key, []byte, int, time.Duration)       {}
+func (QuietAgent) Queued(flow.Key, []byte, int, time.Duration)        {}
 func (QuietAgent) Postponed(flow.Key, time.Duration)                  {}
-func (QuietAgent) GaveUp(flow.Key, time.Duration)                     {}
+func (QuietAgent) Expired(flow.Key, time.Duration)                    {}
 func (QuietAgent) Withheld(flow.Key, []byte, agentfront.Abandoned)    {}
 func (QuietAgent) Unwanted(flow.Key, time.Duration)                   {}
 func (QuietAgent) PassedOn(flow.Key, string, int)                     {}
@@ -55,11 +55,11 @@
 func (QuietAgent) TargetReport(string, fleet.Heartbeat)               {}
 func (QuietAgent) Failed()                                            {}
 func (QuietAgent) Ejected(bool, int, int)                             {}
-func (QuietAgent) Unproven(int, time.Duration)                        {}
+func (QuietAgent) OnProbation(int, time.Duration)                     {}
 func (QuietAgent) Overloaded(bool, backlog.Load, int, time.Duration)  {}
 func (QuietAgent) PeerChanged(flow.IPv4, string)                      {}
 func (QuietAgent) ZoneRelayed(flow.Tag, int, bool)                    {}
-func (QuietAgent) Asked(flow.IPv4, time.Duration)                     {}
+func (QuietAgent) Probed(flow.IPv4, time.Duration)                    {}
 func (QuietAgent) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
 
 // agentEvents tells the world what it wants to hear of an agent.
