--- a/balancer/packetfront/cold.go
+++ b/balancer/packetfront/cold.go
@@ -6,10 +6,10 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// coldFull tells whether a cold target bears no new flow of this balancer at the moment:
+// coldLimitReached tells whether a cold target bears no new flow of this balancer at the moment:
 // its agent would pass it on. What the target bears is what it announced and what it
 // bears anew since; each balancer sends its share of that.
-func (c *Core) coldFull(now time.Time, h *fleet.Target) bool {
+func (c *Core) coldLimitReached(now time.Time, h *fleet.Target) bool {
 	if !h.Cold {
 		return false
 	}
--- a/balancer/packetfront/core.go
+++ b/balancer/packetfront/core.go
@@ -48,18 +48,18 @@
 	tickPeriod = 100 * time.Millisecond
 	// joinPeriod is the pause between tries to join by the seeds.
 	joinPeriod = 200 * time.Millisecond
-	// askedAround is how many balancers beside the seeds a fresh one asks each
+	// bootstrapQueries is how many balancers beside the seeds a fresh one asks each
 	// joinPeriod for the nodes that they know.
-	askedAround = 2
+	bootstrapQueries = 2
 	// rejoinPeriod is the same for seeds still unknown once others are known.
 	rejoinPeriod = 3 * time.Second
 	// refuseWithin is how long after the first copy of a SYN a flow may be
 	// reset: the client sends the next copy after 200 ms, and another target may
 	// take that one.
 	refuseWithin = 150 * time.Millisecond
-	// comparePeriod is the least pause between requests for another balancer's
+	// nodeRequestPause is the least pause between requests for another balancer's
 	// nodes after views were found to differ.
-	comparePeriod = 500 * time.Millisecond
+	nodeRequestPause = 500 * time.Millisecond
 	// expirePeriod is how often what is too old is forgotten.
 	expirePeriod = time.Second
 	// minIdle is the least time for which an idle flow is remembered, whatever
@@ -84,29 +84,29 @@
 	proof     *search.Proof
 	finder    *search.Finder
 	startedAt time.Time
-	// fresh is what the proof said at the last tick.
-	fresh bool
+	// wasFresh is what the proof said at the last tick.
+	wasFresh bool
 
 	seq     uint32
 	leaving bool
 	// rotation tells whether the balancer takes part.
 	rotation rotation
-	// nextNear and nextFar are when nodes of the own and of other zones are told
+	// nextSameZone and nextCrossZone are when nodes of the own and of other zones are told
 	// again, farPeriod is the pause for the latter.
-	nextNear, nextFar time.Time
-	farPeriod         time.Duration
-	nextExpire        time.Time
-	nextJoin          time.Time
-	nextCompare       time.Time
-	// balancerRegistry is the last reading of the balancers' registry.
-	balancerRegistry fleet.RegistryReading
-	nextRoster       time.Time
-	// departed are dead nodes that are still in the registry, nextDepart is when they
+	nextSameZone, nextCrossZone time.Time
+	crossZonePeriod             time.Duration
+	nextExpire                  time.Time
+	nextJoin                    time.Time
+	nextNodeRequest             time.Time
+	// registeredBalancers is the last reading of the balancers' registry.
+	registeredBalancers fleet.RegistryReading
+	nextAudit           time.Time
+	// deadNodes are dead nodes that are still in the registry, nextDepart is when they
 	// may be taken out.
-	departed     []Departed
-	nextDepart   time.Time
-	relays       relays
-	surveys      surveys
+	deadNodes    []DeadNode
+	nextRemoval  time.Time
+	relays       crossZone
+	snapshots    snapshotSources
 	loads        serviceLoads
 	beaconRounds int
 	// lastDigest is the view's digest at a moment, zero time when it has changed.
@@ -116,7 +116,7 @@
 	// Scratch space, so that a packet costs no allocation.
 	env     envelope.Envelope
 	buf     []byte
-	plan    plan
+	plan    candidatePlan
 	offers  []choose.Offer
 	offerOf []*fleet.Target
 	// expected is the delay that the first of the last candidates was chosen by.
@@ -131,12 +131,12 @@
 	c := &Core{
 		opts: opts, port: port, codec: codec, events: events, rnd: rnd,
 		view: fleet.NewView(), table: search.NewTable(search.MaxFlows), startedAt: now,
-		buf: make([]byte, 0, 2048), plan: newPlan(), relays: newRelays(opts, events.ZoneRelayed),
-		loads: serviceLoads{}, surveys: surveys{shunned: map[flow.IPv4]time.Time{}},
+		buf: make([]byte, 0, 2048), plan: newCandidatePlan(), relays: newRelays(opts, events.ZoneRelayed),
+		loads: serviceLoads{}, snapshots: snapshotSources{avoidUntil: map[flow.IPv4]time.Time{}},
 	}
 	c.operator = operator.New(now, operator.Options{Self: opts.Self, Zone: opts.Zone, FeedTime: opts.FeedTime}, c.view, listener{c}, rnd)
 	c.proof = search.NewProof(now, opts.Self, opts.Seeds, c.view)
-	found := search.Options{Self: opts.Self, Zone: opts.Zone, Epoch: opts.Epoch, First: searchFirst}
+	found := search.Options{Self: opts.Self, Zone: opts.Zone, Epoch: opts.Epoch, First: searchFirstTargets}
 	c.finder = search.New(found, c.operator.Config, c.view, c.table, c.proof, codec, finderPort{c}, events)
 	return c
 }
@@ -162,7 +162,7 @@
 // Ready tells whether clients' packets may come: a configuration is in force and
 // the targets had the time to announce themselves.
 func (c *Core) Ready(now time.Time) bool {
-	if c.operator.Config() == nil || c.leaving || c.rotation.standsBy {
+	if c.operator.Config() == nil || c.leaving || c.rotation.standby {
 		return false
 	}
 	return c.view.TargetCount() > 0 || now.Sub(c.startedAt) > search.SettleTime
@@ -195,19 +195,19 @@
 		return
 	}
 	if h.IsOpening() {
-		c.open(now, key, h, packet)
+		c.openFlow(now, key, h, packet)
 		return
 	}
 	if target, ok := c.finder.Known(now, key); ok {
-		c.direct(key, target, packet)
+		c.forward(key, target, packet)
 		c.finder.Release(key, target)
 		return
 	}
 	c.finder.Seek(now, key, h, packet)
 }
 
-// direct sends a packet to the target that is remembered for its flow.
-func (c *Core) direct(key flow.Key, target flow.IPv4, packet []byte) {
+// forward sends a packet to the target that is remembered for its flow.
+func (c *Core) forward(key flow.Key, target flow.IPv4, packet []byte) {
 	c.events.Forwarded()
 	c.env = envelope.Envelope{Kind: envelope.Deliver, Balancer: c.opts.Self}
 	c.send(target, packet)
@@ -221,9 +221,9 @@
 	c.port.ToNode(target, c.buf, packet)
 }
 
-// open sends a client's SYN to a target. A copy goes where the first one went; the
+// openFlow sends a client's SYN to a target. A copy goes where the first one went; the
 // candidates behind it are for the case that the target refuses.
-func (c *Core) open(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
+func (c *Core) openFlow(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	route, ok := c.operator.Config().Routes[key.Front()]
 	if !ok {
 		c.finder.Forget(key)
@@ -241,7 +241,7 @@
 		return
 	}
 	if service.Overloaded {
-		c.preferRoom(now, candidates)
+		c.preferFreeSlots(now, candidates)
 	}
 	c.finder.Forget(key)
 	remembered, known := c.table.Get(now, key)
@@ -251,7 +251,7 @@
 	}
 	candidates = candidates[:min(len(candidates), service.openTries())]
 	if service.Overloaded {
-		candidates = c.withoutRefusing(now, candidates, route.Objective)
+		candidates = c.dropRefusing(now, candidates, route.Objective)
 	}
 	chosen := candidates[0]
 	if h.Ack == 0 {
--- a/balancer/packetfront/core_test.go
+++ b/balancer/packetfront/core_test.go
@@ -192,7 +192,7 @@
 	f.client(packet(false, 9))
 	sent := f.port.Delivered()[1]
 	asked := []flow.IPv4{sent.To}
-	for _, c := range sent.Env.Candidates[:2*searchFirst-1] {
+	for _, c := range sent.Env.Candidates[:2*searchFirstTargets-1] {
 		asked = append(asked, c.Target)
 	}
 	for ip := range among {
--- a/balancer/packetfront/evacuations.go
+++ b/balancer/packetfront/evacuations.go
@@ -8,8 +8,8 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// hearEvacuations takes over what another node acts on.
-func (c *Core) hearEvacuations(now time.Time, next flow.Evacuations, from flow.IPv4) {
+// mergeEvacuations takes over what another node acts on.
+func (c *Core) mergeEvacuations(now time.Time, next flow.Evacuations, from flow.IPv4) {
 	c.operator.SetEvacuations(now, next, operator.Origin(from))
 }
 
@@ -17,14 +17,14 @@
 func (c *Core) handleEvacuated(now time.Time, from flow.IPv4, datagram []byte) error {
 	next, err := fleet.DecodeEvacuations(datagram)
 	if err == nil {
-		c.hearEvacuations(now, next, from)
+		c.mergeEvacuations(now, next, from)
 	}
 	return err
 }
 
-// takesNew tells whether a target may get new flows: it is ready, and its zone is not
+// acceptsFlows tells whether a target may get new flows: it is ready, and its zone is not
 // emptied.
-func (c *Core) takesNew(h *fleet.Target) bool {
+func (c *Core) acceptsFlows(h *fleet.Target) bool {
 	return h.State == fleet.Ready && !c.operator.Emptied(h.Zone)
 }
 
@@ -34,7 +34,7 @@
 	reason := ""
 	for _, h := range c.view.Service(service) {
 		switch {
-		case c.takesNew(h):
+		case c.acceptsFlows(h):
 			return "targets of the service cold"
 		case h.State == fleet.Ready:
 			reason = "zones of the service emptied"
--- a/balancer/packetfront/events.go
+++ b/balancer/packetfront/events.go
@@ -61,20 +61,20 @@
 	OwnerFound(key flow.Key, target flow.IPv4, hops int)
 	TargetChanged(h *fleet.Target, change fleet.Change)
 	TargetForgotten(ip flow.IPv4)
-	// ZoneSilence tells that a zone has fallen silent, or that it was heard again.
-	ZoneSilence(s fleet.Silence)
+	// ZoneSilenceChanged tells that a zone has fallen silent, or that it was heard again.
+	ZoneSilenceChanged(s fleet.Silence)
 	PeerChanged(ip flow.IPv4, what string)
 	// ZoneRelayed tells that another zone is told through relays from now on, or
 	// directly again, and how many of its balancers were heard lately.
 	ZoneRelayed(zone flow.Tag, balancers int, relayed bool)
 	// Relayed is a batch of so many messages of other zones' nodes for the own zone.
 	Relayed(messages int)
-	// Asked is a node of another zone whose messages are not relayed any more.
-	Asked(ip flow.IPv4, silent time.Duration)
-	// StandsBy tells that the balancer leaves the rotation because its link is full, or
+	// Probed is a node of another zone whose messages are not relayed any more.
+	Probed(ip flow.IPv4, silent time.Duration)
+	// RotationChanged tells that the balancer leaves the rotation because its link is full, or
 	// comes back: what it and the zone's balancers send, Mbit/s, and how many others
 	// are in rotation.
-	StandsBy(out bool, own, zone float64, taking int)
+	RotationChanged(out bool, own, zone float64, taking int)
 	// EvacuationsChanged tells that other zones than formerly are emptied; from is who
 	// told it.
 	EvacuationsChanged(now, former flow.Evacuations, from string)
--- a/balancer/packetfront/finder.go
+++ b/balancer/packetfront/finder.go
@@ -17,7 +17,7 @@
 
 // Forward implements search.Port.
 func (c finderPort) Forward(key flow.Key, target flow.IPv4, packet []byte) {
-	c.direct(key, target, packet)
+	c.forward(key, target, packet)
 }
 
 // Route implements search.Port.
@@ -40,7 +40,7 @@
 	}
 	key := h.FromClient()
 	if h.IsOpening() {
-		c.refuseAll(now, key, &h)
+		c.refuseReturned(now, key, &h)
 		return nil
 	}
 	c.finder.Returned(now, from, key, c.env, &h, packet)
--- a/balancer/packetfront/finder_test.go
+++ b/balancer/packetfront/finder_test.go
@@ -61,8 +61,8 @@
 	}{
 		"all said no":                {want: ""},
 		"one was unsure":             {flags: envelope.Unsure, want: search.DoubtTarget},
-		"an agent is missing":        {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: search.DoubtMissing},
-		"an agent is not registered": {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: search.DoubtRegistry},
+		"an agent is missing":        {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: search.DoubtMissing},
+		"an agent is not registered": {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: search.DoubtRegistry},
 		"the registry was not read":  {prepare: func(f *fixture) { f.started(f.now.Add(-time.Minute)) }, want: search.DoubtSurvey},
 		"another balancer names an agent": {
 			prepare: func(f *fixture) {
@@ -92,7 +92,7 @@
 				f.SetSeeds([]flow.IPv4{self, peer})
 				f.hears(peer)
 				f.now = f.now.Add(search.FreshTime)
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+				f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
 			},
 			want: "",
 		},
--- a/balancer/packetfront/fixture_test.go
+++ b/balancer/packetfront/fixture_test.go
@@ -46,11 +46,11 @@
 func (quiet) TargetChanged(*fleet.Target, fleet.Change)          {}
 func (quiet) TargetForgotten(flow.IPv4)                          {}
 func (quiet) PeerChanged(flow.IPv4, string)                      {}
-func (quiet) ZoneSilence(fleet.Silence)                          {}
+func (quiet) ZoneSilenceChanged(fleet.Silence)                   {}
 func (quiet) ZoneRelayed(flow.Tag, int, bool)                    {}
 func (quiet) Relayed(int)                                        {}
-func (quiet) Asked(flow.IPv4, time.Duration)                     {}
-func (quiet) StandsBy(bool, float64, float64, int)               {}
+func (quiet) Probed(flow.IPv4, time.Duration)                    {}
+func (quiet) RotationChanged(bool, float64, float64, int)        {}
 func (quiet) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
 
 // fixture is a settled balancer with two targets of a service.
@@ -74,7 +74,7 @@
 	f.now = f.now.Add(search.SettleTime + time.Second)
 	f.announce(targetA, fleet.Ready)
 	f.announce(targetB, fleet.Ready)
-	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+	f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
 	f.port.Nodes = nil
 	return f
 }
--- a/balancer/packetfront/front.go
+++ b/balancer/packetfront/front.go
@@ -43,8 +43,8 @@
 	reg    *prometheus.Registry
 	// sent counts what goes to other nodes.
 	sent *telemetry.SentTraffic
-	// foreign counts invalid entries of the registry.
-	foreign prometheus.Counter
+	// invalidEntries counts invalid entries of the registry.
+	invalidEntries prometheus.Counter
 
 	data, internal *relay.Datagrams
 	port           uint16
@@ -52,13 +52,13 @@
 	self           flow.IPv4
 
 	// mu guards core; nothing else is locked under it.
-	mu    sync.Mutex
-	core  *Core
-	alone fleet.Alone
-	// surveyReader reads the agents' registry for this balancer and others of its zone,
+	mu        sync.Mutex
+	core      *Core
+	isolation fleet.Alone
+	// snapshotReader reads the agents' registry for this balancer and others of its zone,
 	// surveyClient asks others for their readings.
-	surveyReader *surveycopy.Reader
-	surveyClient *surveycopy.Client
+	snapshotReader *surveycopy.Reader
+	snapshotClient *surveycopy.Client
 }
 
 // NewFront opens the sockets of a front.
@@ -67,7 +67,7 @@
 	stored := platform.NewStore(cfg.Store, operator.StoreTimeout)
 	counters := telemetry.Counters{Registry: f.reg, Subsystem: subsystem}
 	f.sent = telemetry.NewSentTraffic(counters, envelope.KindNames)
-	f.foreign = counters.Counter(
+	f.invalidEntries = counters.Counter(
 		"foreign_registry_entries_total", "Invalid entries read in the registry.")
 	f.self, f.port = flow.ParseAddrPort(cfg.Internal)
 	dataAddr := netip.MustParseAddrPort(cfg.Data)
@@ -87,7 +87,7 @@
 	}
 	calls := telemetry.NewStoreCalls(counters)
 	f.registry = calls.For(telemetry.PurposeRegistry, stored)
-	f.surveyReader, f.surveyClient = surveycopy.NewReader(f.readAgents), surveycopy.NewClient()
+	f.snapshotReader, f.snapshotClient = surveycopy.NewReader(f.readAgents), surveycopy.NewClient()
 	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleBalancer, f.self, opts.Epoch, log, func(fleet.Presence) {})
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	f.core = New(time.Now(), opts, f, platform.Codec{}, newObserver(log, f.reg), rnd)
@@ -146,7 +146,7 @@
 func (f *Front) internalHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(configcopy.Path, configcopy.Handler(f.source.Copy, f.log))
-	mux.Handle(surveycopy.Path, surveycopy.Handler(f.surveyReader, f.log))
+	mux.Handle(surveycopy.Path, surveycopy.Handler(f.snapshotReader, f.log))
 	return mux
 }
 
--- a/balancer/packetfront/keeper.go
+++ b/balancer/packetfront/keeper.go
@@ -7,59 +7,59 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// Departed is a dead node that is to be taken out of the registry.
-type Departed struct {
+// DeadNode is a dead node that is to be taken out of the registry.
+type DeadNode struct {
 	Role fleet.Role
 	fleet.Entry
 }
 
-// rosterPeriod is how often the keeper of the registry reads all of it, for
+// auditPeriod is how often the keeper of the registry reads all of it, for
 // entries of nodes that no living balancer has ever heard.
-const rosterPeriod = 10 * time.Minute
+const auditPeriod = 10 * time.Minute
 
-// WantsRoster tells whether the whole registry is to be read. A balancer that has
+// AuditDue tells whether the whole registry is to be read. A balancer that has
 // just started does not know yet who lives.
-func (c *Core) WantsRoster(now time.Time) bool {
-	if now.Sub(c.startedAt) < fleet.Forget || now.Before(c.nextRoster) || !c.view.Keeper(now, c.opts.Self) {
+func (c *Core) AuditDue(now time.Time) bool {
+	if now.Sub(c.startedAt) < fleet.Forget || now.Before(c.nextAudit) || !c.view.Keeper(now, c.opts.Self) {
 		return false
 	}
-	c.nextRoster = now.Add(rosterPeriod)
+	c.nextAudit = now.Add(auditPeriod)
 	return true
 }
 
-// Roster takes a reading of the whole registry; that of the balancers began at the given
+// Audited takes a reading of the whole registry; that of the balancers began at the given
 // time.
-func (c *Core) Roster(now, began time.Time, balancers []fleet.Entry, agents fleet.Survey) {
+func (c *Core) Audited(now, began time.Time, balancers []fleet.Entry, agents fleet.Survey) {
 	balancers = slices.DeleteFunc(balancers, func(e fleet.Entry) bool { return e.IP == c.opts.Self })
-	c.balancerRegistry.Take(began, balancers, c.view.KnowsBalancer)
-	c.Surveyed(now, agents)
+	c.registeredBalancers.Take(began, balancers, c.view.KnowsBalancer)
+	c.TakeSnapshot(now, agents)
 }
 
-// departPause is the pause after a dead node could not be taken out of the registry:
+// removalRetryPause is the pause after a dead node could not be taken out of the registry:
 // refused calls are priced, too.
-const departPause = time.Second
+const removalRetryPause = time.Second
 
-// Departed returns the dead nodes that this balancer has to take out of the
+// DeadNodes returns the dead nodes that this balancer has to take out of the
 // registry, each once.
-func (c *Core) Departed(now time.Time) []Departed {
-	if now.Before(c.nextDepart) {
+func (c *Core) DeadNodes(now time.Time) []DeadNode {
+	if now.Before(c.nextRemoval) {
 		return nil
 	}
-	out := c.departed
-	c.departed = nil
+	out := c.deadNodes
+	c.deadNodes = nil
 	return out
 }
 
-// NotDeparted takes back those that could not be taken out, for later.
-func (c *Core) NotDeparted(now time.Time, list []Departed) {
-	c.departed = append(c.departed, list...)
-	c.nextDepart = now.Add(departPause)
+// RemovalFailed takes back those that could not be taken out, for later.
+func (c *Core) RemovalFailed(now time.Time, list []DeadNode) {
+	c.deadNodes = append(c.deadNodes, list...)
+	c.nextRemoval = now.Add(removalRetryPause)
 }
 
-// forget drops what was not heard for long, and lists it as departed where this
+// expireNodes drops what was not heard for long, and lists it as departed where this
 // balancer keeps the registry. One that hears fewer nodes than it would strike
 // takes itself for cut off and strikes none.
-func (c *Core) forget(now time.Time) {
+func (c *Core) expireNodes(now time.Time) {
 	targets, balancers := c.view.Expire(now)
 	c.digestAt = time.Time{}
 	for _, e := range targets {
@@ -70,14 +70,14 @@
 		c.events.PeerChanged(e.IP, "forgotten")
 	}
 	targets = append(targets, c.proof.Strike(now)...)
-	balancers = append(balancers, c.balancerRegistry.Strike(now, c.view.KnowsBalancer)...)
+	balancers = append(balancers, c.registeredBalancers.Strike(now, c.view.KnowsBalancer)...)
 	if !c.view.Keeper(now, c.opts.Self) || len(targets)+len(balancers) > c.view.Heard(now) {
 		return
 	}
 	for _, e := range targets {
-		c.departed = append(c.departed, Departed{fleet.RoleAgent, e})
+		c.deadNodes = append(c.deadNodes, DeadNode{fleet.RoleAgent, e})
 	}
 	for _, e := range balancers {
-		c.departed = append(c.departed, Departed{fleet.RoleBalancer, e})
+		c.deadNodes = append(c.deadNodes, DeadNode{fleet.RoleBalancer, e})
 	}
 }
--- a/balancer/packetfront/keeper_test.go
+++ b/balancer/packetfront/keeper_test.go
@@ -37,35 +37,35 @@
 // TestTheKeeperStrikesDeadNodes: the first living balancer by address does, and
 // only nodes that were unheard for as long as nodes are remembered.
 func TestTheKeeperStrikesDeadNodes(t *testing.T) {
-	agent := func(ip flow.IPv4) Departed { return Departed{fleet.RoleAgent, fleet.Entry{IP: ip, Epoch: uint64(ip)}} }
-	surveyed := func(ip flow.IPv4) Departed { return Departed{fleet.RoleAgent, registered(ip)[0]} }
+	agent := func(ip flow.IPv4) DeadNode { return DeadNode{fleet.RoleAgent, fleet.Entry{IP: ip, Epoch: uint64(ip)}} }
+	surveyed := func(ip flow.IPv4) DeadNode { return DeadNode{fleet.RoleAgent, registered(ip)[0]} }
 	for name, c := range map[string]struct {
 		prepare   func(f *fixture)
 		after     time.Duration
 		agents    []flow.IPv4
 		balancers []flow.IPv4
-		want      []Departed
+		want      []DeadNode
 	}{
 		"all live":               {agents: []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higher}},
-		"an agent died":          {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higher}, want: []Departed{agent(targetB)}},
+		"an agent died":          {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higher}, want: []DeadNode{agent(targetB)}},
 		"an agent died just now": {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higher}, after: fleet.Forget / 2},
 		"another one keeps it":   {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{lower, higher}},
 		"the other keeper died": {
 			prepare: func(f *fixture) { f.beacon(lower) },
 			agents:  []flow.IPv4{targetA}, balancers: []flow.IPv4{higher},
-			want: []Departed{agent(targetB), {fleet.RoleBalancer, fleet.Entry{IP: lower, Epoch: uint64(lower)}}},
+			want: []DeadNode{agent(targetB), {fleet.RoleBalancer, fleet.Entry{IP: lower, Epoch: uint64(lower)}}},
 		},
 		"a registered agent was never heard": {
-			prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) },
+			prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) },
 			agents:  []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higher},
-			want: []Departed{surveyed(other)},
+			want: []DeadNode{surveyed(other)},
 		},
 		"a registered balancer was never heard": {
 			prepare: func(f *fixture) {
-				f.Roster(f.now, f.now, registered(self, higher, lower), fleet.SurveyAt(f.now, registered(targetA, targetB)))
+				f.Audited(f.now, f.now, registered(self, higher, lower), fleet.SurveyAt(f.now, registered(targetA, targetB)))
 			},
 			agents: []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higher},
-			want: []Departed{{fleet.RoleBalancer, registered(lower)[0]}},
+			want: []DeadNode{{fleet.RoleBalancer, registered(lower)[0]}},
 		},
 		"this balancer is cut off": {},
 	} {
@@ -77,20 +77,20 @@
 			c.after = fleet.Forget + 3*time.Second
 		}
 		f.live(c.after, c.agents, c.balancers)
-		require.ElementsMatch(t, c.want, f.Departed(f.now), name)
-		require.Empty(t, f.Departed(f.now), "%s: each once", name)
+		require.ElementsMatch(t, c.want, f.DeadNodes(f.now), name)
+		require.Empty(t, f.DeadNodes(f.now), "%s: each once", name)
 	}
 }
 
 // TestTheRosterIsReadRarely, by the keeper, once it knows who lives.
 func TestTheRosterIsReadRarely(t *testing.T) {
 	f := newFixture()
-	require.False(t, f.WantsRoster(f.startedAt.Add(fleet.Forget-1)))
+	require.False(t, f.AuditDue(f.startedAt.Add(fleet.Forget-1)))
 	now := f.startedAt.Add(fleet.Forget)
-	require.True(t, f.WantsRoster(now))
-	require.False(t, f.WantsRoster(now.Add(rosterPeriod-1)))
-	require.True(t, f.WantsRoster(now.Add(rosterPeriod)))
-	f.now = now.Add(2 * rosterPeriod)
+	require.True(t, f.AuditDue(now))
+	require.False(t, f.AuditDue(now.Add(auditPeriod-1)))
+	require.True(t, f.AuditDue(now.Add(auditPeriod)))
+	f.now = now.Add(2 * auditPeriod)
 	f.beacon(lower)
-	require.False(t, f.WantsRoster(f.now), "another one keeps it")
+	require.False(t, f.AuditDue(f.now), "another one keeps it")
 }
--- a/balancer/packetfront/nodes.go
+++ b/balancer/packetfront/nodes.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	change := c.takeAnnouncement(now, from, a)
+	change := c.recordAnnouncement(now, from, a)
 	if change == fleet.Joined || (change != fleet.Stale && (a.WantPeers || a.WantReply)) {
 		c.sendBeacon(now, from, fleet.Beacon{Reply: true})
 	}
@@ -59,17 +59,17 @@
 	return nil
 }
 
-// takeAnnouncement notes what a target's agent says.
-func (c *Core) takeAnnouncement(now time.Time, from flow.IPv4, a fleet.Announcement) fleet.Change {
+// recordAnnouncement notes what a target's agent says.
+func (c *Core) recordAnnouncement(now time.Time, from flow.IPv4, a fleet.Announcement) fleet.Change {
 	change := c.view.Announce(now, from, a)
 	target, _ := c.view.Target(from)
-	c.heardLoad(target.Service)
+	c.invalidateLoad(target.Service)
 	if change == fleet.Joined || change == fleet.Altered {
 		c.digestAt = time.Time{}
 		c.events.TargetChanged(target, change)
 	}
 	if change != fleet.Stale && a.Listing == fleet.ListingLeft && c.view.Keeper(now, c.opts.Self) {
-		c.departed = append(c.departed, Departed{fleet.RoleAgent, c.view.EntryOf(target)})
+		c.deadNodes = append(c.deadNodes, DeadNode{fleet.RoleAgent, c.view.EntryOf(target)})
 	}
 	return change
 }
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	change := c.takeBeacon(now, from, m)
+	change := c.recordBeacon(now, from, m)
 	if change == fleet.Stale {
 		return nil
 	}
@@ -89,19 +89,19 @@
 	if m.WantPeers && m.Digest != c.digest(now) {
 		c.sendPeers(now, from)
 	}
-	if !c.relays.large || m.Zone == c.opts.Zone {
-		c.compare(now, from, m.Digest)
+	if !c.relays.usesRelays || m.Zone == c.opts.Zone {
+		c.compareDigest(now, from, m.Digest)
 	}
 	return nil
 }
 
-// takeBeacon notes what a balancer says.
-func (c *Core) takeBeacon(now time.Time, from flow.IPv4, m fleet.Beacon) fleet.Change {
+// recordBeacon notes what a balancer says.
+func (c *Core) recordBeacon(now time.Time, from flow.IPv4, m fleet.Beacon) fleet.Change {
 	change := c.view.Beacon(now, from, m)
 	if change == fleet.Stale {
 		return change
 	}
-	c.hearEvacuations(now, m.Evacuations, from)
+	c.mergeEvacuations(now, m.Evacuations, from)
 	if change == fleet.Joined {
 		c.digestAt = time.Time{}
 		c.proof.Joined(now, from)
@@ -110,14 +110,14 @@
 	return change
 }
 
-// compare asks a balancer for the nodes that it knows when its view differs from
+// compareDigest asks a balancer for the nodes that it knows when its view differs from
 // this one's: any message about a node may have been lost. A large zone compares in the
 // zone: what it lacks of others is named by what is relayed.
-func (c *Core) compare(now time.Time, peer flow.IPv4, digest uint32) {
-	if digest == c.view.Digest(now, c.opts.Self) || now.Before(c.nextCompare) {
+func (c *Core) compareDigest(now time.Time, peer flow.IPv4, digest uint32) {
+	if digest == c.view.Digest(now, c.opts.Self) || now.Before(c.nextNodeRequest) {
 		return
 	}
-	c.nextCompare = now.Add(comparePeriod)
+	c.nextNodeRequest = now.Add(nodeRequestPause)
 	c.sendBeacon(now, peer, fleet.Beacon{Reply: true, WantPeers: true})
 }
 
@@ -129,27 +129,27 @@
 		return err
 	}
 	for _, ip := range names.Balancers {
-		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.greeted.May(now, ip, zonecast.GreetPause) {
+		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{})
 		}
 	}
 	for _, ip := range names.Holders {
 		c.proof.Named(now, ip)
 	}
-	c.Greet(now, nil, names.Holders)
-	c.Greet(now, nil, names.Idle)
+	c.AnnounceToUnknown(now, nil, names.Holders)
+	c.AnnounceToUnknown(now, nil, names.Idle)
 	return nil
 }
 
-// Greet makes the balancer known to nodes that the seeds or the store name.
-func (c *Core) Greet(now time.Time, balancers, agents []flow.IPv4) {
+// AnnounceToUnknown makes the balancer known to nodes that the seeds or the store name.
+func (c *Core) AnnounceToUnknown(now time.Time, balancers, agents []flow.IPv4) {
 	for _, ip := range balancers {
-		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.greeted.May(now, ip, zonecast.GreetPause) {
+		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 		}
 	}
 	for _, ip := range agents {
-		if !c.view.KnowsTarget(ip) && c.relays.greeted.May(now, ip, zonecast.GreetPause) {
+		if !c.view.KnowsTarget(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 		}
 	}
@@ -169,9 +169,9 @@
 	return nil
 }
 
-// refuseAll answers a SYN that every candidate refused, if no later copy can
+// refuseReturned answers a SYN that every candidate refused, if no later copy can
 // have been taken meanwhile.
-func (c *Core) refuseAll(now time.Time, key flow.Key, h *flow.Header) {
+func (c *Core) refuseReturned(now time.Time, key flow.Key, h *flow.Header) {
 	target, openedAt := c.table.Opening(key)
 	if now.Sub(openedAt) > refuseWithin {
 		c.events.Dropped(DropCopyRefused)
@@ -184,14 +184,14 @@
 // Tick does what is due.
 func (c *Core) Tick(now time.Time) {
 	for _, silence := range c.view.JudgeZones(now) {
-		c.events.ZoneSilence(silence)
+		c.events.ZoneSilenceChanged(silence)
 	}
 	c.join(now)
-	c.noteFresh(now)
-	c.rotate(now)
-	c.judgeAll(now)
+	c.updateFresh(now)
+	c.updateRotation(now)
+	c.updateOverloads(now)
 	c.finder.Retry(now)
-	c.repeatBeacons(now)
+	c.sendPeriodicBeacons(now)
 	c.sendRelayed(now)
 	if !now.Before(c.nextExpire) {
 		c.nextExpire = now.Add(expirePeriod)
@@ -199,14 +199,14 @@
 	}
 }
 
-// noteFresh lets the flows that all targets have denied be looked at as soon as the balancer
+// updateFresh lets the flows that all targets have denied be looked at as soon as the balancer
 // is not fresh any more: after a common start all of its callers wait for that.
-func (c *Core) noteFresh(now time.Time) {
+func (c *Core) updateFresh(now time.Time) {
 	fresh := c.proof.Fresh(now)
-	if c.fresh && !fresh {
+	if c.wasFresh && !fresh {
 		c.finder.Wake(now)
 	}
-	c.fresh = fresh
+	c.wasFresh = fresh
 }
 
 // join greets the seeds that are not known, often at first: two balancers that
@@ -214,7 +214,7 @@
 // seeds is fresh until it has known the last of them for a while.
 func (c *Core) join(now time.Time) {
 	if !c.proof.Settled(now) {
-		c.Greet(now, c.opts.Seeds, nil)
+		c.AnnounceToUnknown(now, c.opts.Seeds, nil)
 	}
 	if now.Before(c.nextJoin) {
 		return
@@ -223,37 +223,37 @@
 	if now.Sub(c.startedAt) > search.SettleTime && len(c.view.Balancers()) > 0 {
 		c.nextJoin = now.Add(rejoinPeriod)
 	}
-	c.Greet(now, c.opts.Seeds, nil)
+	c.AnnounceToUnknown(now, c.opts.Seeds, nil)
 	if c.proof.Fresh(now) {
-		c.askAround(now)
+		c.requestNodes(now)
 	}
 }
 
-// askAround asks some balancers again which nodes they know: those that have
+// requestNodes asks some balancers again which nodes they know: those that have
 // started together with this one hear of them one by one. One whose view is the
 // same does not answer. Lists are long: a large zone asks in the zone, and the seeds.
-func (c *Core) askAround(now time.Time) {
+func (c *Core) requestNodes(now time.Time) {
 	known := c.view.Balancers()
-	if c.relays.large {
+	if c.relays.usesRelays {
 		known, _ = c.view.BalancersByZone(c.opts.Zone)
 	}
 	c.rnd.Shuffle(len(known), func(i, j int) { known[i], known[j] = known[j], known[i] })
 	asked := slices.DeleteFunc(slices.Clone(c.opts.Seeds), func(ip flow.IPv4) bool { return !c.view.KnowsBalancer(ip) })
-	for _, ip := range append(asked, known[:min(askedAround, len(known))]...) {
+	for _, ip := range append(asked, known[:min(bootstrapQueries, len(known))]...) {
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
 }
 
 func (c *Core) expire(now time.Time) {
 	c.table.Expire(now, c.idle())
-	c.forget(now)
+	c.expireNodes(now)
 }
 
-// repeatBeacons tells other nodes again what this balancer has in force: those of
+// sendPeriodicBeacons tells other nodes again what this balancer has in force: those of
 // other zones, and agents, less often.
-func (c *Core) repeatBeacons(now time.Time) {
-	if !now.Before(c.nextNear) {
-		c.nextNear = fleet.NextRound(now, fleet.NearPeriod, c.opts.Self)
+func (c *Core) sendPeriodicBeacons(now time.Time) {
+	if !now.Before(c.nextSameZone) {
+		c.nextSameZone = fleet.NextRound(now, fleet.NearPeriod, c.opts.Self)
 		c.beaconRounds++
 		balancers, _ := c.view.BalancersByZone(c.opts.Zone)
 		c.sendBeacons(now, balancers)
@@ -262,8 +262,8 @@
 			c.sendBeacons(now, agents)
 		}
 	}
-	if !now.Before(c.nextFar) {
-		c.sendFarBeacons(now)
+	if !now.Before(c.nextCrossZone) {
+		c.sendCrossZoneBeacons(now)
 	}
 }
 
@@ -278,7 +278,7 @@
 	if zone, known := c.view.ZoneOf(ip); known && zone == c.opts.Zone {
 		return fleet.NearPeriod
 	}
-	return c.farPeriod
+	return c.crossZonePeriod
 }
 
 // digest is that of the view; one moment's is worked out once.
--- a/balancer/packetfront/observer.go
+++ b/balancer/packetfront/observer.go
@@ -181,8 +181,8 @@
 	o.Log.Info("target forgotten", zap.Stringer(fieldTarget, ip))
 }
 
-// ZoneSilence implements Events.
-func (o *observer) ZoneSilence(s fleet.Silence) {
+// ZoneSilenceChanged implements Events.
+func (o *observer) ZoneSilenceChanged(s fleet.Silence) {
 	what := "zone heard again"
 	if s.Silent {
 		what = "zone silent"
@@ -201,8 +201,8 @@
 	o.emptied.Changed(o.Log, now.Zones(), former.Zones(), now.Revision, from)
 }
 
-// StandsBy implements Events.
-func (o *observer) StandsBy(out bool, own, zone float64, taking int) {
+// RotationChanged implements Events.
+func (o *observer) RotationChanged(out bool, own, zone float64, taking int) {
 	what := "back in rotation"
 	if out {
 		what = "link full, out of rotation"
@@ -219,8 +219,8 @@
 // Relayed implements Events.
 func (o *observer) Relayed(messages int) { o.relayed.Add(float64(messages)) }
 
-// Asked implements Events.
-func (o *observer) Asked(ip flow.IPv4, silent time.Duration) {
+// Probed implements Events.
+func (o *observer) Probed(ip flow.IPv4, silent time.Duration) {
 	o.asked.Inc()
 	o.Write(&o.other, "node not relayed any more, asked", zap.Stringer(telemetry.FieldPeer, ip), zap.Duration("silent", silent))
 }
--- a/balancer/packetfront/overload.go
+++ b/balancer/packetfront/overload.go
@@ -11,17 +11,17 @@
 	// overloadedSlots is the share of the slots of a service's targets above which those
 	// that are overloaded make the service so: the others cannot carry their load as well.
 	overloadedSlots = 0.5
-	// relievedSlots is the share at which they make it so no longer: agents tell the end of
+	// recoveredSlots is the share at which they make it so no longer: agents tell the end of
 	// their overload one after the other.
-	relievedSlots = 0.1
+	recoveredSlots = 0.1
 	// freeSlots is the share of slots that are free at targets that are not overloaded at
 	// which it ends too, whatever the others say.
 	freeSlots = 0.5
 	// overloadTries is how many targets a new flow of an overloaded service may be offered
 	// to: the others are most likely as full, and each visit costs those that are served.
 	overloadTries = 2
-	// judgedTime is how long a judgement stands while no target of the service is heard.
-	judgedTime = tickPeriod
+	// overloadTTL is how long a judgement stands while no target of the service is heard.
+	overloadTTL = tickPeriod
 )
 
 // Overload is what the targets of a service announce of their load.
@@ -42,15 +42,15 @@
 
 // ends tells whether they make an overloaded service so no longer.
 func (o *Overload) ends() bool {
-	return float64(o.OverloadedSlots) <= relievedSlots*float64(o.Slots) || float64(o.FreeSlots) >= freeSlots*float64(o.Slots)
+	return float64(o.OverloadedSlots) <= recoveredSlots*float64(o.Slots) || float64(o.FreeSlots) >= freeSlots*float64(o.Slots)
 }
 
 // serviceLoad is what the balancer knows of the load of one service.
 type serviceLoad struct {
 	Overload
-	// judgedAt is when the overload was worked out, zero once a target was heard since.
-	judgedAt time.Time
-	askedAt  time.Time
+	// updatedAt is when the overload was worked out, zero once a target was heard since.
+	updatedAt time.Time
+	usedAt    time.Time
 }
 
 // serviceLoads are those of the services that were asked for lately.
@@ -63,30 +63,30 @@
 		l = &serviceLoad{Overload: Overload{Service: backend.Name}}
 		c.loads[backend.Tag] = l
 	}
-	l.askedAt = now
-	c.judge(now, backend.Tag, l)
+	l.usedAt = now
+	c.updateOverload(now, backend.Tag, l)
 	return l
 }
 
-// judge works out whether a service is overloaded unless that stands already.
-func (c *Core) judge(now time.Time, service flow.Tag, l *serviceLoad) {
-	if !l.judgedAt.IsZero() && now.Sub(l.judgedAt) < judgedTime {
+// updateOverload works out whether a service is overloaded unless that stands already.
+func (c *Core) updateOverload(now time.Time, service flow.Tag, l *serviceLoad) {
+	if !l.updatedAt.IsZero() && now.Sub(l.updatedAt) < overloadTTL {
 		return
 	}
-	l.judgedAt = now
+	l.updatedAt = now
 	former := l.Overloaded
-	l.read(now, c, service)
+	l.sum(now, c, service)
 	if l.Overloaded == former {
 		return
 	}
 	c.events.OverloadChanged(l.Overload)
 }
 
-// read sums up what the targets that may take new flows announced last.
-func (l *serviceLoad) read(now time.Time, c *Core, service flow.Tag) {
+// sum sums up what the targets that may take new flows announced last.
+func (l *serviceLoad) sum(now time.Time, c *Core, service flow.Tag) {
 	o := Overload{Service: l.Service}
 	for _, h := range c.view.Service(service) {
-		if !c.takesNew(h) || h.Quiet(now) {
+		if !c.acceptsFlows(h) || h.Quiet(now) {
 			continue
 		}
 		o.Slots += int(h.Slots)
@@ -102,27 +102,27 @@
 	l.Overload = o
 }
 
-// heardLoad notes that a target of a service was heard.
-func (c *Core) heardLoad(service flow.Tag) {
+// invalidateLoad notes that a target of a service was heard.
+func (c *Core) invalidateLoad(service flow.Tag) {
 	if l, known := c.loads[service]; known {
-		l.judgedAt = time.Time{}
+		l.updatedAt = time.Time{}
 	}
 }
 
-// judgeAll lets an overload end, or begin, also while no flow comes, and forgets services
+// updateOverloads lets an overload end, or begin, also while no flow comes, and forgets services
 // that nobody asks for.
-func (c *Core) judgeAll(now time.Time) {
+func (c *Core) updateOverloads(now time.Time) {
 	for tag, l := range c.loads {
-		c.judge(now, tag, l)
-		if !l.Overloaded && now.Sub(l.askedAt) > fleet.Forget {
+		c.updateOverload(now, tag, l)
+		if !l.Overloaded && now.Sub(l.usedAt) > fleet.Forget {
 			delete(c.loads, tag)
 		}
 	}
 }
 
-// preferRoom puts the first of the candidates that has announced a free slot, which was not
+// preferFreeSlots puts the first of the candidates that has announced a free slot, which was not
 // filled from here since, before the others.
-func (c *Core) preferRoom(now time.Time, candidates []flow.Candidate) {
+func (c *Core) preferFreeSlots(now time.Time, candidates []flow.Candidate) {
 	for _, item := range candidates {
 		h, known := c.view.Target(item.Target)
 		if known && !h.Overloaded && !h.Quiet(now) && int(h.Busy)+h.Sent < int(h.Slots) {
@@ -132,9 +132,9 @@
 	}
 }
 
-// withoutRefusing leaves out those behind the first that would refuse a flow, by what they
+// dropRefusing leaves out those behind the first that would refuse a flow, by what they
 // announced last.
-func (c *Core) withoutRefusing(now time.Time, candidates []flow.Candidate, objective time.Duration) []flow.Candidate {
+func (c *Core) dropRefusing(now time.Time, candidates []flow.Candidate, objective time.Duration) []flow.Candidate {
 	kept := candidates[:1]
 	for _, item := range candidates[1:] {
 		h, known := c.view.Target(item.Target)
--- a/balancer/packetfront/overload_test.go
+++ b/balancer/packetfront/overload_test.go
@@ -167,7 +167,7 @@
 func TestFlowsOfAnOverloadedServiceVisitFewTargets(t *testing.T) {
 	f := newOverloadFixture()
 	f.open(front.Port)
-	require.Equal(t, openNear-1, f.port.Last().Env.Count)
+	require.Equal(t, openSameZone-1, f.port.Last().Env.Count)
 	f.overload(overloadTargets)
 	f.open(front.Port)
 	require.Equal(t, overloadTries-1, f.port.Last().Env.Count)
--- a/balancer/packetfront/plan.go
+++ b/balancer/packetfront/plan.go
@@ -11,31 +11,31 @@
 
 // Sizes of the choice.
 const (
-	// openNear and openFar are how many targets of a flow's ranking in the own
+	// openSameZone and openFar are how many targets of a flow's ranking in the own
 	// zone and in other zones are compared for a new flow. They bound the search
 	// for it later.
-	openNear = 4
-	openFar  = 4
+	openSameZone  = 4
+	openCrossZone = 4
 	// openTries is how many targets a SYN may be offered to, one after another.
 	openTries = 8
 )
 
-// plan is scratch space for candidates.
-type plan struct {
-	// openNear and openFar rank the targets for a new flow.
-	openNear, openFar *flow.Ranking
-	out               []flow.Candidate
+// candidatePlan is scratch space for candidates.
+type candidatePlan struct {
+	// sameZone and crossZone rank the targets for a new flow.
+	sameZone, crossZone *flow.Ranking
+	out                 []flow.Candidate
 }
 
-func newPlan() plan {
-	return plan{
-		openNear: flow.NewRanking(openNear), openFar: flow.NewRanking(openFar),
+func newCandidatePlan() candidatePlan {
+	return candidatePlan{
+		sameZone: flow.NewRanking(openSameZone), crossZone: flow.NewRanking(openCrossZone),
 	}
 }
 
-func (p *plan) reset() {
-	p.openNear.Reset()
-	p.openFar.Reset()
+func (p *candidatePlan) reset() {
+	p.sameZone.Reset()
+	p.crossZone.Reset()
 	p.out = p.out[:0]
 }
 
@@ -45,20 +45,20 @@
 	p := &c.plan
 	p.reset()
 	targets := c.view.Service(service)
-	ejectable, heard := c.ejectable(targets), c.anyZoneHeard(targets)
+	ejectable, heard := c.ejectable(targets), c.anyZoneReachable(targets)
 	for _, h := range targets {
-		if !c.takesNew(h) || (ejectable && h.Ejected) || c.coldFull(now, h) || (heard && c.view.ZoneSilent(h.Zone)) {
+		if !c.acceptsFlows(h) || (ejectable && h.Ejected) || c.coldLimitReached(now, h) || (heard && c.view.ZoneSilent(h.Zone)) {
 			continue
 		}
-		ranking := p.openFar
+		ranking := p.crossZone
 		if h.Zone == c.opts.Zone {
-			ranking = p.openNear
+			ranking = p.sameZone
 		}
 		ranking.Offer(flow.Score(hash, h.IP), flow.Candidate{Target: h.IP, Service: service})
 	}
 	c.offers, c.offerOf = c.offers[:0], c.offerOf[:0]
-	c.offer(now, p.openNear.Items())
-	c.offer(now, p.openFar.Items())
+	c.addOffers(now, p.sameZone.Items())
+	c.addOffers(now, p.crossZone.Items())
 	typical := choose.TypicalService(c.offers)
 	for len(c.offers) > 0 && len(p.out) < openTries {
 		i := c.opts.Weights.Cheapest(c.offers, typical, c.rnd)
@@ -73,16 +73,16 @@
 	return p.out
 }
 
-// mostEjected is the share of a service's targets beyond which ejections are not
+// maxEjectedShare is the share of a service's targets beyond which ejections are not
 // heeded: when most fail alike the cause is not a target, and the others could not
 // carry their load.
-const mostEjected = 1.0 / 3
+const maxEjectedShare = 1.0 / 3
 
 // ejectable tells whether ejections among the targets of a service are heeded.
 func (c *Core) ejectable(targets []*fleet.Target) bool {
 	ready, ejected := 0, 0
 	for _, h := range targets {
-		if !c.takesNew(h) {
+		if !c.acceptsFlows(h) {
 			continue
 		}
 		ready++
@@ -90,17 +90,17 @@
 			ejected++
 		}
 	}
-	return float64(ejected) <= mostEjected*float64(ready)
+	return float64(ejected) <= maxEjectedShare*float64(ready)
 }
 
-// anyZoneHeard tells whether some targets of a service are in zones that are not silent.
+// anyZoneReachable tells whether some targets of a service are in zones that are not silent.
 // Where all are it may be this balancer that is cut off.
-func (c *Core) anyZoneHeard(targets []*fleet.Target) bool {
-	return slices.ContainsFunc(targets, func(h *fleet.Target) bool { return c.takesNew(h) && !c.view.ZoneSilent(h.Zone) })
+func (c *Core) anyZoneReachable(targets []*fleet.Target) bool {
+	return slices.ContainsFunc(targets, func(h *fleet.Target) bool { return c.acceptsFlows(h) && !c.view.ZoneSilent(h.Zone) })
 }
 
-// offer adds targets to the offers of a choice.
-func (c *Core) offer(now time.Time, list []flow.Candidate) {
+// addOffers adds targets to the offers of a choice.
+func (c *Core) addOffers(now time.Time, list []flow.Candidate) {
 	for _, item := range list {
 		h, _ := c.view.Target(item.Target)
 		c.offers = append(c.offers, choose.Offer{
@@ -125,7 +125,7 @@
 	return list
 }
 
-// searchFirst is how many targets of a flow's ranking, in the own zone and
+// searchFirstTargets is how many targets of a flow's ranking, in the own zone and
 // elsewhere, are asked before all others: those that it was chosen among, and as
 // many again for targets that came or went since.
-const searchFirst = 2 * openNear
+const searchFirstTargets = 2 * openSameZone
--- a/balancer/packetfront/relay.go
+++ b/balancer/packetfront/relay.go
@@ -12,47 +12,47 @@
 )
 
 const (
-	// relayWithin is how lately a balancer was heard that is asked to relay messages: two
+	// relayFreshness is how lately a balancer was heard that is asked to relay messages: two
 	// rounds and what the relays add.
-	relayWithin = 2*zonecast.Period + zonecast.FlushPeriod
-	// askCheckPeriod is how often nodes are looked for that have fallen silent.
-	askCheckPeriod = 200 * time.Millisecond
-	// maxGreeted bounds the nodes whose greeting is remembered.
-	maxGreeted = 1 << 15
+	relayFreshness = 2*zonecast.Period + zonecast.FlushPeriod
+	// probeCheckPeriod is how often nodes are looked for that have fallen silent.
+	probeCheckPeriod = 200 * time.Millisecond
+	// maxIntroduced bounds the nodes whose greeting is remembered.
+	maxIntroduced = 1 << 15
 )
 
-// relays is what a balancer has to relay to the nodes of its zone, and what it
+// crossZone is what a balancer has to relay to the nodes of its zone, and what it
 // hears of nodes of other zones in the same way.
-type relays struct {
+type crossZone struct {
 	forBalancers, forAgents zonecast.Held
-	nextAsk                 time.Time
-	// large tells that the own zone is told through relays.
-	large bool
-	// greeted are nodes that others named.
-	greeted zonecast.Greetings
-	// rounds plans how other zones are told.
-	rounds zonecast.Planner
+	nextProbe               time.Time
+	// usesRelays tells that the own zone is told through relays.
+	usesRelays bool
+	// introduced are nodes that others named.
+	introduced zonecast.Greetings
+	// planner plans how other zones are told.
+	planner zonecast.Planner
 }
 
-func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) relays {
+func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) crossZone {
 	self := opts.Self
-	return relays{
+	return crossZone{
 		forBalancers: zonecast.Held{Pause: zonecast.FlushPeriod, Self: self},
 		forAgents:    zonecast.Held{Pause: zonecast.AgentFlushPeriod, Self: self},
-		greeted:      zonecast.Greetings{Max: maxGreeted},
-		rounds:       zonecast.Planner{Self: self, Zone: opts.Zone, From: opts.RelayFrom, Within: relayWithin, Report: report},
+		introduced:   zonecast.Greetings{Max: maxIntroduced},
+		planner:      zonecast.Planner{Self: self, Zone: opts.Zone, From: opts.RelayFrom, Within: relayFreshness, Report: report},
 	}
 }
 
-// sendFarBeacons tells the nodes of other zones: agents less often, and only where no
+// sendCrossZoneBeacons tells the nodes of other zones: agents less often, and only where no
 // relay does.
-func (c *Core) sendFarBeacons(now time.Time) {
-	round := c.relays.rounds.Begin()
-	plan := c.relays.rounds.Plan(now, c.view)
-	c.farPeriod = plan.Period
-	c.nextFar = fleet.NextRound(now, c.farPeriod, c.opts.Self)
+func (c *Core) sendCrossZoneBeacons(now time.Time) {
+	round := c.relays.planner.Begin()
+	plan := c.relays.planner.Plan(now, c.view)
+	c.crossZonePeriod = plan.Period
+	c.nextCrossZone = fleet.NextRound(now, c.crossZonePeriod, c.opts.Self)
 	c.sendBeacons(now, plan.Direct)
-	c.beaconThrough(now, plan.Relays)
+	c.sendBeaconViaRelays(now, plan.Relays)
 	if round%agentBeacons == 0 {
 		c.sendBeacons(now, c.directAgents(c.opts.Zone))
 	}
@@ -64,16 +64,16 @@
 	var out []flow.IPv4
 	for _, ip := range c.view.Targets() {
 		h, _ := c.view.Target(ip)
-		if !c.relays.rounds.Relays(h.Zone) && !slices.Contains(except, h.Zone) {
+		if !c.relays.planner.Relays(h.Zone) && !slices.Contains(except, h.Zone) {
 			out = append(out, ip)
 		}
 	}
 	return out
 }
 
-// beaconThrough asks balancers to relay a beacon. All get the same, so that one can
+// sendBeaconViaRelays asks balancers to relay a beacon. All get the same, so that one can
 // tell that another has done it.
-func (c *Core) beaconThrough(now time.Time, relays []flow.IPv4) {
+func (c *Core) sendBeaconViaRelays(now time.Time, relays []flow.IPv4) {
 	if len(relays) == 0 {
 		return
 	}
@@ -98,14 +98,14 @@
 	}
 	if err == nil {
 		c.view.Relayed(from)
-		c.hold(now, from, kind, message)
+		c.bufferForRelay(now, from, kind, message)
 	}
 	return err
 }
 
-// hold keeps a message for the nodes of the own zone: only balancers need to know of
+// bufferForRelay keeps a message for the nodes of the own zone: only balancers need to know of
 // targets.
-func (c *Core) hold(now time.Time, from flow.IPv4, kind envelope.Kind, message []byte) {
+func (c *Core) bufferForRelay(now time.Time, from flow.IPv4, kind envelope.Kind, message []byte) {
 	id, err := fleet.IdentityOf(message)
 	kept := err == nil && c.relays.forBalancers.Put(now, from, id, message)
 	if kind == envelope.Beacon {
@@ -121,20 +121,20 @@
 func (c *Core) sendRelayed(now time.Time) {
 	if c.relays.forBalancers.Due(now) {
 		balancers, _ := c.view.BalancersByZone(c.opts.Zone)
-		c.sendHeld(now, &c.relays.forBalancers, balancers)
+		c.flushRelayed(now, &c.relays.forBalancers, balancers)
 	}
 	if c.relays.forAgents.Due(now) {
 		agents, _ := c.view.TargetsByZone(c.opts.Zone)
-		c.sendHeld(now, &c.relays.forAgents, agents)
+		c.flushRelayed(now, &c.relays.forAgents, agents)
 	}
-	if !now.Before(c.relays.nextAsk) {
-		c.relays.nextAsk = now.Add(askCheckPeriod)
-		c.relays.large = c.view.ZoneBalancers(c.opts.Zone)+1 >= c.opts.RelayFrom
-		c.askOverdue(now)
+	if !now.Before(c.relays.nextProbe) {
+		c.relays.nextProbe = now.Add(probeCheckPeriod)
+		c.relays.usesRelays = c.view.ZoneBalancers(c.opts.Zone)+1 >= c.opts.RelayFrom
+		c.probeOverdue(now)
 	}
 }
 
-func (c *Core) sendHeld(now time.Time, held *zonecast.Held, to []flow.IPv4) {
+func (c *Core) flushRelayed(now time.Time, held *zonecast.Held, to []flow.IPv4) {
 	messages, old := held.Take(now)
 	for range old {
 		c.events.Dropped(DropNotRelayed)
--- a/balancer/packetfront/relayed.go
+++ b/balancer/packetfront/relayed.go
@@ -20,14 +20,14 @@
 		if r.From == c.opts.Self {
 			continue
 		}
-		if e := c.hearRelayed(now, r); e != nil {
+		if e := c.handleRelayed(now, r); e != nil {
 			err = e
 		}
 	}
 	return err
 }
 
-func (c *Core) hearRelayed(now time.Time, r fleet.RelayedMessage) error {
+func (c *Core) handleRelayed(now time.Time, r fleet.RelayedMessage) error {
 	kind, err := r.Kind()
 	if err != nil {
 		return err
@@ -37,12 +37,12 @@
 		c.relays.forAgents.Relayed(r.From, id)
 	}
 	if kind == envelope.Announce {
-		return c.hearOfTarget(now, r)
+		return c.handleRelayedAnnouncement(now, r)
 	}
-	return c.hearOfPeer(now, r)
+	return c.handleRelayedBeacon(now, r)
 }
 
-func (c *Core) hearOfTarget(now time.Time, r fleet.RelayedMessage) error {
+func (c *Core) handleRelayedAnnouncement(now time.Time, r fleet.RelayedMessage) error {
 	a, err := fleet.DecodeAnnouncement(r.Message)
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 	case fleet.Present:
 		c.refreshTarget(now, r.From, a)
 	case fleet.Unknown:
-		c.greetNamed(now, r.From)
+		c.probeNamed(now, r.From)
 	}
 	return nil
 }
@@ -61,48 +61,48 @@
 func (c *Core) refreshTarget(now time.Time, ip flow.IPv4, a fleet.Announcement) {
 	h, _ := c.view.Target(ip)
 	a, ask := h.TakeRelayed(a)
-	if c.takeAnnouncement(now, ip, a) == fleet.Stale {
+	if c.recordAnnouncement(now, ip, a) == fleet.Stale {
 		return
 	}
 	c.view.Relayed(ip)
 	if ask {
-		c.greetNamed(now, ip)
+		c.probeNamed(now, ip)
 	}
 }
 
-func (c *Core) hearOfPeer(now time.Time, r fleet.RelayedMessage) error {
+func (c *Core) handleRelayedBeacon(now time.Time, r fleet.RelayedMessage) error {
 	m, err := fleet.DecodeBeacon(r.Message)
 	if err != nil {
 		return err
 	}
 	switch c.view.PeerProcess(r.From, m.Epoch) {
 	case fleet.Present:
-		c.takeBeacon(now, r.From, m)
+		c.recordBeacon(now, r.From, m)
 		c.view.Relayed(r.From)
 	case fleet.Unknown:
-		c.greetNamed(now, r.From)
+		c.probeNamed(now, r.From)
 	}
 	return nil
 }
 
-// greetNamed greets a node that others name, or tell something new of, which then announces itself.
-func (c *Core) greetNamed(now time.Time, ip flow.IPv4) {
-	if c.relays.greeted.May(now, ip, zonecast.NamedPause) {
+// probeNamed greets a node that others name, or tell something new of, which then announces itself.
+func (c *Core) probeNamed(now time.Time, ip flow.IPv4) {
+	if c.relays.introduced.May(now, ip, zonecast.NamedPause) {
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
 }
 
-// askOverdue asks the nodes of other zones whose messages are not relayed any more.
-func (c *Core) askOverdue(now time.Time) {
+// probeOverdue asks the nodes of other zones whose messages are not relayed any more.
+func (c *Core) probeOverdue(now time.Time) {
 	ask := func(ip flow.IPv4, heardAt time.Time) {
-		c.events.Asked(ip, now.Sub(heardAt))
+		c.events.Probed(ip, now.Sub(heardAt))
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
-	for _, ip := range c.view.OverdueTargets(now, c.opts.Zone, c.relays.large) {
+	for _, ip := range c.view.OverdueTargets(now, c.opts.Zone, c.relays.usesRelays) {
 		h, _ := c.view.Target(ip)
 		ask(ip, h.HeardAt)
 	}
-	for _, ip := range c.view.OverduePeers(now, c.opts.Zone, 0, c.relays.large) {
+	for _, ip := range c.view.OverduePeers(now, c.opts.Zone, 0, c.relays.usesRelays) {
 		p, _ := c.view.Peer(ip)
 		ask(ip, p.HeardAt)
 	}
--- a/balancer/packetfront/rotation.go
+++ b/balancer/packetfront/rotation.go
@@ -20,10 +20,10 @@
 	// spareLink is the part of their links that those who stand in may use after it,
 	// and the part of its own that a balancer expects to use when it comes back.
 	spareLink = 0.5
-	// leastRest is how long a balancer stays out, and in, unless it is needed: each change
+	// minRotationPause is how long a balancer stays out, and in, unless it is needed: each change
 	// of the rotation moves nearly all flows of the zone to other balancers, which have to
 	// search for them, some 50 requests late in a zone of 400 a second.
-	leastRest = 10 * time.Second
+	minRotationPause = 10 * time.Second
 	// meterSpan is how long the link has to be full, in spans of tickPeriod: two seconds.
 	meterSpan = 20
 	// frameBytes is what a datagram takes on the link beside its data.
@@ -36,22 +36,22 @@
 	// present one, which do not count yet.
 	sent [meterSpan + 1]int
 	next int
-	// turnAt is when the next span begins.
-	turnAt time.Time
-	// standsBy is set while the balancer is out; since is when that changed last.
-	standsBy bool
-	since    time.Time
+	// nextSpanAt is when the next span begins.
+	nextSpanAt time.Time
+	// standby is set while the balancer is out; since is when that changed last.
+	standby bool
+	since   time.Time
 }
 
 // count notes a datagram.
 func (r *rotation) count(bytes int) { r.sent[r.next] += bytes + frameBytes }
 
-// turn begins another span when the present one is over, and tells whether it did.
-func (r *rotation) turn(now time.Time) bool {
-	if now.Before(r.turnAt) {
+// advance begins another span when the present one is over, and tells whether it did.
+func (r *rotation) advance(now time.Time) bool {
+	if now.Before(r.nextSpanAt) {
 		return false
 	}
-	r.turnAt = now.Add(tickPeriod)
+	r.nextSpanAt = now.Add(tickPeriod)
 	r.next = (r.next + 1) % len(r.sent)
 	r.sent[r.next] = 0
 	return true
@@ -70,8 +70,8 @@
 
 // zoneLinks is what a balancer knows of those of its zone.
 type zoneLinks struct {
-	// nodes counts them, itself included, taking the others in rotation.
-	nodes, taking int
+	// nodes counts them, itself included, inRotation the others in rotation.
+	nodes, inRotation int
 	// larger are the links of those in rotation that may stand in, Mbit/s; least is the
 	// smallest of them.
 	larger int
@@ -82,8 +82,8 @@
 	mayLeave bool
 }
 
-// links looks at the balancers of the own zone.
-func (c *Core) links(now time.Time) zoneLinks {
+// sumZoneLinks looks at the balancers of the own zone.
+func (c *Core) sumZoneLinks(now time.Time) zoneLinks {
 	own := c.opts.LinkMbps
 	z := zoneLinks{nodes: 1, mbps: c.rotation.mbps()}
 	weaker := 0
@@ -97,7 +97,7 @@
 		if !p.InRotation {
 			continue
 		}
-		z.taking++
+		z.inRotation++
 		if link >= largerLink*own {
 			if z.larger++; z.larger == 1 || link < z.least {
 				z.least = link
@@ -108,32 +108,32 @@
 	return z
 }
 
-// carried tells whether the larger ones alone can carry the zone, and the routers would
+// largerCanCarry tells whether the larger ones alone can carry the zone, and the routers would
 // leave it to them: with fewer than half of a zone's balancers they use all.
-func (z *zoneLinks) carried() bool {
-	return z.larger > 0 && 2*z.taking >= z.nodes && z.mbps/float64(z.larger) <= spareLink*z.least
+func (z *zoneLinks) largerCanCarry() bool {
+	return z.larger > 0 && 2*z.inRotation >= z.nodes && z.mbps/float64(z.larger) <= spareLink*z.least
 }
 
-// rotate decides at each tick whether the balancer stays in rotation.
-func (c *Core) rotate(now time.Time) {
+// updateRotation decides at each tick whether the balancer stays in rotation.
+func (c *Core) updateRotation(now time.Time) {
 	r := &c.rotation
-	if !r.turn(now) || c.opts.LinkMbps <= 0 {
+	if !r.advance(now) || c.opts.LinkMbps <= 0 {
 		return
 	}
 	mbps := r.mbps()
-	if !r.standsBy && (mbps < fullLink*c.opts.LinkMbps || now.Sub(r.since) < leastRest) {
+	if !r.standby && (mbps < fullLink*c.opts.LinkMbps || now.Sub(r.since) < minRotationPause) {
 		return
 	}
-	z := c.links(now)
-	standsBy := z.mayLeave && z.carried()
-	if r.standsBy && now.Sub(r.since) >= leastRest {
-		share := z.mbps / float64(z.taking+1)
+	z := c.sumZoneLinks(now)
+	standsBy := z.mayLeave && z.largerCanCarry()
+	if r.standby && now.Sub(r.since) >= minRotationPause {
+		share := z.mbps / float64(z.inRotation+1)
 		standsBy = standsBy && share > spareLink*c.opts.LinkMbps
 	}
-	if standsBy == r.standsBy {
+	if standsBy == r.standby {
 		return
 	}
-	r.standsBy, r.since = standsBy, now
-	c.events.StandsBy(standsBy, mbps, z.mbps, z.taking)
+	r.standby, r.since = standsBy, now
+	c.events.RotationChanged(standsBy, mbps, z.mbps, z.inRotation)
 	c.sendBeacons(now, c.view.Balancers())
 }
--- a/balancer/packetfront/rotation_test.go
+++ b/balancer/packetfront/rotation_test.go
@@ -98,7 +98,7 @@
 	f := linked(smallLink, larger...)
 	f.sends(fullMbps, 3*time.Second, larger...)
 	require.False(t, f.Ready(f.now))
-	f.sends(0, leastRest-3*time.Second, larger...)
+	f.sends(0, minRotationPause-3*time.Second, larger...)
 	require.False(t, f.Ready(f.now), "it rests")
 	busy := []zoneMate{{peer, largeLink, 20, false}, {peer + 1, largeLink, 20, false}}
 	f.sends(0, 3*time.Second, busy...)
--- a/balancer/packetfront/survey.go
+++ b/balancer/packetfront/survey.go
@@ -9,34 +9,34 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// shunTime is how long a balancer is not asked for a reading of the registry after it has
+// avoidTime is how long a balancer is not asked for a reading of the registry after it has
 // not given one.
-const shunTime = 5 * time.Second
+const avoidTime = 5 * time.Second
 
-// surveys is where the readings of the agents' registry come from.
-type surveys struct {
-	// introduced is set once the balancer has looked for its first targets.
-	introduced bool
-	// shunned are balancers that have not given a reading, with when they may be asked
+// snapshotSources is where the readings of the agents' registry come from.
+type snapshotSources struct {
+	// searchedTargets is set once the balancer has looked for its first targets.
+	searchedTargets bool
+	// avoidUntil are balancers that have not given a reading, with when they may be asked
 	// again.
-	shunned map[flow.IPv4]time.Time
+	avoidUntil map[flow.IPv4]time.Time
 }
 
-// WantsTargets tells, once, whether the registry is to name the balancer's first targets:
+// NeedsTargets tells, once, whether the registry is to name the balancer's first targets:
 // where it has heard of none within a moment of its start, nobody that it can reach knows
 // any yet.
-func (c *Core) WantsTargets(now time.Time) bool {
-	if c.surveys.introduced || now.Sub(c.startedAt) < search.ParkPause {
+func (c *Core) NeedsTargets(now time.Time) bool {
+	if c.snapshots.searchedTargets || now.Sub(c.startedAt) < search.ParkPause {
 		return false
 	}
-	c.surveys.introduced = true
+	c.snapshots.searchedTargets = true
 	return c.view.TargetCount() == 0
 }
 
-// Registers tells whether the registry has to name this balancer: nodes that know nobody
+// MustRegister tells whether the registry has to name this balancer: nodes that know nobody
 // find the others there. It is among the first of its zone, once it has had the time to
 // hear of them, or hears of no other one at all.
-func (c *Core) Registers(now time.Time) bool {
+func (c *Core) MustRegister(now time.Time) bool {
 	age := now.Sub(c.startedAt)
 	if c.view.BalancerCount() == 0 {
 		return age >= search.FreshTime
@@ -44,39 +44,39 @@
 	return age >= search.SettleTime && c.view.Registers(now, c.opts.Self, c.opts.Zone)
 }
 
-// SurveyFrom tells whether the registry of agents is to be read, and which balancers are to
+// SnapshotSources tells whether the registry of agents is to be read, and which balancers are to
 // be asked for a reading before the store is: those of the zone that watch it, by one that
 // does so itself only those before it. So the first one of a zone reads for all.
-func (c *Core) SurveyFrom(now time.Time) (ask []flow.IPv4, due bool) {
+func (c *Core) SnapshotSources(now time.Time) (ask []flow.IPv4, due bool) {
 	if !c.proof.WantsSurvey(now) {
 		return nil, false
 	}
 	feeds := c.operator.Feeds(now)
 	ask = slices.DeleteFunc(c.view.ZoneFeeders(now, c.opts.Zone), func(ip flow.IPv4) bool {
-		return now.Before(c.surveys.shunned[ip]) || (feeds && ip > c.opts.Self)
+		return now.Before(c.snapshots.avoidUntil[ip]) || (feeds && ip > c.opts.Self)
 	})
 	return ask[:min(len(ask), fleet.FeedersPerZone)], true
 }
 
-// NotSurveyed notes that a balancer that was asked has not given a reading.
-func (c *Core) NotSurveyed(now time.Time, from flow.IPv4) {
-	for ip, until := range c.surveys.shunned {
+// SnapshotFailed notes that a balancer that was asked has not given a reading.
+func (c *Core) SnapshotFailed(now time.Time, from flow.IPv4) {
+	for ip, until := range c.snapshots.avoidUntil {
 		if !now.Before(until) {
-			delete(c.surveys.shunned, ip)
+			delete(c.snapshots.avoidUntil, ip)
 		}
 	}
-	c.surveys.shunned[from] = now.Add(shunTime)
+	c.snapshots.avoidUntil[from] = now.Add(avoidTime)
 }
 
-// SurveyPending notes that a balancer that was asked is reading the registry.
-func (c *Core) SurveyPending() { c.proof.SurveyPending() }
+// SnapshotPending notes that a balancer that was asked is reading the registry.
+func (c *Core) SnapshotPending() { c.proof.SurveyPending() }
 
-// Surveyed takes a reading of the agents' registry. Flows that waited for it are looked at
+// TakeSnapshot takes a reading of the agents' registry. Flows that waited for it are looked at
 // again.
-func (c *Core) Surveyed(now time.Time, s fleet.Survey) {
+func (c *Core) TakeSnapshot(now time.Time, s fleet.Survey) {
 	if !c.proof.Surveyed(now, s) {
 		return
 	}
-	c.Greet(now, nil, fleet.Addresses(s.Agents))
+	c.AnnounceToUnknown(now, nil, fleet.Addresses(s.Agents))
 	c.finder.Wake(now)
 }
--- a/balancer/packetfront/survey_test.go
+++ b/balancer/packetfront/survey_test.go
@@ -61,13 +61,13 @@
 			prepare: func(f *fixture) {
 				f.feeds(ownZone, true, first, second)
 				f.feeds(otherZone, true, third)
-				f.NotSurveyed(f.now, first)
+				f.SnapshotFailed(f.now, first)
 			},
 			ask: []flow.IPv4{second},
 		},
 		"one has not given any long ago": {
 			prepare: func(f *fixture) {
-				f.NotSurveyed(f.now.Add(-shunTime), first)
+				f.SnapshotFailed(f.now.Add(-avoidTime), first)
 				f.feeds(ownZone, true, first, second)
 				f.feeds(otherZone, true, third)
 			},
@@ -82,11 +82,11 @@
 		f := fixtureIn(ownZone)
 		f.started(f.now.Add(-search.SettleTime))
 		c.prepare(f)
-		ask, due := f.SurveyFrom(f.now)
+		ask, due := f.SnapshotSources(f.now)
 		require.True(t, due, name)
 		require.Equal(t, len(c.ask), len(ask), name)
 		require.Subset(t, ask, c.ask, name)
-		_, due = f.SurveyFrom(f.now)
+		_, due = f.SnapshotSources(f.now)
 		require.False(t, due, "%s: it was asked for just now", name)
 	}
 }
@@ -97,9 +97,9 @@
 	const from = search.FreshTime - search.SurveyAhead
 	f := newFixture()
 	f.started(f.now)
-	_, due := f.SurveyFrom(f.now.Add(from - 1))
+	_, due := f.SnapshotSources(f.now.Add(from - 1))
 	require.False(t, due)
-	_, due = f.SurveyFrom(f.now.Add(from))
+	_, due = f.SnapshotSources(f.now.Add(from))
 	require.True(t, due)
 }
 
@@ -109,7 +109,7 @@
 	for _, ahead := range []time.Duration{10, 60, 110} {
 		f := newFixture()
 		f.started(f.now)
-		f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+		f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
 		settled := f.now.Add(search.FreshTime)
 		f.now = settled.Add(-ahead * time.Millisecond)
 		f.announce(targetA, fleet.Ready)
@@ -133,11 +133,11 @@
 	f := newFixture()
 	newer := fleet.SurveyAt(f.now, registered(targetA, targetB, other))
 	newer.Revision = 8
-	f.Surveyed(f.now, newer)
+	f.TakeSnapshot(f.now, newer)
 	f.now = f.now.Add(time.Second)
 	older := fleet.SurveyAt(f.now, registered(targetA, targetB))
 	older.Revision = 7
-	f.Surveyed(f.now, older)
+	f.TakeSnapshot(f.now, older)
 	f.client(packet(false, 9))
 	f.answer(targetB, envelope.Searched, packet(false, 9))
 	require.Equal(t, search.DoubtMissing, f.doubt)
@@ -152,14 +152,14 @@
 		return f
 	}
 	f := fresh()
-	require.False(t, f.WantsTargets(f.now), "others may answer")
+	require.False(t, f.NeedsTargets(f.now), "others may answer")
 	f.now = f.now.Add(search.ParkPause)
-	require.True(t, f.WantsTargets(f.now))
-	require.False(t, f.WantsTargets(f.now), "once")
+	require.True(t, f.NeedsTargets(f.now))
+	require.False(t, f.NeedsTargets(f.now), "once")
 	f = fresh()
 	f.announce(targetA, fleet.Ready)
 	f.now = f.now.Add(search.ParkPause)
-	require.False(t, f.WantsTargets(f.now))
+	require.False(t, f.NeedsTargets(f.now))
 }
 
 // TestTheRegistryNamesAFewBalancersOfAZone, whatever their number, and at once one that
@@ -183,7 +183,7 @@
 			f.feeds(ownZone, false, lower+flow.IPv4(i))
 		}
 		f.feeds(otherZone, false, beaconsOf(c.before > 0)...)
-		require.Equal(t, c.want, f.Registers(f.now), name)
+		require.Equal(t, c.want, f.MustRegister(f.now), name)
 	}
 }
 
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -114,7 +114,7 @@
 	if w.Now.Before(w.StoreBack) {
 		return
 	}
-	for _, d := range b.Core.Departed(w.Now) {
+	for _, d := range b.Core.DeadNodes(w.Now) {
 		if d.Role != fleet.RoleAgent || w.Registry[d.IP].Epoch != d.Epoch {
 			continue
 		}
--- a/model/sim/quiet.go
+++ b/model/sim/quiet.go
@@ -28,11 +28,11 @@
 func (QuietBalancer) TargetChanged(*fleet.Target, fleet.Change)          {}
 func (QuietBalancer) TargetForgotten(flow.IPv4)                          {}
 func (QuietBalancer) PeerChanged(flow.IPv4, string)                      {}
-func (QuietBalancer) ZoneSilence(fleet.Silence)                          {}
+func (QuietBalancer) ZoneSilenceChanged(fleet.Silence)                   {}
 func (QuietBalancer) ZoneRelayed(flow.Tag, int, bool)                    {}
 func (QuietBalancer) Relayed(int)                                        {}
-func (QuietBalancer) Asked(flow.IPv4, time.Duration)                     {}
-func (QuietBalancer) StandsBy(bool, float64, float64, int)               {}
+func (QuietBalancer) Probed(flow.IPv4, time.Duration)                    {}
+func (QuietBalancer) RotationChanged(bool, float64, float64, int)        {}
 func (QuietBalancer) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
 
 // QuietAgent ignores what an agent decides.
--- a/model/sim/survey.go
+++ b/model/sim/survey.go
@@ -24,13 +24,13 @@
 // findTargets lets the registry name the first targets.
 func (b *Balancer) findTargets() {
 	w := b.w
-	if !b.Core.WantsTargets(w.Now) {
+	if !b.Core.NeedsTargets(w.Now) {
 		return
 	}
 	agents := w.registered()
 	w.Calls[CallTargets]++
 	if len(agents) <= storePage {
-		b.Core.Surveyed(w.Now, fleet.SurveyAt(w.Now, agents))
+		b.Core.TakeSnapshot(w.Now, fleet.SurveyAt(w.Now, agents))
 		return
 	}
 	w.Calls[CallTargets]++
@@ -38,15 +38,15 @@
 	for own < len(agents)-storePage && agents[own].IP < b.IP {
 		own++
 	}
-	b.Core.Greet(w.Now, nil, fleet.Addresses(agents[:storePage]))
-	b.Core.Greet(w.Now, nil, fleet.Addresses(agents[own:own+storePage]))
+	b.Core.AnnounceToUnknown(w.Now, nil, fleet.Addresses(agents[:storePage]))
+	b.Core.AnnounceToUnknown(w.Now, nil, fleet.Addresses(agents[own:own+storePage]))
 }
 
 // survey reads the registry when the core wants to know it, or asks another balancer for
 // its reading.
 func (b *Balancer) survey() {
 	w := b.w
-	ask, due := b.Core.SurveyFrom(w.Now)
+	ask, due := b.Core.SnapshotSources(w.Now)
 	if !due {
 		return
 	}
@@ -55,9 +55,9 @@
 			b.ask(from)
 			return
 		}
-		b.Core.NotSurveyed(w.Now, ip)
+		b.Core.SnapshotFailed(w.Now, ip)
 	}
-	b.Core.Surveyed(w.Now, b.read())
+	b.Core.TakeSnapshot(w.Now, b.read())
 }
 
 // read reads the registry unless that was done a moment ago.
@@ -83,7 +83,7 @@
 		w.After(w.Delay(from.IP, b.IP)+w.Jitter(w.Late+1), func() {
 			if b.Up && b.life == life {
 				s.Earliest, s.Latest = asked.Add(-began), w.Now.Add(-ended)
-				b.Core.Surveyed(w.Now, s)
+				b.Core.TakeSnapshot(w.Now, s)
 			}
 		})
 	})
