--- a/route/route.go
+++ b/route/route.go
@@ -16,71 +16,74 @@
 	// maximum of QUIC version 1 (RFC 9000 section 17.2).
 	Len = 20
 
-	macLen   = 4
-	fieldsAt = 1 + macLen
+	macLen       = 4
+	fieldsOffset = 1 + macLen
 
-	// MaxKeys bounds the key list; the key number is one byte.
+	// MaxKeys is the number of possible key numbers, which are one byte long.
 	MaxKeys = 256
-	// MinSecretLen is the least length of a cluster secret, in bytes.
+	// MinSecretLen is the minimum length of a cluster secret, in bytes.
 	MinSecretLen = 16
 )
 
-// Errors of Decode.
+// Errors returned by Decode.
 var (
-	ErrLength = errors.New("connection ID is not a route: wrong length")
-	ErrKey    = errors.New("connection ID is not a route: unknown key number")
-	ErrMAC    = errors.New("connection ID is not a route: MAC mismatch")
+	ErrLength = errors.New("connection ID is not a valid route: wrong length")
+	ErrKey    = errors.New("connection ID is not a valid route: unknown key number")
+	ErrMAC    = errors.New("connection ID is not a valid route: MAC mismatch")
 )
 
-// ServiceID identifies a service for ever; IDs are never reused.
+// ServiceID identifies a service. IDs are never reused.
 type ServiceID uint16
 
-// Incarnation distinguishes successive agents at one host address. It is
-// random: an agent only asks whether a route is its own, and a clock that went
-// back must not repeat one.
+// Incarnation distinguishes successive agent processes at one host address. It
+// is random rather than a timestamp: an agent only compares it with its own, and
+// a clock that is set back must not repeat a value.
 type Incarnation uint32
 
-// Route is what a connection ID says: which agent serves the flow, and for
-// which service.
+// Route is the decoded content of a connection ID: the agent that serves the
+// flow and the service that the flow belongs to.
 type Route struct {
-	// Host is the agent's data address. IPv4 only: 20 bytes hold no more.
+	// Host is the agent's data address. It must be IPv4, as an IPv6 address
+	// does not fit into 20 bytes.
 	Host        netip.AddrPort
 	Incarnation Incarnation
 	Service     ServiceID
-	// Nonce makes connection IDs of one agent distinct; 24 bits are kept.
+	// Nonce makes connection IDs of one agent distinct. Only the low 24 bits
+	// are encoded.
 	Nonce uint32
 }
 
+// key holds the MAC key and the encryption key derived from one secret.
 type key struct {
-	known      bool
+	present    bool
 	mac0, mac1 uint64
 	enc0, enc1 uint64
 }
 
-// Codec encodes and decodes routes under a list of secrets. It is immutable
-// and safe for concurrent use.
+// Codec encodes and decodes routes with a list of secrets. It is immutable and
+// safe for concurrent use.
 type Codec struct {
 	current byte
 	keys    [MaxKeys]key
 }
 
-// Secret is one cluster secret with its key number.
+// Secret is a cluster secret with its key number.
 type Secret struct {
 	Number byte
 	Bytes  []byte
 }
 
-// NewCodec makes a codec that encodes with the first secret and decodes with
-// all of them, so that a rotation breaks no flow: first every node learns the
-// new secret, then it moves to the front.
+// NewCodec returns a codec that encodes with the first secret and decodes with
+// all of them. A rotation that first adds the new secret on every node and then
+// moves it to the front interrupts no flow.
 func NewCodec(secrets []Secret) (*Codec, error) {
 	if len(secrets) == 0 {
 		return nil, errors.New("no cluster secret")
 	}
 	c := &Codec{current: secrets[0].Number}
 	for _, s := range secrets {
-		if c.keys[s.Number].known {
-			return nil, errors.Errorf("secret number %d is given twice", s.Number)
+		if c.keys[s.Number].present {
+			return nil, errors.Errorf("duplicate secret number %d", s.Number)
 		}
 		material, err := Derive(s.Bytes, "route", 32)
 		if err != nil {
@@ -91,18 +94,18 @@
 	return c, nil
 }
 
-func newKey(m []byte) key {
+func newKey(material []byte) key {
 	return key{
-		known: true,
-		mac0:  binary.LittleEndian.Uint64(m[0:]),
-		mac1:  binary.LittleEndian.Uint64(m[8:]),
-		enc0:  binary.LittleEndian.Uint64(m[16:]),
-		enc1:  binary.LittleEndian.Uint64(m[24:]),
+		present: true,
+		mac0:    binary.LittleEndian.Uint64(material[0:]),
+		mac1:    binary.LittleEndian.Uint64(material[8:]),
+		enc0:    binary.LittleEndian.Uint64(material[16:]),
+		enc1:    binary.LittleEndian.Uint64(material[24:]),
 	}
 }
 
-// Derive makes key material for one purpose from a cluster secret by HKDF
-// (RFC 5869), so that no key serves two purposes.
+// Derive derives key material for one purpose from a cluster secret with HKDF
+// (RFC 5869), so that no key is used for two purposes.
 func Derive(secret []byte, purpose string, length int) ([]byte, error) {
 	if len(secret) < MinSecretLen {
 		return nil, errors.Errorf("secret is shorter than %d bytes", MinSecretLen)
@@ -110,14 +113,14 @@
 	return hkdf.Key(sha256.New, secret, nil, "poppywall/v1/"+purpose, length)
 }
 
-// Encode writes the route's connection ID into dst.
+// Encode writes the connection ID of the route into dst.
 func (c *Codec) Encode(r Route, dst *[Len]byte) error {
 	if !r.Host.Addr().Is4() {
 		return errors.New("host address of a route must be IPv4")
 	}
 	k := &c.keys[c.current]
 	dst[0] = c.current
-	f := dst[fieldsAt:]
+	f := dst[fieldsOffset:]
 	ip := r.Host.Addr().As4()
 	copy(f[0:4], ip[:])
 	binary.BigEndian.PutUint16(f[4:6], r.Host.Port())
@@ -125,23 +128,23 @@
 	binary.BigEndian.PutUint16(f[10:12], uint16(r.Service))
 	f[12], f[13], f[14] = byte(r.Nonce>>16), byte(r.Nonce>>8), byte(r.Nonce)
 	mac := k.mac(f)
-	binary.BigEndian.PutUint32(dst[1:fieldsAt], mac)
+	binary.BigEndian.PutUint32(dst[1:fieldsOffset], mac)
 	k.mask(mac, f)
 	return nil
 }
 
-// Decode checks a connection ID and returns its route. It allocates nothing.
+// Decode verifies a connection ID and returns its route. It allocates nothing.
 func (c *Codec) Decode(id []byte) (Route, error) {
 	if len(id) != Len {
 		return Route{}, ErrLength
 	}
 	k := &c.keys[id[0]]
-	if !k.known {
+	if !k.present {
 		return Route{}, ErrKey
 	}
-	mac := binary.BigEndian.Uint32(id[1:fieldsAt])
-	var f [Len - fieldsAt]byte
-	copy(f[:], id[fieldsAt:])
+	mac := binary.BigEndian.Uint32(id[1:fieldsOffset])
+	var f [Len - fieldsOffset]byte
+	copy(f[:], id[fieldsOffset:])
 	k.mask(mac, f[:])
 	if k.mac(f[:]) != mac {
 		return Route{}, ErrMAC
@@ -159,8 +162,8 @@
 	return uint32(siphash.Hash(k.mac0, k.mac1, fields))
 }
 
-// mask encrypts or decrypts the fields with a keystream made from the MAC, so
-// that the MAC is the synthetic IV (the SIV construction of RFC 5297).
+// mask encrypts or decrypts the fields in place with a keystream derived from
+// the MAC, which serves as the synthetic IV (the SIV construction of RFC 5297).
 func (k *key) mask(mac uint32, fields []byte) {
 	var iv [macLen]byte
 	binary.BigEndian.PutUint32(iv[:], mac)
@@ -173,7 +176,7 @@
 	}
 }
 
-// Minter makes connection IDs for one agent and service. It is safe for
+// Minter generates the connection IDs of one agent and service. It is safe for
 // concurrent use.
 type Minter struct {
 	codec *Codec
@@ -181,11 +184,11 @@
 	nonce atomic.Uint32
 }
 
-// NewMinter returns a minter of routes equal to base but for the nonce, which
-// counts up from the given start and repeats after 2^24 IDs.
+// NewMinter returns a Minter whose routes equal base except for the nonce, which
+// counts up from start and repeats after 2^24 IDs.
 func NewMinter(codec *Codec, base Route, start uint32) (*Minter, error) {
-	var probe [Len]byte
-	if err := codec.Encode(base, &probe); err != nil {
+	var scratch [Len]byte
+	if err := codec.Encode(base, &scratch); err != nil {
 		return nil, err
 	}
 	m := &Minter{codec: codec, base: base}
@@ -193,12 +196,13 @@
 	return m, nil
 }
 
-// Next returns a fresh connection ID.
+// Next returns a new connection ID.
 func (m *Minter) Next() [Len]byte {
 	r := m.base
 	r.Nonce = m.nonce.Add(1)
 	var id [Len]byte
-	// The host was checked by NewMinter; Encode has no other failure.
+	// NewMinter verified that base can be encoded, and Encode fails for no
+	// reason other than the host address.
 	_ = m.codec.Encode(r, &id)
 	return id
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -30,9 +30,11 @@
 	}
 }
 
-func TestRouteRoundTripAndEveryBitCounts(t *testing.T) {
+// A decoded route equals the encoded one. A truncated ID, an ID with any bit
+// flipped and an ID made with another cluster's secret are rejected.
+func TestRoundTripAndBitFlipDetection(t *testing.T) {
 	codec := newCodec(t, testSecrets...)
-	foreign := newCodec(t, Secret{Number: 7, Bytes: []byte("another cluster's secret")})
+	otherCluster := newCodec(t, Secret{Number: 7, Bytes: []byte("another cluster's secret")})
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawRoute(t)
 		var id [Len]byte
@@ -41,7 +43,7 @@
 		require.NoError(t, err)
 		require.Equal(t, want, got)
 
-		_, err = foreign.Decode(id[:])
+		_, err = otherCluster.Decode(id[:])
 		require.Error(t, err)
 		_, err = codec.Decode(id[:rapid.IntRange(0, Len-1).Draw(t, "cut")])
 		require.ErrorIs(t, err, ErrLength)
@@ -52,15 +54,17 @@
 	})
 }
 
+// Guards against a rotation of secrets after which a node cannot decode routes
+// made by a node that is one stage ahead of it or behind it.
 func TestRotationBreaksNoRoute(t *testing.T) {
 	old, next := testSecrets[0], testSecrets[1]
 	stages := []*Codec{newCodec(t, old), newCodec(t, old, next), newCodec(t, next, old), newCodec(t, next)}
 	rapid.Check(t, func(t *rapid.T) {
-		// Neighbouring stages are in use at the same time.
+		// During a rotation, nodes of two adjacent stages coexist.
 		stage := rapid.IntRange(0, 2).Draw(t, "stage")
 		pair := stages[stage : stage+2]
 		if stage == 2 {
-			pair = pair[:1] // the old secret goes only when no old route is left
+			pair = pair[:1] // the old secret is removed only after the last route made with it has ended
 		}
 		var id [Len]byte
 		want := drawRoute(t)
@@ -71,7 +75,7 @@
 	})
 }
 
-func TestNewCodecRefuses(t *testing.T) {
+func TestNewCodecRejectsInvalidSecrets(t *testing.T) {
 	for name, secrets := range map[string][]Secret{
 		"none":   nil,
 		"short":  {{Bytes: []byte("short")}},
@@ -84,12 +88,12 @@
 	require.Error(t, err)
 }
 
-func TestMinterDoesNotRepeat(t *testing.T) {
-	m, err := NewMinter(newCodec(t, testSecrets...), Route{Host: netip.MustParseAddrPort("10.0.0.1:1")}, 1<<24-50)
+func TestNextReturnsDistinctIDs(t *testing.T) {
+	minter, err := NewMinter(newCodec(t, testSecrets...), Route{Host: netip.MustParseAddrPort("10.0.0.1:1")}, 1<<24-50)
 	require.NoError(t, err)
 	seen := map[[Len]byte]bool{}
 	for range 10000 {
-		id := m.Next()
+		id := minter.Next()
 		require.False(t, seen[id])
 		seen[id] = true
 	}
@@ -107,9 +111,9 @@
 		if err != nil || b[0] != codec.current {
 			return
 		}
-		var again [Len]byte
-		require.NoError(t, codec.Encode(r, &again))
-		require.Equal(t, again[:], b)
+		var reencoded [Len]byte
+		require.NoError(t, codec.Encode(r, &reencoded))
+		require.Equal(t, reencoded[:], b)
 	})
 }
 
