--- a/forward/bucket.go
+++ b/forward/bucket.go
@@ -6,18 +6,20 @@
 	"golang.org/x/time/rate"
 )
 
-// Bucket bounds a rate of events by a token bucket of one second's worth.
-type Bucket struct{ limiter *rate.Limiter }
+// TokenBucket limits the rate of events. Its capacity is the number of events
+// allowed per second, at least one.
+type TokenBucket struct{ limiter *rate.Limiter }
 
-// NewBucket returns a bucket; a rate of zero or less is no bound.
-func NewBucket(perSecond float64) Bucket {
+// NewTokenBucket returns a full bucket. A rate of zero or less means no limit.
+func NewTokenBucket(perSecond float64) TokenBucket {
 	if perSecond <= 0 {
-		return Bucket{}
+		return TokenBucket{}
 	}
-	return Bucket{rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))}
+	return TokenBucket{rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))}
 }
 
-// Take tells whether one more event is within the bound.
-func (b Bucket) Take(now time.Time) bool {
+// Allow reports whether one more event is within the limit, and takes a token if
+// it is.
+func (b TokenBucket) Allow(now time.Time) bool {
 	return b.limiter == nil || b.limiter.AllowN(now, 1)
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,9 +1,9 @@
-// Package forward decides what a balancer does with one datagram.
+// Package forward makes a balancer's forwarding decision for each datagram.
 //
-// A datagram with a valid route goes where the route says, whatever this
-// balancer knows of hosts; only a new flow is chosen. The package is pure: it
-// does no I/O, and time and randomness are arguments. The sockets around it
-// are in package relay.
+// A datagram with a valid route is sent to the host of its route, even if this
+// balancer has no entry for that host. A host is selected only for new flows.
+// The package is pure: it does no I/O, and takes the time and the random seed as
+// arguments. Package relay provides the sockets.
 package forward
 
 import (
@@ -18,22 +18,24 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// Verb tells what to do with a datagram.
+// Verb is what to do with a datagram.
 type Verb uint8
 
 const (
-	// Drop discards the datagram; Reason says why.
+	// Drop discards the datagram for the action's Reason.
 	Drop Verb = iota
-	// ToHost sends the payload with Header to Peer, an agent.
+	// ToHost sends Header and the payload to Peer, an agent.
 	ToHost
-	// ToCaller sends the bare payload to Peer, a caller, from the service.
+	// ToCaller sends the payload without a header to Peer, a caller, from the
+	// service address.
 	ToCaller
 )
 
-// Reason is why a datagram was dropped; it labels a counter.
+// Reason is why a datagram was dropped. It is a label value of the counter of
+// dropped datagrams.
 type Reason string
 
-// The reasons of a drop.
+// Drop reasons.
 const (
 	NotQUIC        Reason = "not_quic"
 	NoRoute        Reason = "no_route"
@@ -47,57 +49,63 @@
 	OverRate       Reason = "over_rate"
 )
 
-// Reasons lists all reasons, so that each counter exists from the start.
+// Reasons lists all drop reasons, so that each counter can be registered at
+// startup.
 var Reasons = []Reason{
 	NotQUIC, NoRoute, WrongService, NoHost, UnknownService, BadHeader, BadKind, TooManyHops, Oversize, OverRate,
 }
 
-// Action is a decision on one datagram.
+// Action is the decision for one datagram.
 type Action struct {
 	Verb   Verb
 	Reason Reason
 	Peer   netip.AddrPort
-	// Header goes in front of the payload when Verb is ToHost.
+	// Header precedes the payload when Verb is ToHost.
 	Header encap.Header
-	// NewFlow tells that the host was chosen, not read from a route.
+	// NewFlow reports whether the host was selected for a new flow rather than
+	// decoded from a route.
 	NewFlow bool
-	// Payload is the part of the input to send; it aliases the input.
+	// Payload is the part of the input to send. It aliases the input.
 	Payload []byte
 }
 
-// MaxHops bounds how many agents may hand one new flow back.
+// MaxHops is the number of refusals by agents after which a new flow is dropped.
 const MaxHops = 4
 
-// MaxDatagram is the largest caller datagram forwarded: with the header it
-// still fits an Ethernet frame of 1500 bytes.
+// MaxDatagram is the size in bytes of the largest caller datagram that is
+// forwarded. With IP, UDP and encapsulation headers it fits the Ethernet MTU of
+// 1500 bytes.
 const MaxDatagram = 1472 - encap.HeaderLen
 
-// Service is one service's forwarding state.
+// Service is the forwarding state of one service.
 type Service struct {
 	ID      route.ServiceID
 	Address netip.AddrPort
 
-	// mu guards set and rnd. It is a leaf lock: nothing is locked under it.
-	mu  sync.Mutex
-	set *choose.Set
-	rnd *rand.Rand
-	// limit holds new flows to the operator's bound.
-	limit Bucket
+	// mu guards hosts and rng. It is a leaf lock: no other lock is taken while
+	// it is held.
+	mu    sync.Mutex
+	hosts *choose.Set
+	rng   *rand.Rand
+	// newFlowLimit enforces the operator's limit on the rate of new flows.
+	newFlowLimit TokenBucket
 }
 
-// Table is what a balancer knows of services; lookups take no lock.
+// Table is a balancer's forwarding table: its services and their candidate
+// hosts. Looking up a service takes no lock.
 type Table struct {
 	codec  *route.Codec
 	tagger *encap.Tagger
 	opts   choose.Options
 	zone   string
 
-	// mu serialises changes of services.
+	// mu serialises updates of the set of services.
 	mu    sync.Mutex
 	index atomic.Pointer[index]
 }
 
-// index is replaced whole on a change.
+// index finds a service by address or ID. It is immutable: an update of the
+// services replaces it as a whole.
 type index struct {
 	byAddress map[netip.AddrPort]*Service
 	byID      map[route.ServiceID]*Service
@@ -114,44 +122,45 @@
 	return t
 }
 
-// Spec describes a service to serve.
+// Spec identifies a service to serve.
 type Spec struct {
 	ID      route.ServiceID
 	Address netip.AddrPort
 }
 
-// SetServices replaces the set of services. A service whose ID and address stay
-// keeps its state.
+// SetServices replaces the set of services. A service whose ID and address are
+// unchanged keeps its state, including its limit on new flows.
 func (t *Table) SetServices(specs []Spec, seed uint64, newFlowsPerSecond float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.index.Load()
 	next := newIndex(len(specs))
-	for _, sp := range specs {
-		s, ok := old.byAddress[sp.Address]
-		if !ok || s.ID != sp.ID {
-			s = t.newService(sp, seed, newFlowsPerSecond)
+	for _, spec := range specs {
+		s, ok := old.byAddress[spec.Address]
+		if !ok || s.ID != spec.ID {
+			s = t.newService(spec, seed, newFlowsPerSecond)
 		}
-		next.byAddress[sp.Address] = s
-		next.byID[sp.ID] = s
+		next.byAddress[spec.Address] = s
+		next.byID[spec.ID] = s
 	}
 	t.index.Store(next)
 }
 
-func (t *Table) newService(sp Spec, seed uint64, newFlowsPerSecond float64) *Service {
+func (t *Table) newService(spec Spec, seed uint64, newFlowsPerSecond float64) *Service {
 	return &Service{
-		ID:      sp.ID,
-		Address: sp.Address,
-		set:     choose.NewSet(t.opts, t.zone),
-		rnd:     rand.New(rand.NewPCG(seed, uint64(sp.ID))),
-		limit:   NewBucket(newFlowsPerSecond),
+		ID:           spec.ID,
+		Address:      spec.Address,
+		hosts:        choose.NewSet(t.opts, t.zone),
+		rng:          rand.New(rand.NewPCG(seed, uint64(spec.ID))),
+		newFlowLimit: NewTokenBucket(newFlowsPerSecond),
 	}
 }
 
-// Service returns the service at an address, nil when there is none.
+// Service returns the service at an address, or nil if there is none.
 func (t *Table) Service(address netip.AddrPort) *Service { return t.index.Load().byAddress[address] }
 
-// SetHosts replaces the candidates of a service.
+// SetHosts replaces the candidate hosts of a service. An unknown service is
+// ignored.
 func (t *Table) SetHosts(now time.Time, id route.ServiceID, hosts []choose.Host) {
 	s, ok := t.index.Load().byID[id]
 	if !ok {
@@ -159,10 +168,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set.Replace(now, hosts)
+	s.hosts.Replace(now, hosts)
 }
 
-// FromCaller decides on a datagram that a caller sent to the service.
+// FromCaller decides what to do with a datagram that a caller sent to the
+// service.
 func (t *Table) FromCaller(now time.Time, s *Service, caller netip.AddrPort, payload []byte) Action {
 	if len(payload) > MaxDatagram {
 		return Action{Reason: Oversize}
@@ -173,15 +183,17 @@
 	}
 	r, err := t.codec.Decode(p.ID)
 	if err == nil {
-		return t.routed(s, caller, r, payload)
+		return t.forwardByRoute(s, caller, r, payload)
 	}
 	if !p.Initial {
 		return Action{Reason: NoRoute}
 	}
-	return s.choose(now, caller, 0, payload)
+	return s.forwardNewFlow(now, caller, 0, payload)
 }
 
-func (t *Table) routed(s *Service, caller netip.AddrPort, r route.Route, payload []byte) Action {
+// forwardByRoute sends a datagram of an established flow to the host of its
+// route, provided that the flow belongs to the service.
+func (t *Table) forwardByRoute(s *Service, caller netip.AddrPort, r route.Route, payload []byte) Action {
 	if r.Service != s.ID {
 		return Action{Reason: WrongService}
 	}
@@ -198,13 +210,14 @@
 	}
 }
 
-func (s *Service) choose(now time.Time, caller netip.AddrPort, hops uint8, payload []byte) Action {
+// forwardNewFlow selects a host for a new flow within the limit on new flows.
+func (s *Service) forwardNewFlow(now time.Time, caller netip.AddrPort, hops uint8, payload []byte) Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.limit.Take(now) {
+	if !s.newFlowLimit.Allow(now) {
 		return Action{Reason: OverRate}
 	}
-	host, ok := s.set.Pick(now, s.rnd)
+	host, ok := s.hosts.Pick(now, s.rng)
 	if !ok {
 		return Action{Reason: NoHost}
 	}
@@ -217,7 +230,7 @@
 	}
 }
 
-// FromAgent decides on a datagram that came on the internal socket.
+// FromAgent decides what to do with a datagram received on the internal socket.
 func (t *Table) FromAgent(now time.Time, from netip.AddrPort, datagram []byte) Action {
 	h, payload, err := t.tagger.Decode(datagram)
 	if err != nil {
@@ -232,27 +245,29 @@
 	}
 	switch h.Kind {
 	case encap.Return:
-		s.observe(now, from, h)
+		s.recordLoad(now, from, h)
 		return Action{Verb: ToCaller, Peer: h.Caller, Header: h, Payload: payload}
 	case encap.Refused:
-		return s.rechoose(now, from, h, payload)
+		return s.reassignRefusedFlow(now, from, h, payload)
 	default:
 		return Action{Reason: BadKind}
 	}
 }
 
-func (s *Service) observe(now time.Time, from netip.AddrPort, h encap.Header) {
+// recordLoad applies the load report that a host sent with a returned datagram.
+func (s *Service) recordLoad(now time.Time, from netip.AddrPort, h encap.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set.Observe(now, from, choose.Reading{Open: int(h.Open), Busy: int(h.Busy)})
+	s.hosts.Observe(now, from, choose.Reading{Open: int(h.Open), Busy: int(h.Busy)})
 }
 
-func (s *Service) rechoose(now time.Time, from netip.AddrPort, h encap.Header, payload []byte) Action {
+// reassignRefusedFlow selects another host for a new flow that a host refused.
+func (s *Service) reassignRefusedFlow(now time.Time, from netip.AddrPort, h encap.Header, payload []byte) Action {
 	s.mu.Lock()
-	s.set.Refuse(now, from)
+	s.hosts.Refuse(now, from)
 	s.mu.Unlock()
 	if h.Hops >= MaxHops {
 		return Action{Reason: TooManyHops}
 	}
-	return s.choose(now, h.Caller, h.Hops, payload)
+	return s.forwardNewFlow(now, h.Caller, h.Hops, payload)
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -20,8 +20,8 @@
 		{Number: 1, Bytes: []byte("first secret of the tests")},
 		{Number: 2, Bytes: []byte("second secret of the tests")},
 	}
-	foreign = []route.Secret{{Number: 1, Bytes: []byte("a secret of another cluster")}}
-	caller  = netip.MustParseAddrPort("192.0.2.1:5000")
+	otherClusterSecrets = []route.Secret{{Number: 1, Bytes: []byte("a secret of another cluster")}}
+	caller              = netip.MustParseAddrPort("192.0.2.1:5000")
 )
 
 const services = 3
@@ -46,40 +46,41 @@
 	return table
 }
 
-// short is a 1-RTT packet with the connection ID.
-func short(id [route.Len]byte) []byte {
+// shortHeaderPacket returns a 1-RTT packet with the connection ID.
+func shortHeaderPacket(id [route.Len]byte) []byte {
 	return append([]byte{0x41}, append(id[:], make([]byte, 30)...)...)
 }
 
-// initial is a client's first packet with an ID of its own.
-func initial(id []byte) []byte {
+// initialPacket returns a client's Initial packet with a connection ID chosen by
+// the client.
+func initialPacket(id []byte) []byte {
 	b := append([]byte{0xc3, 0, 0, 0, 1, byte(len(id))}, id...)
 	return append(b, make([]byte, encap.MinInitialLen)...)
 }
 
-// agentWorld is the oracle: which host serves which service in which
-// incarnation, and the routes that were handed out.
-type agentWorld struct {
-	serves map[int]int // host to service
-	inc    map[int]route.Incarnation
-	flows  []flow
+// agentModel is the test's oracle: the service and the incarnation of each host,
+// and the flows whose routes were issued.
+type agentModel struct {
+	serves       map[int]int // service by host
+	incarnations map[int]route.Incarnation
+	flows        []flow
 }
 
 type flow struct {
-	id      [route.Len]byte
-	host    int
-	service int
-	inc     route.Incarnation
+	id          [route.Len]byte
+	host        int
+	service     int
+	incarnation route.Incarnation
 }
 
-// TestFlowsReachTheirAgentThroughAnyBalancer replaces balancers, drains,
-// relabels and restarts hosts in any order, with balancers that hold different
-// views, while packets reach any balancer. A flow's packet always goes to the
-// host of its route and to no other; and it is dropped at another service's
-// address. Points 1 and 2.
+// TestFlowsReachTheirAgentThroughAnyBalancer replaces balancers and relabels and
+// restarts hosts in random order, while packets arrive at random balancers whose
+// host lists differ. A packet of a flow must always go to the host of its route
+// and to no other, and must be dropped at another service's address. Guards
+// points 1 (streams survive planned changes) and 2 (never another service).
 func TestFlowsReachTheirAgentThroughAnyBalancer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := agentWorld{serves: map[int]int{}, inc: map[int]route.Incarnation{}}
+		model := agentModel{serves: map[int]int{}, incarnations: map[int]route.Incarnation{}}
 		codecs := map[int]*route.Codec{}
 		for i, list := range [][]route.Secret{secrets, {secrets[1], secrets[0]}} {
 			c, err := route.NewCodec(list)
@@ -93,13 +94,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"relabel or restart a host": func(t *rapid.T) {
 				h := drawHost(t)
-				w.serves[h] = rapid.IntRange(1, services).Draw(t, "service")
-				w.inc[h]++
+				model.serves[h] = rapid.IntRange(1, services).Draw(t, "service")
+				model.incarnations[h]++
 			},
-			"one balancer learns something": func(t *rapid.T) {
+			"one balancer receives a host list": func(t *rapid.T) {
 				var hosts []choose.Host
 				for h := 1; h <= 4; h++ {
-					if rapid.Bool().Draw(t, "knows") {
+					if rapid.Bool().Draw(t, "listed") {
 						hosts = append(hosts, choose.Host{Addr: hostAddr(h), Zone: "a", Capacity: 1})
 					}
 				}
@@ -111,23 +112,23 @@
 			},
 			"a flow begins": func(t *rapid.T) {
 				h := drawHost(t)
-				if w.serves[h] == 0 {
+				if model.serves[h] == 0 {
 					return
 				}
 				nonce++
-				f := flow{host: h, service: w.serves[h], inc: w.inc[h]}
-				r := route.Route{Host: hostAddr(h), Incarnation: f.inc, Service: route.ServiceID(f.service), Nonce: nonce}
+				f := flow{host: h, service: model.serves[h], incarnation: model.incarnations[h]}
+				r := route.Route{Host: hostAddr(h), Incarnation: f.incarnation, Service: route.ServiceID(f.service), Nonce: nonce}
 				require.NoError(t, codecs[rapid.IntRange(0, 1).Draw(t, "key")].Encode(r, &f.id))
-				w.flows = append(w.flows, f)
+				model.flows = append(model.flows, f)
 			},
 			"a packet of a flow": func(t *rapid.T) {
-				if len(w.flows) == 0 {
+				if len(model.flows) == 0 {
 					return
 				}
-				f := rapid.SampledFrom(w.flows).Draw(t, "flow")
+				f := rapid.SampledFrom(model.flows).Draw(t, "flow")
 				at := rapid.IntRange(1, services).Draw(t, "at")
 				b := balancer(t)
-				a := b.FromCaller(t0, b.Service(serviceAddr(at)), caller, short(f.id))
+				a := b.FromCaller(t0, b.Service(serviceAddr(at)), caller, shortHeaderPacket(f.id))
 				if at != f.service {
 					require.Equal(t, Action{Reason: WrongService}, a)
 					return
@@ -138,18 +139,18 @@
 				require.Equal(t, serviceAddr(f.service), a.Header.Service)
 			},
 			"a forged packet": func(t *rapid.T) {
-				if len(w.flows) == 0 {
+				if len(model.flows) == 0 {
 					return
 				}
-				f := rapid.SampledFrom(w.flows).Draw(t, "flow")
+				f := rapid.SampledFrom(model.flows).Draw(t, "flow")
 				bit := rapid.IntRange(0, route.Len*8-1).Draw(t, "bit")
 				f.id[bit/8] ^= 1 << (bit % 8)
 				b := balancer(t)
-				require.Equal(t, Action{Reason: NoRoute}, b.FromCaller(t0, b.Service(serviceAddr(f.service)), caller, short(f.id)))
+				require.Equal(t, Action{Reason: NoRoute}, b.FromCaller(t0, b.Service(serviceAddr(f.service)), caller, shortHeaderPacket(f.id)))
 			},
 			"a new flow": func(t *rapid.T) {
 				b, s := balancer(t), rapid.IntRange(1, services).Draw(t, "service")
-				a := b.FromCaller(t0, b.Service(serviceAddr(s)), caller, initial(rapid.SliceOfN(rapid.Byte(), 8, 20).Draw(t, "id")))
+				a := b.FromCaller(t0, b.Service(serviceAddr(s)), caller, initialPacket(rapid.SliceOfN(rapid.Byte(), 8, 20).Draw(t, "id")))
 				if a.Verb == ToHost {
 					require.True(t, a.NewFlow)
 					require.Equal(t, route.ServiceID(s), a.Header.ServiceID)
@@ -161,12 +162,14 @@
 	})
 }
 
-// TestForgedInternalDatagramsDoNothing gives a balancer datagrams that no agent
-// of the cluster made, or that speak of services it does not have. Point 2.
+// TestForgedInternalDatagramsDoNothing sends a balancer datagrams on its internal
+// socket that were tagged with another cluster's secret, name a service that it
+// does not have, or are of an unexpected kind. All must be dropped. Guards point
+// 2 (never another service).
 func TestForgedInternalDatagramsDoNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTable(t, secrets)
-		list := rapid.SampledFrom([][]route.Secret{secrets, foreign}).Draw(t, "secrets")
+		list := rapid.SampledFrom([][]route.Secret{secrets, otherClusterSecrets}).Draw(t, "secrets")
 		tagger, err := encap.NewTagger(list)
 		require.NoError(t, err)
 		h := encap.Header{
@@ -189,25 +192,27 @@
 	})
 }
 
+// A new flow that a host refused is sent to another host, until MaxHops hosts
+// have refused it.
 func TestRefusedFlowGoesElsewhere(t *testing.T) {
 	table := newTable(t, secrets)
 	tagger, err := encap.NewTagger(secrets)
 	require.NoError(t, err)
 	table.SetHosts(t0, 1, []choose.Host{{Addr: hostAddr(1), Capacity: 1}, {Addr: hostAddr(2), Capacity: 1}})
-	first := table.FromCaller(t0, table.Service(serviceAddr(1)), caller, initial(make([]byte, 8)))
+	first := table.FromCaller(t0, table.Service(serviceAddr(1)), caller, initialPacket(make([]byte, 8)))
 	require.Equal(t, ToHost, first.Verb)
 	h := first.Header
 	for hops := uint8(1); hops <= MaxHops; hops++ {
 		h.Kind, h.Hops = encap.Refused, hops
 		buf := append(make([]byte, encap.HeaderLen), first.Payload...)
 		require.NoError(t, tagger.Encode(buf, h))
-		again := table.FromAgent(t0, first.Peer, buf)
+		retried := table.FromAgent(t0, first.Peer, buf)
 		if hops == MaxHops {
-			require.Equal(t, Action{Reason: TooManyHops}, again)
+			require.Equal(t, Action{Reason: TooManyHops}, retried)
 			return
 		}
-		require.NotEqual(t, first.Peer, again.Peer, "not to the one that refused")
-		require.Equal(t, hops, again.Header.Hops)
+		require.NotEqual(t, first.Peer, retried.Peer, "sent to the host that refused it")
+		require.Equal(t, hops, retried.Header.Hops)
 	}
 }
 
@@ -216,13 +221,13 @@
 	table.SetServices([]Spec{{ID: 9, Address: serviceAddr(9)}}, 1, 10)
 	table.SetHosts(t0, 9, []choose.Host{{Addr: hostAddr(1), Capacity: 1}})
 	s := table.Service(serviceAddr(9))
-	taken := 0
+	forwarded := 0
 	for range 100 {
-		if table.FromCaller(t0, s, caller, initial(make([]byte, 8))).Verb == ToHost {
-			taken++
+		if table.FromCaller(t0, s, caller, initialPacket(make([]byte, 8))).Verb == ToHost {
+			forwarded++
 		}
 	}
-	require.Equal(t, 10, taken)
+	require.Equal(t, 10, forwarded)
 	require.Equal(t, Oversize, table.FromCaller(t0, s, caller, make([]byte, MaxDatagram+1)).Reason)
 	require.Equal(t, NotQUIC, table.FromCaller(t0, s, caller, nil).Reason)
 }
@@ -231,7 +236,7 @@
 	table := newTable(f, secrets)
 	table.SetHosts(t0, 1, []choose.Host{{Addr: hostAddr(1), Capacity: 1}})
 	s := table.Service(serviceAddr(1))
-	f.Add(initial(make([]byte, 8)))
+	f.Add(initialPacket(make([]byte, 8)))
 	f.Add([]byte{0x40, 1, 2})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a := table.FromCaller(t0, s, caller, b)
