--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -13,37 +13,38 @@
 
 var t0 = time.Unix(1_700_000_000, 0)
 
-func bal(i int) netip.AddrPort    { return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", i)) }
-func caller(i int) netip.AddrPort { return netip.MustParseAddrPort(fmt.Sprintf("192.0.2.%d:1", i)) }
+func balancer(i int) netip.AddrPort { return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", i)) }
+func caller(i int) netip.AddrPort   { return netip.MustParseAddrPort(fmt.Sprintf("192.0.2.%d:1", i)) }
 
-// TestAnswersFindALiveBalancer kills, stops and starts balancers while callers
-// speak through random live ones. Whatever happened, an agent that sends the
-// way QUIC does (the caller answers what arrives) gets a datagram through
-// within a bounded number of tries. Point 1, the way back.
+// TestAnswersFindALiveBalancer kills, stops and starts balancers while callers send
+// through random live ones. An agent that retransmits as QUIC does, to a caller
+// that answers whatever arrives, must get a datagram through a live balancer
+// within 60 attempts. Guards point 1 (streams survive planned changes) for the
+// path from agent to caller.
 func TestAnswersFindALiveBalancer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New(Defaults())
-		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		now := t0
 		live := map[int]bool{1: true, 2: true, 3: true}
 		anyLive := func() netip.AddrPort {
 			for {
-				if i := rnd.IntN(5) + 1; live[i] {
-					return bal(i)
+				if i := rng.IntN(5) + 1; live[i] {
+					return balancer(i)
 				}
 			}
 		}
-		// Another flow of the host keeps the balancers heard of.
-		busy := func() {
+		// Another flow of the host keeps all live balancers in the table.
+		refreshBalancers := func() {
 			for i := range live {
-				table.Observe(now, caller(9), bal(i))
+				table.Observe(now, caller(9), balancer(i))
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"caller speaks": func(t *rapid.T) {
+			"caller sends": func(t *rapid.T) {
 				table.Observe(now, caller(rapid.IntRange(1, 3).Draw(t, "caller")), anyLive())
 			},
-			"balancer dies": func(t *rapid.T) {
+			"balancer crashes": func(t *rapid.T) {
 				if len(live) > 1 {
 					delete(live, rapid.IntRange(1, 5).Draw(t, "balancer"))
 				}
@@ -55,7 +56,7 @@
 				i := rapid.IntRange(1, 5).Draw(t, "balancer")
 				if len(live) > 1 && live[i] {
 					delete(live, i)
-					table.Leave(bal(i))
+					table.Leave(balancer(i))
 				}
 			},
 			"balancer joins": func(t *rapid.T) { live[rapid.IntRange(1, 5).Draw(t, "balancer")] = true },
@@ -64,15 +65,15 @@
 				table.Sweep(now)
 			},
 			"agent sends": func(t *rapid.T) {
-				busy()
+				refreshBalancers()
 				c := caller(rapid.IntRange(1, 3).Draw(t, "caller"))
-				// Probes double from 100 ms as QUIC's do.
+				// The interval between probes doubles from 100 ms, as in QUIC.
 				wait := 100 * time.Millisecond
 				for range 60 {
-					b, ok := table.Choose(now, rnd, c)
+					b, ok := table.Choose(now, rng, c)
 					require.True(t, ok)
 					for i := range live {
-						if bal(i) == b {
+						if balancer(i) == b {
 							table.Observe(now, c, anyLive())
 							return
 						}
@@ -80,25 +81,27 @@
 					now = now.Add(wait)
 					wait = min(2*wait, time.Second)
 					table.Sweep(now)
-					busy()
+					refreshBalancers()
 				}
-				t.Fatal("60 probes, none got through")
+				t.Fatal("none of 60 probes reached a live balancer")
 			},
 		})
 	})
 }
 
+// Within ReplyTimeout of the caller's latest datagram, a flow stays on its
+// balancer however many datagrams are sent.
 func TestSteadyFlowKeepsItsBalancer(t *testing.T) {
 	table := New(Defaults())
-	rnd := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	for i := 1; i <= 3; i++ {
-		table.Observe(t0, caller(9), bal(i))
+		table.Observe(t0, caller(9), balancer(i))
 	}
-	table.Observe(t0, caller(1), bal(2))
+	table.Observe(t0, caller(1), balancer(2))
 	for range 100 {
-		b, ok := table.Choose(t0.Add(100*time.Millisecond), rnd, caller(1))
+		b, ok := table.Choose(t0.Add(100*time.Millisecond), rng, caller(1))
 		require.True(t, ok)
-		require.Equal(t, bal(2), b)
+		require.Equal(t, balancer(2), b)
 	}
 }
 
@@ -109,14 +112,14 @@
 		table.Observe(t0, c, netip.AddrPortFrom(c.Addr(), uint16(i)))
 	}
 	require.Equal(t, MaxFlows, table.Flows())
-	require.Len(t, table.heard, MaxBalancers)
+	require.Len(t, table.lastSeen, MaxBalancers)
 	table.Sweep(t0.Add(time.Hour))
 	require.Zero(t, table.Flows())
 	require.Empty(t, table.live)
 	_, ok := table.Choose(t0, rand.New(rand.NewPCG(1, 1)), caller(1))
 	require.False(t, ok)
-	table.SetKnown([]netip.AddrPort{bal(1)})
+	table.SetKnown([]netip.AddrPort{balancer(1)})
 	b, ok := table.Choose(t0, rand.New(rand.NewPCG(1, 1)), caller(1))
 	require.True(t, ok)
-	require.Equal(t, bal(1), b)
+	require.Equal(t, balancer(1), b)
 }
