--- a/relay/datagrams.go
+++ b/relay/datagrams.go
@@ -9,61 +9,67 @@
 	"github.com/go-faster/errors"
 )
 
-// Datagrams is a UDP socket that moves one datagram a call, for the rates of a
-// node with a small share of a core. It is safe for concurrent use.
+// Datagrams is a UDP socket that sends or receives one datagram per system call,
+// for nodes whose packet rate takes a small share of a core. It is safe for
+// concurrent use.
 type Datagrams struct {
 	conn *net.UDPConn
 
-	// mu guards out, the scratch space in which head and packet are joined.
-	mu  sync.Mutex
-	out []byte
+	// mu guards sendBuffer, in which Send joins header and packet.
+	mu         sync.Mutex
+	sendBuffer []byte
 }
 
-// maxDatagram bounds what is read: an envelope, a packet and some room.
-const maxDatagram = 4096
+// datagramBufferSize is the size in bytes of the receive buffer and the initial
+// size of the send buffer. It exceeds the largest datagram, an envelope with a
+// packet.
+const datagramBufferSize = 4096
 
-// OpenDatagrams opens a socket on the address.
+// OpenDatagrams binds a socket to the address.
 func OpenDatagrams(address netip.AddrPort) (*Datagrams, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
 	}
-	// The kernel caps the sizes; a smaller buffer costs drops under bursts, not
-	// correctness.
-	_ = conn.SetReadBuffer(socketBuffer)
-	_ = conn.SetWriteBuffer(socketBuffer)
-	return &Datagrams{conn: conn, out: make([]byte, 0, maxDatagram)}, nil
+	// The kernel may cap the sizes. A smaller buffer drops more datagrams in
+	// bursts but does not affect correctness.
+	_ = conn.SetReadBuffer(socketBufferSize)
+	_ = conn.SetWriteBuffer(socketBufferSize)
+	return &Datagrams{conn: conn, sendBuffer: make([]byte, 0, datagramBufferSize)}, nil
 }
 
 // Addr returns the bound address.
 func (d *Datagrams) Addr() netip.AddrPort { return d.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Send sends head and packet as one datagram. A datagram that the kernel does
-// not take is lost like any other; the error is for counting.
-func (d *Datagrams) Send(to netip.AddrPort, head, packet []byte) error {
-	if len(head) == 0 {
+// Send sends header and packet as one datagram. The caller may ignore the error
+// or count it: a datagram that the kernel rejects is lost like one dropped by the
+// network.
+func (d *Datagrams) Send(to netip.AddrPort, header, packet []byte) error {
+	if len(header) == 0 {
 		_, err := d.conn.WriteToUDPAddrPort(packet, to)
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.out = append(append(d.out[:0], head...), packet...)
-	_, err := d.conn.WriteToUDPAddrPort(d.out, to)
+	d.sendBuffer = append(append(d.sendBuffer[:0], header...), packet...)
+	_, err := d.conn.WriteToUDPAddrPort(d.sendBuffer, to)
 	return err
 }
 
-// Serve hands each datagram to handle until ctx ends; the slice is reused.
+// Serve calls handle for each received datagram until ctx is done. The slice is
+// valid only during the call.
 func (d *Datagrams) Serve(ctx context.Context, handle func(from netip.AddrPort, datagram []byte)) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.conn.Close() })
 	defer stop()
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, datagramBufferSize)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			// A refusal of an earlier datagram is reported here; the socket goes on.
+			// The kernel may report here that an earlier datagram was refused; the
+			// socket remains usable.
 			continue
 		}
 		handle(from, buf[:n])
--- a/relay/encap/encap.go
+++ b/relay/encap/encap.go
@@ -1,11 +1,11 @@
-// Package encap frames datagrams between balancers and agents.
+// Package encap encapsulates datagrams between balancers and agents.
 //
-// Each datagram is preceded by a PROXY protocol version 2 header (UDP over
-// IPv4) that names the caller and the service address, and by one TLV of a
-// custom type with a keyed tag, the direction and the host's load reading. The
-// layout is fixed, so that encoding and decoding are a few stores and loads
-// (BenchmarkDecode compares with a general PROXY library); any PROXY version 2
-// parser can still read it.
+// Each payload is preceded by a PROXY protocol version 2 header (UDP over IPv4)
+// that contains the addresses of the caller and the service, and by one TLV of a
+// custom type with the datagram's kind, the host's load report and an
+// authentication tag. The layout is fixed, so that encoding and decoding take a
+// few stores and loads (BenchmarkDecode compares them with a general PROXY
+// library). Any PROXY version 2 parser can still read it.
 package encap
 
 import (
@@ -20,14 +20,14 @@
 
 // Fixed layout in bytes, PROXY protocol section 2.2.
 const (
-	signatureLen = 12
-	addressesAt  = 16
-	tlvAt        = addressesAt + 12
-	valueAt      = tlvAt + 3
-	tagAt        = valueAt + 10
+	signatureLen    = 12
+	addressesOffset = 16
+	tlvOffset       = addressesOffset + 12
+	valueOffset     = tlvOffset + 3
+	tagOffset       = valueOffset + 10
 
 	// HeaderLen is the number of bytes in front of each payload.
-	HeaderLen = tagAt + 8
+	HeaderLen = tagOffset + 8
 
 	versionCommand = 0x21 // version 2, PROXY
 	familyUDP4     = 0x12 // AF_INET, DGRAM
@@ -37,7 +37,7 @@
 
 var signature = [signatureLen]byte{0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D, 0x0A, 0x51, 0x55, 0x49, 0x54, 0x0A}
 
-// Kind tells what a datagram between a balancer and an agent is.
+// Kind is the type of a datagram between a balancer and an agent.
 type Kind uint8
 
 const (
@@ -45,44 +45,48 @@
 	Forward Kind = 1
 	// Return carries an agent's datagram to a caller.
 	Return Kind = 2
-	// Refused hands a new flow back to the balancer: the agent takes none.
+	// Refused returns a new flow to the balancer because the agent accepts no
+	// new flows.
 	Refused Kind = 3
-	// Leaving tells an agent that the sending balancer is stopping.
+	// Leaving announces to an agent that the sending balancer is stopping.
 	Leaving Kind = 4
 )
 
-// Header is the decoded form of the bytes in front of a payload.
+// Header is the decoded header of a datagram.
 type Header struct {
 	Caller  netip.AddrPort
 	Service netip.AddrPort
 	Kind    Kind
-	// Hops counts the agents that refused this new flow already.
+	// Hops is the number of agents that have refused this new flow.
 	Hops uint8
-	// ServiceID is the service a Forward of a new flow was chosen for, or
-	// the one a Return or Refused speaks of.
+	// ServiceID is the service for which the host of a Forward was selected, or
+	// the service of a Return or Refused datagram's flow.
 	ServiceID route.ServiceID
-	// Open is the host's open flows of the service, on Return and Refused.
+	// Open is the number of the service's open flows at the host, set on Return
+	// and Refused.
 	Open uint16
-	// Busy is the host's load in thousandths of its limit, on Return.
+	// Busy is the host's load in thousandths of its limit, set on Return.
 	Busy uint16
-	// Capacity is the number of ready slots of the service at the host.
+	// Capacity is the number of the service's ready slots at the host.
 	Capacity uint16
 }
 
-// Errors of Decode.
+// Errors returned by Decode.
 var (
 	ErrShort   = errors.New("datagram is shorter than its header")
 	ErrFormat  = errors.New("datagram header is malformed")
-	ErrTag     = errors.New("datagram tag does not verify")
+	ErrTag     = errors.New("datagram tag is invalid")
 	errAddress = errors.New("datagram address is not IPv4")
 )
 
-// Tagger computes tags. It is immutable and safe for concurrent use.
+// Tagger computes and verifies authentication tags. It is immutable and safe for
+// concurrent use.
 type Tagger struct{ keys []tagKey }
 
 type tagKey struct{ k0, k1 uint64 }
 
-// NewTagger derives the tag keys; the first secret signs, all verify.
+// NewTagger returns a Tagger that computes tags with the first secret and accepts
+// tags made with any of them.
 func NewTagger(secrets []route.Secret) (*Tagger, error) {
 	t := &Tagger{}
 	for _, s := range secrets {
@@ -98,8 +102,8 @@
 	return t, nil
 }
 
-// Encode writes the header into the first HeaderLen bytes of buf, whose rest
-// is the payload. The tag covers the header and the payload's first bytes.
+// Encode writes the header into the first HeaderLen bytes of buf; the payload
+// follows them. The tag covers the header and the first bytes of the payload.
 func (t *Tagger) Encode(buf []byte, h Header) error {
 	if len(buf) < HeaderLen {
 		return ErrShort
@@ -109,21 +113,21 @@
 	}
 	copy(buf, signature[:])
 	buf[12], buf[13] = versionCommand, familyUDP4
-	binary.BigEndian.PutUint16(buf[14:], HeaderLen-addressesAt)
-	putAddresses(buf[addressesAt:], h)
-	buf[tlvAt] = tlvType
-	binary.BigEndian.PutUint16(buf[tlvAt+1:], tlvLen)
-	v := buf[valueAt:]
+	binary.BigEndian.PutUint16(buf[14:], HeaderLen-addressesOffset)
+	putAddresses(buf[addressesOffset:], h)
+	buf[tlvOffset] = tlvType
+	binary.BigEndian.PutUint16(buf[tlvOffset+1:], tlvLen)
+	v := buf[valueOffset:]
 	v[0], v[1] = byte(h.Kind), h.Hops
 	binary.BigEndian.PutUint16(v[2:], uint16(h.ServiceID))
 	binary.BigEndian.PutUint16(v[4:], h.Open)
 	binary.BigEndian.PutUint16(v[6:], h.Busy)
 	binary.BigEndian.PutUint16(v[8:], h.Capacity)
-	binary.BigEndian.PutUint64(buf[tagAt:], t.keys[0].sum(buf))
+	binary.BigEndian.PutUint64(buf[tagOffset:], t.keys[0].tag(buf))
 	return nil
 }
 
-// Decode verifies a datagram and splits it into header and payload, which
+// Decode verifies a datagram and returns its header and its payload. The payload
 // aliases buf.
 func (t *Tagger) Decode(buf []byte) (Header, []byte, error) {
 	if len(buf) < HeaderLen {
@@ -135,7 +139,7 @@
 	if !t.verify(buf) {
 		return Header{}, nil, ErrTag
 	}
-	a, v := buf[addressesAt:], buf[valueAt:]
+	a, v := buf[addressesOffset:], buf[valueOffset:]
 	h := Header{
 		Caller:    netip.AddrPortFrom(netip.AddrFrom4([4]byte(a[0:4])), binary.BigEndian.Uint16(a[8:])),
 		Service:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(a[4:8])), binary.BigEndian.Uint16(a[10:])),
@@ -157,6 +161,8 @@
 	binary.BigEndian.PutUint16(a[10:], h.Service.Port())
 }
 
+// wellFormed reports whether all constant bytes of the header have their expected
+// values.
 func wellFormed(buf []byte) bool {
 	if [signatureLen]byte(buf) != signature {
 		return false
@@ -164,30 +170,31 @@
 	if buf[12] != versionCommand || buf[13] != familyUDP4 {
 		return false
 	}
-	if binary.BigEndian.Uint16(buf[14:]) != HeaderLen-addressesAt {
+	if binary.BigEndian.Uint16(buf[14:]) != HeaderLen-addressesOffset {
 		return false
 	}
-	return buf[tlvAt] == tlvType && binary.BigEndian.Uint16(buf[tlvAt+1:]) == tlvLen
+	return buf[tlvOffset] == tlvType && binary.BigEndian.Uint16(buf[tlvOffset+1:]) == tlvLen
 }
 
 func (t *Tagger) verify(buf []byte) bool {
-	tag := binary.BigEndian.Uint64(buf[tagAt:])
+	tag := binary.BigEndian.Uint64(buf[tagOffset:])
 	for _, k := range t.keys {
-		if k.sum(buf) == tag {
+		if k.tag(buf) == tag {
 			return true
 		}
 	}
 	return false
 }
 
-// tagPayload is how many payload bytes the tag covers: enough to bind the tag
-// to one QUIC packet's header and the start of its protected payload. QUIC
-// itself authenticates the rest.
-const tagPayload = 48
+// taggedPayloadLen is the number of payload bytes that the tag covers: enough to
+// bind it to the header of one QUIC packet and the start of its protected
+// payload. QUIC itself authenticates the rest.
+const taggedPayloadLen = 48
 
-func (k tagKey) sum(buf []byte) uint64 {
-	var covered [tagAt + tagPayload]byte
-	n := copy(covered[:], buf[:tagAt])
+// tag returns the authentication tag of the datagram in buf.
+func (k tagKey) tag(buf []byte) uint64 {
+	var covered [tagOffset + taggedPayloadLen]byte
+	n := copy(covered[:], buf[:tagOffset])
 	n += copy(covered[n:], buf[HeaderLen:])
 	return siphash.Hash(k.k0, k.k1, covered[:n])
 }
--- a/relay/encap/encap_test.go
+++ b/relay/encap/encap_test.go
@@ -42,23 +42,26 @@
 	}
 }
 
-func TestHeaderRoundTripAndForgeryIsRefused(t *testing.T) {
-	tagger, foreign := newTagger(t, testSecret), newTagger(t, otherSecret)
+// A decoded datagram equals the encoded one, also under a secret that is not the
+// first. A tag made with another secret and a flipped bit in the header or in the
+// covered part of the payload are rejected.
+func TestHeaderRoundTripAndForgeryDetection(t *testing.T) {
+	tagger, otherTagger := newTagger(t, testSecret), newTagger(t, otherSecret)
 	both := newTagger(t, otherSecret, testSecret)
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHeader(t)
 		payload := rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(t, "payload")
 		buf := append(make([]byte, HeaderLen), payload...)
 		require.NoError(t, tagger.Encode(buf, h))
-		for _, ok := range []*Tagger{tagger, both} {
-			got, rest, err := ok.Decode(buf)
+		for _, accepting := range []*Tagger{tagger, both} {
+			got, rest, err := accepting.Decode(buf)
 			require.NoError(t, err)
 			require.Equal(t, h, got)
 			require.True(t, bytes.Equal(payload, rest))
 		}
-		_, _, err := foreign.Decode(buf)
+		_, _, err := otherTagger.Decode(buf)
 		require.Error(t, err)
-		covered := min(len(buf), HeaderLen+tagPayload)
+		covered := min(len(buf), HeaderLen+taggedPayloadLen)
 		bit := rapid.IntRange(0, covered*8-1).Draw(t, "bit")
 		buf[bit/8] ^= 1 << (bit % 8)
 		_, _, err = tagger.Decode(buf)
@@ -66,7 +69,7 @@
 	})
 }
 
-// TestHeaderIsPROXYv2 reads our fixed layout with a general PROXY library.
+// TestHeaderIsPROXYv2 parses the fixed layout with a general PROXY library.
 func TestHeaderIsPROXYv2(t *testing.T) {
 	tagger := newTagger(t, testSecret)
 	rapid.Check(t, func(t *rapid.T) {
@@ -88,19 +91,19 @@
 
 func FuzzDecode(f *testing.F) {
 	tagger := newTagger(f, testSecret)
-	good := make([]byte, HeaderLen+20)
+	valid := make([]byte, HeaderLen+20)
 	h := Header{Caller: netip.MustParseAddrPort("10.0.0.1:1"), Service: netip.MustParseAddrPort("10.0.0.2:2"), Kind: Forward}
-	require.NoError(f, tagger.Encode(good, h))
-	f.Add(good)
-	f.Add(good[:HeaderLen-1])
+	require.NoError(f, tagger.Encode(valid, h))
+	f.Add(valid)
+	f.Add(valid[:HeaderLen-1])
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, payload, err := tagger.Decode(b)
 		if err != nil {
 			return
 		}
-		again := append(make([]byte, HeaderLen), payload...)
-		require.NoError(t, tagger.Encode(again, got))
-		require.Equal(t, again, b)
+		reencoded := append(make([]byte, HeaderLen), payload...)
+		require.NoError(t, tagger.Encode(reencoded, got))
+		require.Equal(t, reencoded, b)
 	})
 }
 
--- a/relay/socket.go
+++ b/relay/socket.go
@@ -1,5 +1,5 @@
-// Package relay is the thin shell around datagram sockets: batch reads and
-// writes with room for a header in front, nothing decided here.
+// Package relay provides UDP sockets with batched reads and writes whose buffers
+// reserve headroom for an encapsulation header. It makes no forwarding decisions.
 package relay
 
 import (
@@ -17,12 +17,15 @@
 )
 
 const (
-	// BatchSize is the number of datagrams moved by one system call.
+	// BatchSize is the maximum number of datagrams sent or received by one
+	// system call.
 	BatchSize = 64
-	// bufferLen is the room for one datagram after its headroom.
-	bufferLen = 1536
-	// socketBuffer is asked of the kernel for each direction, in bytes.
-	socketBuffer = 4 << 20
+	// payloadBufferLen is the size in bytes of a receive buffer after its
+	// headroom.
+	payloadBufferLen = 1536
+	// socketBufferSize is the kernel buffer size requested for each direction,
+	// in bytes.
+	socketBufferSize = 4 << 20
 )
 
 // Socket is a UDP socket with batch I/O.
@@ -32,25 +35,26 @@
 	addr  netip.AddrPort
 }
 
-// Spray selects how the kernel hands datagrams to sockets that share an
-// address: the stand-in for the platform's fabric. Zero members is no sharing.
+// Spray configures how the kernel distributes datagrams among sockets that share
+// an address. It stands in for the platform's network fabric. With zero members
+// the address is not shared.
 type Spray struct {
 	// Members is the number of sockets that will share the address.
 	Members int
 }
 
-// Listen opens a socket on the address.
+// Listen binds a socket to the address.
 func Listen(address netip.AddrPort, spray Spray) (*Socket, error) {
-	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error { return share(c, spray) }}
+	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error { return setReusePort(c, spray) }}
 	pc, err := lc.ListenPacket(context.Background(), "udp4", address.String())
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
 	}
 	conn := pc.(*net.UDPConn)
-	// The kernel caps the sizes; a smaller buffer costs drops under bursts,
-	// not correctness.
-	_ = conn.SetReadBuffer(socketBuffer)
-	_ = conn.SetWriteBuffer(socketBuffer)
+	// The kernel may cap the sizes. A smaller buffer drops more datagrams in
+	// bursts but does not affect correctness.
+	_ = conn.SetReadBuffer(socketBufferSize)
+	_ = conn.SetWriteBuffer(socketBufferSize)
 	if err := attachSpray(conn, spray); err != nil {
 		_ = conn.Close()
 		return nil, errors.Wrapf(err, "spray on %s", address)
@@ -59,17 +63,19 @@
 	return &Socket{conn: conn, batch: ipv4.NewPacketConn(conn), addr: local}, nil
 }
 
-// share lets several sockets bind the address.
-func share(c syscall.RawConn, spray Spray) error {
+// setReusePort allows several sockets to bind to the same address if spray has
+// members.
+func setReusePort(c syscall.RawConn, spray Spray) error {
 	if spray.Members <= 0 {
 		return nil
 	}
-	return control(c, func(fd int) error {
+	return withFD(c, func(fd int) error {
 		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
 }
 
-func control(c syscall.RawConn, f func(fd int) error) error {
+// withFD calls f with the file descriptor of the connection.
+func withFD(c syscall.RawConn, f func(fd int) error) error {
 	var opErr error
 	if err := c.Control(func(fd uintptr) { opErr = f(int(fd)) }); err != nil {
 		return err
@@ -77,11 +83,12 @@
 	return opErr
 }
 
-// attachSpray makes the kernel pick a random socket of the group for every
-// datagram: rand() modulo members. A number past the group, as after a death,
-// falls back to the kernel's own choice. The socket must be bound already: one
-// that has a program before it is bound counts as a group of its own, and the
-// kernel refuses it the address.
+// attachSpray attaches a BPF program that selects a random socket of the reuseport
+// group for each datagram: rand() modulo members. An index past the end of the
+// group, as after a member has terminated, makes the kernel select a socket
+// itself. The socket must already be bound: one that has a program attached before
+// bind forms a group of its own, and the kernel rejects its bind to a shared
+// address.
 func attachSpray(conn *net.UDPConn, spray Spray) error {
 	if spray.Members <= 0 {
 		return nil
@@ -103,7 +110,7 @@
 		return err
 	}
 	prog := unix.SockFprog{Len: uint16(len(filters)), Filter: &filters[0]}
-	return control(c, func(fd int) error {
+	return withFD(c, func(fd int) error {
 		return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &prog)
 	})
 }
@@ -111,7 +118,7 @@
 // Addr returns the bound address.
 func (s *Socket) Addr() netip.AddrPort { return s.addr }
 
-// Close closes the socket; a Read in progress returns an error.
+// Close closes the socket. A Read in progress returns an error.
 func (s *Socket) Close() error { return s.conn.Close() }
 
 // Datagram is one received datagram.
@@ -119,46 +126,48 @@
 	From netip.AddrPort
 	// Payload is valid until the next Read into the same Batch.
 	Payload []byte
-	// room is the buffer that Payload lies in, with the headroom before it.
-	room []byte
+	// buffer contains the headroom followed by Payload.
+	buffer []byte
 }
 
-// WithHeader returns the buffer of a payload that ends this datagram,
-// preceded by encap.HeaderLen free bytes.
+// WithHeader returns a slice of the receive buffer that contains payload preceded
+// by encap.HeaderLen bytes for a header. The payload must be a suffix of the
+// datagram.
 func (d *Datagram) WithHeader(payload []byte) []byte {
-	end := len(d.room)
-	return d.room[end-len(payload)-encap.HeaderLen : end]
+	end := len(d.buffer)
+	return d.buffer[end-len(payload)-encap.HeaderLen : end]
 }
 
-// Batch is the memory of one batch in and one batch out. Sockets share batches
-// through a pool, so that memory grows with the workers, not with the sockets.
+// Batch holds the buffers of one receive batch and one send batch. Sockets share
+// batches through a pool, so that memory grows with the number of workers and not
+// with the number of sockets.
 type Batch struct {
-	in      []ipv4.Message
-	buffers [][]byte
-	read    []Datagram
+	inMessages []ipv4.Message
+	inBuffers  [][]byte
+	received   []Datagram
 
-	out    []ipv4.Message
-	addrs  []net.UDPAddr
-	ips    [][4]byte
-	queued int
-	// via is the socket that the queued datagrams leave through.
-	via *Socket
+	outMessages []ipv4.Message
+	outAddrs    []net.UDPAddr
+	outIPs      [][4]byte
+	queued      int
+	// outSocket is the socket that sends the queued datagrams.
+	outSocket *Socket
 }
 
 // NewBatch allocates a batch.
 func NewBatch() *Batch {
 	b := &Batch{
-		in:      make([]ipv4.Message, BatchSize),
-		buffers: make([][]byte, BatchSize),
-		out:     make([]ipv4.Message, BatchSize),
-		addrs:   make([]net.UDPAddr, BatchSize),
-		ips:     make([][4]byte, BatchSize),
+		inMessages:  make([]ipv4.Message, BatchSize),
+		inBuffers:   make([][]byte, BatchSize),
+		outMessages: make([]ipv4.Message, BatchSize),
+		outAddrs:    make([]net.UDPAddr, BatchSize),
+		outIPs:      make([][4]byte, BatchSize),
 	}
-	for i := range b.in {
-		b.buffers[i] = make([]byte, encap.HeaderLen+bufferLen)
-		b.in[i].Buffers = [][]byte{b.buffers[i][encap.HeaderLen:]}
-		b.out[i].Buffers = make([][]byte, 1)
-		b.out[i].Addr = &b.addrs[i]
+	for i := range b.inMessages {
+		b.inBuffers[i] = make([]byte, encap.HeaderLen+payloadBufferLen)
+		b.inMessages[i].Buffers = [][]byte{b.inBuffers[i][encap.HeaderLen:]}
+		b.outMessages[i].Buffers = make([][]byte, 1)
+		b.outMessages[i].Addr = &b.outAddrs[i]
 	}
 	return b
 }
@@ -169,11 +178,12 @@
 	if err != nil {
 		return err
 	}
-	return raw.Read(pollIn)
+	return raw.Read(pollReadable)
 }
 
-// pollIn looks, without waiting, whether there is something to read.
-func pollIn(fd uintptr) bool {
+// pollReadable reports, without blocking, whether fd is readable or polling it
+// fails.
+func pollReadable(fd uintptr) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	n, err := unix.Poll(fds, 0)
 	return err != nil || n > 0
@@ -181,47 +191,48 @@
 
 // Read receives one batch, valid until the next Read into the same Batch.
 func (s *Socket) Read(b *Batch) ([]Datagram, error) {
-	n, err := s.batch.ReadBatch(b.in, 0)
+	n, err := s.batch.ReadBatch(b.inMessages, 0)
 	if err != nil {
 		return nil, err
 	}
-	b.read = b.read[:0]
+	b.received = b.received[:0]
 	for i := range n {
-		m := &b.in[i]
+		m := &b.inMessages[i]
 		from, ok := m.Addr.(*net.UDPAddr)
 		if !ok {
 			continue
 		}
-		whole := b.buffers[i][:encap.HeaderLen+m.N]
+		buffer := b.inBuffers[i][:encap.HeaderLen+m.N]
 		ap := netip.AddrPortFrom(from.AddrPort().Addr().Unmap(), from.AddrPort().Port())
-		b.read = append(b.read, Datagram{From: ap, Payload: whole[encap.HeaderLen:], room: whole})
+		b.received = append(b.received, Datagram{From: ap, Payload: buffer[encap.HeaderLen:], buffer: buffer})
 	}
-	return b.read, nil
+	return b.received, nil
 }
 
-// Queue adds a datagram to leave through via; buf must stay untouched until
-// Flush. It returns how many datagrams were lost by a flush that it forced.
-func (b *Batch) Queue(via *Socket, to netip.AddrPort, buf []byte) int {
+// Queue adds a datagram to be sent through socket. buf must not be modified until
+// Flush. A full batch, or one of another socket, is flushed first; Queue returns
+// the number of datagrams lost in that flush.
+func (b *Batch) Queue(socket *Socket, to netip.AddrPort, buf []byte) int {
 	lost := 0
-	if b.queued == BatchSize || (b.queued > 0 && b.via != via) {
+	if b.queued == BatchSize || (b.queued > 0 && b.outSocket != socket) {
 		lost = b.Flush()
 	}
 	i := b.queued
-	b.via = via
-	b.ips[i] = to.Addr().As4()
-	b.addrs[i].IP = b.ips[i][:]
-	b.addrs[i].Port = int(to.Port())
-	b.out[i].Buffers[0] = buf
+	b.outSocket = socket
+	b.outIPs[i] = to.Addr().As4()
+	b.outAddrs[i].IP = b.outIPs[i][:]
+	b.outAddrs[i].Port = int(to.Port())
+	b.outMessages[i].Buffers[0] = buf
 	b.queued++
 	return lost
 }
 
-// Flush sends what is queued and returns how many datagrams were lost. One
-// that the kernel refuses is skipped: QUIC repairs losses.
+// Flush sends the queued datagrams and returns the number of those lost. A
+// datagram that the kernel rejects is skipped, as QUIC recovers from loss.
 func (b *Batch) Flush() int {
 	lost := 0
 	for off := 0; off < b.queued; {
-		n, err := b.via.batch.WriteBatch(b.out[off:b.queued], 0)
+		n, err := b.outSocket.batch.WriteBatch(b.outMessages[off:b.queued], 0)
 		if err != nil || n == 0 {
 			lost++
 			n = 1
@@ -232,7 +243,7 @@
 	return lost
 }
 
-// WriteTo sends one datagram; it is safe for concurrent use.
+// WriteTo sends one datagram. It is safe for concurrent use.
 func (s *Socket) WriteTo(buf []byte, to netip.AddrPort) error {
 	_, err := s.conn.WriteToUDPAddrPort(buf, to)
 	return err
--- a/relay/socket_test.go
+++ b/relay/socket_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSprayReachesEveryMember: sockets share one address and the kernel gives
-// each datagram of one caller to a random one. With the program attached before
-// the bind, the second socket was refused the address.
-func TestSprayReachesEveryMember(t *testing.T) {
+// Sockets share one address and the kernel delivers each datagram of one caller
+// to a random one. Guards against attaching the BPF program before bind, which
+// made the bind of the second socket fail.
+func TestSprayDistributesDatagramsToAllSockets(t *testing.T) {
 	const members, datagrams = 3, 300
 	first, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), Spray{Members: members})
 	require.NoError(t, err)
@@ -43,17 +43,20 @@
 	require.Equal(t, datagrams, total)
 }
 
-// readable looks without waiting: on loopback what was sent has arrived.
+// readable reports without blocking whether a datagram is queued. On loopback a
+// datagram is queued once its send has returned.
 func (s *Socket) readable(t *testing.T) bool {
 	t.Helper()
 	raw, err := s.conn.SyscallConn()
 	require.NoError(t, err)
 	ready := false
-	require.NoError(t, raw.Control(func(fd uintptr) { ready = pollIn(fd) }))
+	require.NoError(t, raw.Control(func(fd uintptr) { ready = pollReadable(fd) }))
 	return ready
 }
 
-func TestBatchKeepsHeaderRoom(t *testing.T) {
+// Datagrams of more than one batch arrive in order, and each received payload has
+// headroom for a header in front of it.
+func TestBatchKeepsOrderAndHeaderHeadroom(t *testing.T) {
 	a, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), Spray{})
 	require.NoError(t, err)
 	b, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), Spray{})
