--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,8 +1,9 @@
-// Package verdict answers one question about a request: may it have run?
+// Package verdict describes whether a request may have been executed.
 //
 // Every error that crosses a module boundary on the request path carries a
-// Verdict, so that a caller is told "not run" only when that is certain
-// (brief: "When a counter is told a hold was not run, it was not run").
+// Verdict, so that NotRun is reported to a caller only when it is certain. This
+// is a requirement of the project's brief: "When a counter is told a hold was not
+// run, it was not run".
 package verdict
 
 import (
@@ -15,25 +16,25 @@
 	"github.com/go-faster/errors"
 )
 
-// Verdict states what is known about the execution of a request.
+// Verdict states whether a request was executed, as far as that is known.
 type Verdict uint8
 
 const (
-	// Unknown means the request may or may not have run. It is the zero value:
-	// forgetting to decide never claims more than is known.
+	// Unknown means that the request may or may not have run. It is the zero
+	// value, so that an error whose verdict was never set claims nothing.
 	Unknown Verdict = iota
-	// NotRun means no byte of the request reached a target.
+	// NotRun means that no byte of the request reached a target.
 	NotRun
-	// Ran means a target has answered the request.
+	// Ran means that a target answered the request.
 	Ran
 )
 
 // Header names of the verdict on an HTTP response.
 const (
-	// HeaderVerdict carries the verdict's String form. The agent removes it
-	// from targets' answers, so that only the agent can state it.
+	// HeaderVerdict contains the String form of the verdict. The agent removes
+	// it from responses of targets, so that only the agent can set it.
 	HeaderVerdict = "Poppywall-Verdict"
-	// HeaderReason carries the machine-readable cause of a refusal.
+	// HeaderReason contains the machine-readable cause of a refusal.
 	HeaderReason = "Poppywall-Reason"
 	// HeaderRetryAfter is Retry-After in whole seconds (RFC 9110 section 10.2.3).
 	HeaderRetryAfter = "Retry-After"
@@ -51,7 +52,7 @@
 	}
 }
 
-// Parse reads the wire form; anything unrecognised is Unknown.
+// Parse returns the verdict of a wire form, or Unknown if it is not recognised.
 func Parse(s string) Verdict {
 	switch s {
 	case "not-run":
@@ -63,17 +64,18 @@
 	}
 }
 
-// Error is a failed request together with its verdict.
+// Error is the failure of a request together with its verdict.
 type Error struct {
-	// Verdict tells whether the request may have run.
+	// Verdict states whether the request may have run.
 	Verdict Verdict
 	// Status is the HTTP status that reports the failure.
 	Status int
 	// Reason is a short machine-readable cause such as "overloaded".
 	Reason string
-	// RetryAfter tells when to come back; zero means not stated.
+	// RetryAfter is how long the client should wait before it retries; zero
+	// means unspecified.
 	RetryAfter time.Duration
-	// Err is the underlying error, may be nil.
+	// Err is the underlying error. It may be nil.
 	Err error
 }
 
@@ -89,7 +91,8 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the verdict carried by err; an error without one is Unknown.
+// Of returns the verdict of the *Error that err wraps, or Unknown if there is
+// none.
 func Of(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
@@ -98,7 +101,8 @@
 	return Unknown
 }
 
-// OfCall tells a call over HTTP that never left from one that may have arrived.
+// OfCall returns the verdict of a failed HTTP call: NotRun if the connection could
+// not be established, otherwise Unknown, as the request may have arrived.
 func OfCall(err error) Verdict {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -107,8 +111,8 @@
 	return Unknown
 }
 
-// WriteTo reports the failure as an HTTP answer at once; the client is told
-// when to come back instead of being held.
+// WriteTo writes the failure as an HTTP response. The client is told when to retry
+// instead of being kept waiting.
 func (e *Error) WriteTo(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set(HeaderVerdict, e.Verdict.String())
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -9,7 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestVerdictNeverClaimsMoreThanIsKnown(t *testing.T) {
+// An error without a verdict and an unrecognised wire form must not be taken for
+// NotRun or Ran.
+func TestUnrecognisedVerdictsAreUnknown(t *testing.T) {
 	require.Equal(t, Unknown, Of(nil))
 	require.Equal(t, Unknown, Of(errors.New("plain")))
 	require.Equal(t, NotRun, Of(errors.Wrap(&Error{Verdict: NotRun}, "wrapped")))
@@ -19,7 +21,9 @@
 	require.Equal(t, Unknown, Parse("NOT-RUN?"))
 }
 
-func TestWriteToTellsWhenToComeBack(t *testing.T) {
+// Retry-After is rounded up to whole seconds, so that a client does not retry too
+// early.
+func TestErrorResponseCarriesVerdictAndRetryAfter(t *testing.T) {
 	w := httptest.NewRecorder()
 	(&Error{Verdict: NotRun, Status: 503, Reason: "overloaded", RetryAfter: 1200 * time.Millisecond}).WriteTo(w)
 	require.Equal(t, 503, w.Code)
