--- a/testseed/testseed.go
+++ b/testseed/testseed.go
@@ -1,5 +1,6 @@
-// Package testseed fixes the seed of stateful fuzzing, so that a test run gives
-// the same verdict every time. `make fuzz` overrides it by the environment.
+// Package testseed fixes the seed of the property-based tests (rapid), so that a
+// test run gives the same result every time. `make fuzz` overrides the seed
+// through environment variables.
 package testseed
 
 import (
@@ -8,24 +9,27 @@
 	"testing"
 )
 
-// Environment variables that override the fixed values; a seed of 0 is a fresh
-// one, and the seed of a failure is printed.
+// envSeed and envChecks are environment variables that override the fixed seed and
+// the number of checks. A seed of 0 selects a random seed, and a failed test prints
+// the seed it used.
 const (
 	envSeed   = "POPPYWALL_SEED"
 	envChecks = "POPPYWALL_CHECKS"
 	fixedSeed = "1"
 )
 
-// Main runs a package's tests under the fixed seed; call it from TestMain.
+// Main runs a package's tests with the fixed seed. Call it from TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
-	set("rapid.seed", envSeed, fixedSeed)
-	set("rapid.checks", envChecks, "")
-	set("rapid.nofailfile", "", "true")
+	setFlag("rapid.seed", envSeed, fixedSeed)
+	setFlag("rapid.checks", envChecks, "")
+	setFlag("rapid.nofailfile", "", "true")
 	os.Exit(m.Run())
 }
 
-func set(name, env, fallback string) {
+// setFlag sets a test flag, if it is registered, to the value of an environment
+// variable or to fallback if that is unset or empty.
+func setFlag(name, env, fallback string) {
 	value := os.Getenv(env)
 	if value == "" {
 		value = fallback
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,4 +1,4 @@
-// Package worker runs the long-lived goroutines of a process.
+// Package worker runs the background goroutines of a process.
 package worker
 
 import (
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 )
 
-// Group is the workers of one process.
+// Group is the set of workers of one process.
 type Group struct {
 	wg  conc.WaitGroup
 	log *zap.Logger
@@ -19,7 +19,7 @@
 // NewGroup returns a group without workers.
 func NewGroup(log *zap.Logger) *Group { return &Group{log: log} }
 
-// Go runs a worker; an error before ctx ends is logged.
+// Go starts a worker. An error that it returns before ctx is done is logged.
 func (g *Group) Go(ctx context.Context, name string, run func(context.Context) error) {
 	g.wg.Go(func() {
 		if err := run(ctx); err != nil && ctx.Err() == nil {
@@ -28,19 +28,21 @@
 	})
 }
 
-// Run runs a worker that ends by itself, as when its socket closes.
+// Run starts a worker that needs no context to stop, such as one that returns when
+// its socket is closed.
 func (g *Group) Run(f func()) { g.wg.Go(f) }
 
-// Wait waits for all workers.
+// Wait blocks until all workers have returned.
 func (g *Group) Wait() { g.wg.Wait() }
 
-// Start runs f in the background; the returned function ends its context and waits
-// for it.
+// Start runs f in the background. The returned function cancels the context of f
+// and waits for f to return.
 func Start(f func(context.Context) error) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		// Whoever starts f this way hears of its failure by what it does not do.
+		// The error is dropped: a failure of f shows only in the work that it
+		// leaves undone.
 		_ = f(ctx)
 	})
 	return func() {
@@ -49,7 +51,7 @@
 	}
 }
 
-// Every calls f once each period until ctx ends.
+// Every calls f once per period until ctx is done.
 func Every(ctx context.Context, period time.Duration, f func()) error {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
@@ -63,11 +65,11 @@
 	}
 }
 
-// Jitter returns a duration of 0.9 to 1.1 times d, so that processes that were
-// started together do not stay in step.
+// Jitter returns a random duration of 0.9 to 1.1 times d, so that processes that
+// were started together do not stay synchronised.
 func Jitter(d time.Duration) time.Duration { return d*9/10 + rand.N(d/5+1) }
 
-// Sleep waits for d or until ctx ends.
+// Sleep blocks for d or until ctx is done.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
