--- a/forward/forward.go
+++ b/forward/forward.go
@@ -37,16 +37,16 @@
 
 // Drop reasons.
 const (
-	NotQUIC        Reason = "not_quic"
-	NoRoute        Reason = "no_route"
-	WrongService   Reason = "wrong_service"
-	NoHost         Reason = "no_host"
-	UnknownService Reason = "unknown_service"
-	BadHeader      Reason = "bad_header"
-	BadKind        Reason = "bad_kind"
-	TooManyHops    Reason = "too_many_hops"
-	Oversize       Reason = "oversize"
-	OverRate       Reason = "over_rate"
+	NotQUIC        Reason = "not_quic"        // not a QUIC packet
+	NoRoute        Reason = "no_route"        // neither a valid route nor an Initial
+	WrongService   Reason = "wrong_service"   // sent to the address of another service
+	NoHost         Reason = "no_host"         // no host is available for the new flow
+	UnknownService Reason = "unknown_service" // no service at the address
+	BadHeader      Reason = "bad_header"      // malformed encapsulation header or invalid tag
+	BadKind        Reason = "bad_kind"        // a kind that agents do not send to balancers
+	TooManyHops    Reason = "too_many_hops"   // refused MaxHops times
+	Oversize       Reason = "oversize"        // larger than MaxDatagram
+	OverRate       Reason = "over_rate"       // over the limit on new flows
 )
 
 // Reasons lists all drop reasons, so that each counter can be registered at
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -192,8 +192,8 @@
 	})
 }
 
-// A new flow that a host refused is sent to another host, until MaxHops hosts
-// have refused it.
+// A refused new flow is sent to another host, and dropped once it was refused
+// MaxHops times.
 func TestRefusedFlowGoesElsewhere(t *testing.T) {
 	table := newTable(t, secrets)
 	tagger, err := encap.NewTagger(secrets)
@@ -216,6 +216,8 @@
 	}
 }
 
+// New flows over the rate limit, oversized datagrams and datagrams that are not
+// QUIC packets are dropped.
 func TestLimitsOfNewFlows(t *testing.T) {
 	table := newTable(t, secrets)
 	table.SetServices([]Spec{{ID: 9, Address: serviceAddr(9)}}, 1, 10)
--- a/relay/encap/encap.go
+++ b/relay/encap/encap.go
@@ -62,12 +62,12 @@
 	// ServiceID is the service for which the host of a Forward was selected, or
 	// the service of a Return or Refused datagram's flow.
 	ServiceID route.ServiceID
-	// Open is the number of the service's open flows at the host, set on Return
-	// and Refused.
+	// Open is the number of the service's open flows at the host, set on Return.
 	Open uint16
 	// Busy is the host's load in thousandths of its limit, set on Return.
 	Busy uint16
-	// Capacity is the number of the service's ready slots at the host.
+	// Capacity is the number of the service's ready slots at the host, set on
+	// Return.
 	Capacity uint16
 }
 
--- a/relay/encap/rfc8999.go
+++ b/relay/encap/rfc8999.go
@@ -57,6 +57,7 @@
 	return p, true
 }
 
+// opensConnection reports whether a long-header packet may open a connection.
 func opensConnection(datagram []byte, p Packet) bool {
 	if len(datagram) < MinInitialLen {
 		return false
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -88,6 +88,7 @@
 	require.Error(t, err)
 }
 
+// IDs stay distinct while the nonce wraps around, here after 50 of them.
 func TestNextReturnsDistinctIDs(t *testing.T) {
 	minter, err := NewMinter(newCodec(t, testSecrets...), Route{Host: netip.MustParseAddrPort("10.0.0.1:1")}, 1<<24-50)
 	require.NoError(t, err)
