--- a/balancer/search/doc.go
+++ b/balancer/search/doc.go
@@ -1,30 +1,35 @@
-// Package search finds the target of a flow that a balancer does not know, and tells
-// whether one that nobody holds is certainly over.
+// Package search finds the target of a flow that a balancer does not know, and determines
+// whether a flow that no target holds has certainly ended.
 //
-// Algorithm. Table remembers where flows were sent; it may forget any of them. A packet of
-// an unknown flow is kept and sent along the targets that may hold the flow: those alone
-// first that it was probably chosen among, then all others at the same time, with up to
-// mostParts messages. The agent that holds the flow delivers the packet and tells the
-// balancer; packets that came meanwhile follow. A message that does not come back is
-// repeated after keptPause to those that have not answered, in the opposite order each
-// second time. Once all targets known when the search began have denied the flow, only
-// those that came since are asked. Its client is reset when Proof has no doubt left that
-// every target was among them; while there is one the flow is looked at again.
+// Algorithm. Table records where flows were sent; any entry may be lost. A packet of an
+// unknown flow is buffered and sent in search probes. A probe names the targets that it
+// visits: an agent that does not hold the flow passes the packet on to the next target, and
+// the last one returns it. The targets that the flow was most likely chosen among are probed
+// first and alone, then all others in parallel, with maxParallelProbes probes unless zones and
+// the size of a probe require more. The agent that holds the flow delivers the packet and
+// notifies the balancer, which forwards the packets that came meanwhile. If a probe does not
+// return within searchRetryInterval, the targets that have not answered are probed again, in
+// reverse order every second time. Once all targets known at the start of the search have
+// denied the flow, only targets that came since are probed. The client is reset when Proof
+// finds no uncertainty left whether every target was among them; until then the flow is
+// checked again.
 //
-// Proof doubts while the balancer has just started, while the agents' registry was not read
-// shortly before the packet came or since, while an agent that the registry or another
-// balancer names was not heard, for absentTime, and while an agent that is heard is not
-// registered.
+// Proof reports uncertainty while the balancer has just started, while the agents' registry
+// was not read shortly before the packet came or since, while an agent that the registry or
+// another balancer names was not seen, for missingAgentTimeout, and while an agent that was
+// seen is not registered.
 //
-// Bounds. 512 flows and 1024 packets are kept, 15 of a flow behind its first one, a packet
-// of an open flow for keptTTL, an opening one for parkTTL; what finds no room is sent along
-// the first targets and left to its client's next packet. A target is asked once a search
-// round. The table holds as many flows as it is made for. The registry is read at most each
-// surveyPause, less often while doubt lasts.
+// Bounds. 512 flows and 1024 packets are buffered, with up to 15 packets of a flow behind its
+// first one. A packet of an open flow is buffered for bufferTTL, a SYN for synBufferTTL. A
+// packet to search for that finds the buffer full is sent to the first targets only and left
+// to its client's retransmission. A target is probed once per search round. The table is
+// bounded by its limit. The registry is read as often as fleet.SurveyPace allows at most, less
+// often while the uncertainty lasts.
 //
-// Cost. A known flow costs a look into the table. A search sorts the targets that may hold
-// the flow, n log n, and sends a message for each 16 to 33 of them; so does each repetition.
-// A conclusion looks once through the targets and the registry's entries.
+// Cost. A known flow costs a table lookup. A search sorts the targets that may hold the flow,
+// in n log n, and sends a message for each 16 to 33 of them; so does each repetition. Deciding
+// whether a flow has ended scans the targets and the registry's entries once.
 //
-// All of it is pure: it takes packets, readings and the time, and acts through a Port.
+// The package is pure: it takes packets, registry snapshots and the time, and acts through a
+// Port.
 package search
--- a/balancer/search/fixture_test.go
+++ b/balancer/search/fixture_test.go
@@ -19,9 +19,10 @@
 	other   = flow.IPv4(0x0a010003)
 	peer    = flow.IPv4(0x0a000002)
 
-	// tickPeriod drives a settled balancer.
+	// tickPeriod is the tick period of a settled balancer.
 	tickPeriod = 100 * time.Millisecond
-	// first is what a flow is chosen among, twice.
+	// first is Options.First: how many targets per ranking are probed first, once for the
+	// local zone and once for the others.
 	first = 8
 )
 
@@ -30,44 +31,43 @@
 	front = flow.Front{IP: 7, Port: 80}
 )
 
-// quiet hears nothing but the last doubt.
-type quiet struct{ doubt *Doubt }
+// uncertaintyRecorder implements Events and records only the last uncertainty.
+type uncertaintyRecorder struct{ last *Doubt }
 
-func (quiet) Searching(flow.Key, int, int)                   {}
-func (q quiet) Lost(_ flow.Key, _ int, d Doubt, _ flow.IPv4) { *q.doubt = d }
-func (quiet) Kept(flow.Key, Keep)                            {}
-func (quiet) Dropped(Drop)                                   {}
+func (uncertaintyRecorder) Searching(flow.Key, int, int)                   {}
+func (r uncertaintyRecorder) Lost(_ flow.Key, _ int, u Doubt, _ flow.IPv4) { *r.last = u }
+func (uncertaintyRecorder) Kept(flow.Key, Keep)                            {}
+func (uncertaintyRecorder) Dropped(Drop)                                   {}
 
-// fixture is a finder before a plain front: an opening packet goes to the first target
-// known.
+// fixture is a finder behind a minimal front, which sends SYNs to the first known target.
 type fixture struct {
 	*Finder
 	*Proof
-	fleet  *fleet.View
-	flows  *Table
-	port   *envelopetest.Recorder
-	inUse  *flow.Config
-	now    time.Time
-	seq    uint32
-	doubt  Doubt
-	framed []byte
+	fleet       *fleet.View
+	flows       *Table
+	port        *envelopetest.Recorder
+	inForce     *flow.Config
+	now         time.Time
+	seq         uint32
+	uncertainty Doubt
+	datagram    []byte
 }
 
-// newStarted returns a balancer that knows nothing yet.
-func newStarted() *fixture { return startedAt(time.Unix(1_700_000_000, 0), 1) }
+// newFreshFixture returns a balancer that has just started, without configuration or targets.
+func newFreshFixture() *fixture { return newFixtureStartedAt(time.Unix(1_700_000_000, 0), 1) }
 
-// startedAt returns a balancer that started at a time.
-func startedAt(at time.Time, epoch uint64) *fixture {
+// newFixtureStartedAt returns a balancer that started at a given time.
+func newFixtureStartedAt(at time.Time, incarnation uint64) *fixture {
 	f := &fixture{port: &envelopetest.Recorder{}, now: at, fleet: fleet.NewView(), flows: NewTable(MaxFlows)}
 	f.Proof = NewProof(at, self, nil, f.fleet)
-	config := func() *flow.Config { return f.inUse }
-	f.Finder = New(Options{Self: self, Epoch: epoch, First: first}, config, f.fleet, f.flows, f.Proof, platform.Codec{}, plainFront{f}, quiet{&f.doubt})
+	config := func() *flow.Config { return f.inForce }
+	f.Finder = New(Options{Self: self, Epoch: incarnation, First: first}, config, f.fleet, f.flows, f.Proof, platform.Codec{}, testPort{f}, uncertaintyRecorder{&f.uncertainty})
 	return f
 }
 
-// newFixture is a settled balancer with two targets of a service.
+// newFixture returns a settled balancer with two targets of a service.
 func newFixture() *fixture {
-	f := newStarted()
+	f := newFreshFixture()
 	f.SetConfig(f.now, config(5))
 	f.now = f.now.Add(SettleTime + time.Second)
 	f.announce(targetA, fleet.Ready)
@@ -77,7 +77,7 @@
 	return f
 }
 
-// registered are entries of the registry.
+// registered returns registry entries of the given addresses.
 func registered(ips ...flow.IPv4) []fleet.Entry {
 	var out []fleet.Entry
 	for _, ip := range ips {
@@ -93,38 +93,38 @@
 }
 
 // SetConfig puts a configuration in force.
-func (f *fixture) SetConfig(_ time.Time, c *flow.Config) { f.inUse = c }
+func (f *fixture) SetConfig(_ time.Time, c *flow.Config) { f.inForce = c }
 
-// View returns what is known of the fleet.
+// View returns the view of the fleet.
 func (f *fixture) View() *fleet.View { return f.fleet }
 
-// Surveyed takes a reading of the registry.
+// Surveyed applies a snapshot of the registry and rechecks denied flows.
 func (f *fixture) Surveyed(now time.Time, s fleet.Survey) {
 	f.Proof.Surveyed(now, s)
 	f.Wake(now)
 }
 
-// plainFront implements Port.
-type plainFront struct{ *fixture }
+// testPort implements Port.
+type testPort struct{ *fixture }
 
-func (f plainFront) Send(target flow.IPv4, env *envelope.Envelope, packet []byte) {
-	f.framed = env.Append(f.framed[:0])
-	f.port.ToNode(target, f.framed, packet)
+func (f testPort) Send(target flow.IPv4, env *envelope.Envelope, packet []byte) {
+	f.datagram = env.Append(f.datagram[:0])
+	f.port.ToNode(target, f.datagram, packet)
 }
 
-func (f plainFront) Forward(_ flow.Key, target flow.IPv4, packet []byte) {
+func (f testPort) Forward(_ flow.Key, target flow.IPv4, packet []byte) {
 	f.Send(target, &envelope.Envelope{Kind: envelope.Deliver, Balancer: self}, packet)
 }
 
-func (f plainFront) Reset(key flow.Key, seq uint32) { f.port.Reset(key, seq) }
+func (f testPort) Reset(key flow.Key, seq uint32) { f.port.Reset(key, seq) }
 
-func (f plainFront) Route(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
-	if f.inUse == nil {
+func (f testPort) Route(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
+	if f.inForce == nil {
 		f.Park(now, key, h, packet, KeepNoConfig)
 		return
 	}
 	if h.IsOpening() {
-		f.open(now, key, h, packet)
+		f.routeSYN(now, key, h, packet)
 		return
 	}
 	if target, ok := f.Known(now, key); ok {
@@ -135,8 +135,8 @@
 	f.Seek(now, key, h, packet)
 }
 
-// open sends an opening packet to the first target known, or keeps it.
-func (f plainFront) open(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
+// routeSYN sends a SYN to the first known target, or buffers it.
+func (f testPort) routeSYN(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	targets := f.fleet.Targets()
 	if len(targets) == 0 {
 		f.Park(now, key, h, packet, KeepUnsettled)
@@ -147,7 +147,7 @@
 	f.Forward(key, targets[0], packet)
 }
 
-// HandleNode takes a message of another node.
+// HandleNode handles a message of another node.
 func (f *fixture) HandleNode(now time.Time, from flow.IPv4, datagram []byte) {
 	kind, err := envelope.KindOf(datagram)
 	check(err)
@@ -187,8 +187,8 @@
 	}
 }
 
-// hears lets another balancer say for the first time that it is there.
-func (f *fixture) hears(ip flow.IPv4) {
+// beaconFrom delivers the first beacon of another balancer.
+func (f *fixture) beaconFrom(ip flow.IPv4) {
 	m := fleet.Beacon{Identity: fleet.Identity{Epoch: uint64(ip), Seq: 1}}
 	if f.fleet.Beacon(f.now, ip, m) == fleet.Joined {
 		f.Joined(f.now, ip)
@@ -210,7 +210,7 @@
 
 var key = flow.Key{ClientIP: 0x64400001, ClientPort: 1024, FrontIP: front.IP, FrontPort: front.Port}
 
-// packet writes a client's packet.
+// packet returns a client's packet.
 func packet(syn bool, ack byte) []byte {
 	flags := flow.ACK
 	if syn {
@@ -222,11 +222,11 @@
 func (f *fixture) client(p []byte) {
 	h, err := platform.DecodePacket(p)
 	check(err)
-	plainFront{f}.Route(f.now, h.FromClient(), &h, p)
+	testPort{f}.Route(f.now, h.FromClient(), &h, p)
 }
 
-// answer returns the last packet sent to a target as an agent would.
-func (f *fixture) answer(from flow.IPv4, flags envelope.Flags, p []byte) {
+// returnLast returns the last packet sent to a target, as an agent would.
+func (f *fixture) returnLast(from flow.IPv4, flags envelope.Flags, p []byte) {
 	sent := f.port.Delivered()
 	e := sent[len(sent)-1].Env
 	e.Kind, e.Count = envelope.Returned, 0
@@ -234,14 +234,14 @@
 	f.HandleNode(f.now, from, append(e.Append(nil), p...))
 }
 
-// wait lets time go by while the two targets are heard.
-func (f *fixture) wait(d time.Duration) {
+// advanceAnnouncing advances the clock and lets both targets announce themselves.
+func (f *fixture) advanceAnnouncing(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.announce(targetA, fleet.Ready)
 	f.announce(targetB, fleet.Ready)
 }
 
-// Tick does what is due.
+// Tick retries the packets that are due.
 func (f *fixture) Tick(now time.Time) { f.Retry(now) }
 
 // TickPeriod is how long after a tick the next one is due.
@@ -252,18 +252,18 @@
 	return ParkPause
 }
 
-// pass lets time go by, tick by tick.
-func (f *fixture) pass(d time.Duration) {
+// advance advances the clock tick by tick.
+func (f *fixture) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.Tick(f.now) {
 		f.now = f.now.Add(f.TickPeriod(f.now))
 	}
 }
 
-// visiting returns the messages of the flow's search that have not come back.
-func (f *fixture) visiting() []envelopetest.Sent {
-	k, kept := f.kept.flows[key]
-	if !kept {
+// outstandingProbes returns the probes of the flow's search that have not returned.
+func (f *fixture) outstandingProbes() []envelopetest.Sent {
+	b, buffered := f.buffer.flows[key]
+	if !buffered {
 		return nil
 	}
-	return slices.DeleteFunc(f.port.Delivered(), func(s envelopetest.Sent) bool { return k.visits[s.Env.SearchID] == nil })
+	return slices.DeleteFunc(f.port.Delivered(), func(s envelopetest.Sent) bool { return b.probes[s.Env.SearchID] == nil })
 }
--- a/balancer/search/holders.go
+++ b/balancer/search/holders.go
@@ -9,75 +9,76 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// holder is a target that may hold a flow: the lower its class the likelier it does,
-// then the higher its score.
-type holder struct {
+// rankedCandidate is a target that may hold a flow. A lower class is likelier to hold it, and
+// within a class a higher score.
+type rankedCandidate struct {
 	class searchClass
 	score uint64
 	flow.Candidate
 }
 
-// searchClass orders the targets of a search.
+// searchClass ranks targets by how likely they hold a flow.
 type searchClass uint8
 
-// The classes.
+// Classes, the likeliest first.
 const (
-	// nearTarget and farTarget serve what new flows of the route go to.
-	nearTarget searchClass = iota
-	farTarget
-	// otherTarget serves another service.
-	otherTarget
-	// quietTarget was not heard lately.
-	quietTarget
+	// classSameZone and classCrossZone serve the service that the route selects for new flows.
+	classSameZone searchClass = iota
+	classCrossZone
+	// classOtherService serves another service.
+	classOtherService
+	// classOverdue has sent no announcement for longer than its period allows.
+	classOverdue
 )
 
-// candidates returns every target that may hold a flow, the likeliest first:
-// of the service that new flows go to, those that a balancer of this zone chooses
-// among, then the others of the own zone, then elsewhere; targets of other services,
-// for a change of the route leaves open flows where they are; last those that were
-// not heard lately. Targets that have denied the flow are left out.
+// candidates returns every target that may hold a flow, the likeliest first. Targets of the
+// service that new flows go to lead: the highest ranked of the local zone and then of other
+// zones, which a balancer of this zone chooses among, then the rest of the local zone and of
+// other zones. Targets of other services follow, because a change of the route leaves open
+// flows where they are; overdue targets are last. Targets that have denied the flow are left
+// out.
 func (f *Finder) candidates(now time.Time, key flow.Key, route *flow.Route, denied denials) []flow.Candidate {
-	f.holders, f.out = f.holders[:0], f.out[:0]
+	f.ranked, f.candidateBuf = f.ranked[:0], f.candidateBuf[:0]
 	hash := key.Hash()
 	picked := route.Pick(hash).Tag
 	for _, tag := range f.view.Services() {
-		for _, h := range f.view.Service(tag) {
-			if !h.MayHold(now) || denied.by(now, h) {
+		for _, t := range f.view.Service(tag) {
+			if !t.MayHold(now) || denied.includes(now, t) {
 				continue
 			}
-			f.holders = append(f.holders, holder{f.classOf(now, h, picked), flow.Score(hash, h.IP), flow.Candidate{Target: h.IP, Service: tag}})
+			f.ranked = append(f.ranked, rankedCandidate{f.classOf(now, t, picked), flow.Score(hash, t.IP), flow.Candidate{Target: t.IP, Service: tag}})
 		}
 	}
-	slices.SortFunc(f.holders, func(a, b holder) int {
+	slices.SortFunc(f.ranked, func(a, b rankedCandidate) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(b.score, a.score), cmp.Compare(a.Target, b.Target))
 	})
-	far := slices.IndexFunc(f.holders, func(h holder) bool { return h.class != nearTarget })
-	if far < 0 {
-		far = len(f.holders)
+	firstOther := slices.IndexFunc(f.ranked, func(c rankedCandidate) bool { return c.class != classSameZone })
+	if firstOther < 0 {
+		firstOther = len(f.ranked)
 	}
-	near, others := f.holders[:far], f.holders[far:]
-	nearFirst := min(len(near), f.opts.First)
-	farFirst := 0
-	for farFirst < min(len(others), f.opts.First) && others[farFirst].class == farTarget {
-		farFirst++
+	sameZone, others := f.ranked[:firstOther], f.ranked[firstOther:]
+	sameZoneFirst := min(len(sameZone), f.opts.First)
+	crossZoneFirst := 0
+	for crossZoneFirst < min(len(others), f.opts.First) && others[crossZoneFirst].class == classCrossZone {
+		crossZoneFirst++
 	}
-	for _, list := range [...][]holder{near[:nearFirst], others[:farFirst], near[nearFirst:], others[farFirst:]} {
-		for _, h := range list {
-			f.out = append(f.out, h.Candidate)
+	for _, list := range [...][]rankedCandidate{sameZone[:sameZoneFirst], others[:crossZoneFirst], sameZone[sameZoneFirst:], others[crossZoneFirst:]} {
+		for _, c := range list {
+			f.candidateBuf = append(f.candidateBuf, c.Candidate)
 		}
 	}
-	return f.out
+	return f.candidateBuf
 }
 
-func (f *Finder) classOf(now time.Time, h *fleet.Target, picked flow.Tag) searchClass {
+func (f *Finder) classOf(now time.Time, t *fleet.Target, picked flow.Tag) searchClass {
 	switch {
-	case h.Quiet(now):
-		return quietTarget
-	case h.Service != picked:
-		return otherTarget
-	case h.Zone == f.opts.Zone:
-		return nearTarget
+	case t.Quiet(now):
+		return classOverdue
+	case t.Service != picked:
+		return classOtherService
+	case t.Zone == f.opts.Zone:
+		return classSameZone
 	default:
-		return farTarget
+		return classCrossZone
 	}
 }
--- a/balancer/search/kept.go
+++ b/balancer/search/kept.go
@@ -7,174 +7,173 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Limits of the packets that are kept because their way is not known yet.
+// Limits of the buffer for packets that cannot be forwarded yet.
 const (
-	// maxKeptFlows and maxKeptPackets bound them: 1.2 MB.
-	maxKeptFlows   = 512
-	maxKeptPackets = 1024
-	// maxFollowers bounds the packets of one flow that wait for the outcome of its
-	// search: an end has at most 16 in flight.
-	maxFollowers = 15
-	// keptTTL is how long a packet of an open flow is kept. Its client sends the
-	// next copy within 1.6 s.
-	keptTTL = 1500 * time.Millisecond
-	// parkTTL is how long a SYN is kept: its client sends the next copy after
-	// 200 ms.
-	parkTTL = 180 * time.Millisecond
-	// keptPause is the pause between searches for a flow that no target was found
-	// to hold, ParkPause that between looks whether this balancer knows the
-	// configuration and the targets, which takes some 30 ms from its start.
-	keptPause = 150 * time.Millisecond
+	// maxBufferedFlows and maxBufferedPackets bound the buffer to 1.2 MB.
+	maxBufferedFlows   = 512
+	maxBufferedPackets = 1024
+	// maxFollowingPackets bounds the packets of one flow that wait for the result of its
+	// search: an endpoint has at most 16 in flight.
+	maxFollowingPackets = 15
+	// bufferTTL is how long a packet of an open flow is buffered. Its client retransmits
+	// within 1.6 s.
+	bufferTTL = 1500 * time.Millisecond
+	// synBufferTTL is how long a SYN is buffered: its client retransmits after 200 ms.
+	synBufferTTL = 180 * time.Millisecond
+	// searchRetryInterval is the pause between searches for a flow that no target was found to
+	// hold.
+	searchRetryInterval = 150 * time.Millisecond
+	// ParkPause is the pause between checks whether this balancer has the configuration and
+	// the targets, which takes some 30 ms from its start.
 	ParkPause = 20 * time.Millisecond
 )
 
-// keptFlows keeps the packets of flows whose way is not known yet: a search for the
-// flow is under way, or no target was found to hold it and that is not certain, or
-// the balancer has just started and knows no configuration or no target.
+// flowBuffer holds the packets of flows that cannot be forwarded yet: a search for the flow is
+// under way, or no target was found to hold it but that is not certain, or the balancer has
+// just started and has no configuration or no target.
 //
-// The first packet of a flow is the one that is sent along the targets, again
-// after a pause, for the client's next retransmission may be seconds away. Those
-// that come meanwhile follow it once its target is known: a search visits up to
-// all targets of a service, so one for each packet would be most of the traffic
-// after a restart of everything.
-type keptFlows struct {
-	flows map[flow.Key]*keptFlow
-	// packets counts all that are kept.
+// Only the first packet of a flow is sent to the targets, again after a pause, because the
+// client's next retransmission may be seconds away. Later packets are forwarded once the
+// target is known: a search visits up to all targets of a service, so a search for each packet
+// would be most of the traffic after a restart of all nodes.
+type flowBuffer struct {
+	flows map[flow.Key]*bufferedFlow
+	// packets counts all buffered packets.
 	packets int
 }
 
-type keptFlow struct {
+type bufferedFlow struct {
 	first []byte
-	// opening tells that the first packet is a SYN.
-	opening   bool
-	followers [][]byte
-	// since is when the first packet came, next when it is tried again, expires
-	// when all are given up.
-	since, next, expires time.Time
-
-	// asking tells that a search is under way: the fields up to unsure are its own.
-	asking bool
-	// visits are the messages that carry the first packet along targets and have not come
-	// back, by their number.
-	visits map[uint32][]flow.Candidate
-	// unasked are the targets to ask after those.
-	unasked []flow.Candidate
-	// generation is that of the view when the search began.
+	// firstIsSYN reports whether the first packet is a SYN.
+	firstIsSYN bool
+	following  [][]byte
+	// receivedAt is when the first packet came, nextTryAt when it is tried again, expiresAt
+	// when all packets of the flow are dropped.
+	receivedAt, nextTryAt, expiresAt time.Time
+
+	// searching reports whether a search is under way; the fields up to unsure belong to it.
+	searching bool
+	// probes holds the targets of each outstanding probe by its search ID.
+	probes map[uint32][]flow.Candidate
+	// notProbed are the targets to probe after those.
+	notProbed []flow.Candidate
+	// generation is the generation of the view when the search began.
 	generation uint32
-	// unsure is set once a target could not say a certain no.
+	// unsure is set once a target could not exclude that it holds the flow.
 	unsure bool
 
-	// searches counts the searches so far.
-	searches int
-	// denied tells that all targets have said a certain no that the view had up to
-	// the generation deniedUpTo: they are not asked again.
-	denied     bool
-	deniedUpTo uint32
+	// attempts counts the search attempts so far.
+	attempts int
+	// denied reports whether all targets in the view up to deniedGeneration have denied
+	// the flow for certain: they are not probed again.
+	denied           bool
+	deniedGeneration uint32
 }
 
-// begin starts a search that asks the targets that may hold the flow in a generation of
-// the view.
-func (k *keptFlow) begin(generation uint32) {
-	k.asking, k.unsure, k.generation = true, false, generation
-	k.visits, k.unasked = map[uint32][]flow.Candidate{}, nil
-	k.searches++
+// beginSearch starts a search over the targets that may hold the flow in the given generation
+// of the view.
+func (b *bufferedFlow) beginSearch(generation uint32) {
+	b.searching, b.unsure, b.generation = true, false, generation
+	b.probes, b.notProbed = map[uint32][]flow.Candidate{}, nil
+	b.attempts++
 }
 
-// backward tells whether the next messages ask the likeliest targets last. Each second
-// time they do: a packet that is passed on through a VM that has died without a word
-// is lost there, and would be again.
-func (k *keptFlow) backward() bool { return k.searches%2 == 0 }
+// reverseOrder reports whether the next probes visit the likeliest targets last, as every
+// second attempt does: a packet that is passed on through a VM that failed without notice is
+// lost there, and would be lost again in the same order.
+func (b *bufferedFlow) reverseOrder() bool { return b.attempts%2 == 0 }
 
-// denials tells which targets have denied a flow.
+// denials describes which targets have denied a flow: if known, all that may have held it up
+// to a generation of the view.
 type denials struct {
-	any  bool
-	upTo uint32
+	known      bool
+	generation uint32
 }
 
-// by tells whether a target has denied the flow.
-func (d denials) by(now time.Time, h *fleet.Target) bool {
-	return d.any && !h.MayHoldSince(now, d.upTo)
+// includes reports whether a target has denied the flow.
+func (d denials) includes(now time.Time, t *fleet.Target) bool {
+	return d.known && !t.MayHoldSince(now, d.generation)
 }
 
-// denials returns what is known of a flow that may not be kept.
-func (k *keptFlow) denials() denials {
-	if k == nil {
+// denials returns the denials of a flow; b is nil for a flow that is not buffered.
+func (b *bufferedFlow) denials() denials {
+	if b == nil {
 		return denials{}
 	}
-	return denials{k.denied, k.deniedUpTo}
+	return denials{b.denied, b.deniedGeneration}
 }
 
-func newKept() keptFlows { return keptFlows{flows: map[flow.Key]*keptFlow{}} }
+func newFlowBuffer() flowBuffer { return flowBuffer{flows: map[flow.Key]*bufferedFlow{}} }
 
-// keep stores a flow's first packet, to be tried again at next until its time is
-// over. It returns nil when there is no room, and leaves it to the client's
-// retransmission then. A SYN is of no use once the client has sent another packet.
-func (l *keptFlows) keep(now time.Time, key flow.Key, opening bool, packet []byte, next time.Time, ttl time.Duration) *keptFlow {
-	k, known := l.flows[key]
-	if known && k.opening && !opening {
-		l.drop(key)
+// add stores a flow's first packet, to be tried again at nextTryAt until its TTL expires. It
+// returns nil when the buffer is full and leaves the packet to the client's retransmission. A
+// buffered SYN is discarded once the client has sent a later packet.
+func (fb *flowBuffer) add(now time.Time, key flow.Key, isSYN bool, packet []byte, nextTryAt time.Time, ttl time.Duration) *bufferedFlow {
+	b, known := fb.flows[key]
+	if known && b.firstIsSYN && !isSYN {
+		fb.remove(key)
 		known = false
 	}
 	if !known {
-		if len(l.flows) >= maxKeptFlows || l.packets >= maxKeptPackets {
+		if len(fb.flows) >= maxBufferedFlows || fb.packets >= maxBufferedPackets {
 			return nil
 		}
-		k = &keptFlow{first: append([]byte(nil), packet...), opening: opening, since: now, expires: now.Add(ttl)}
-		l.flows[key] = k
-		l.packets++
+		b = &bufferedFlow{first: append([]byte(nil), packet...), firstIsSYN: isSYN, receivedAt: now, expiresAt: now.Add(ttl)}
+		fb.flows[key] = b
+		fb.packets++
 	}
-	k.next, k.asking = next, false
-	return k
+	b.nextTryAt, b.searching = nextTryAt, false
+	return b
 }
 
-// ask keeps a packet of an open flow for which targets are about to be asked.
-func (l *keptFlows) ask(now time.Time, key flow.Key, packet []byte) *keptFlow {
-	return l.keep(now, key, false, packet, now.Add(keptPause), keptTTL)
+// addForSearch buffers a packet of an open flow that is about to be searched for.
+func (fb *flowBuffer) addForSearch(now time.Time, key flow.Key, packet []byte) *bufferedFlow {
+	return fb.add(now, key, false, packet, now.Add(searchRetryInterval), bufferTTL)
 }
 
-// wake lets the flows that all targets have denied be looked at again, unless a target
-// is being asked that came since.
-func (l *keptFlows) wake(now time.Time) {
-	for _, k := range l.flows {
-		if k.denied && !k.asking {
-			k.next = now
+// retryDenied makes the flows that all targets have denied due now, unless a target that came
+// since is being probed.
+func (fb *flowBuffer) retryDenied(now time.Time) {
+	for _, b := range fb.flows {
+		if b.denied && !b.searching {
+			b.nextTryAt = now
 		}
 	}
 }
 
-// follow keeps a packet of a flow for which targets are being asked, or that all
-// have denied, and tells whether it is one.
-func (l *keptFlows) follow(key flow.Key, packet []byte) bool {
-	k, known := l.flows[key]
-	if !known || (!k.asking && !k.denied) {
+// addFollowing reports whether the packet's flow is being searched for or was denied by all
+// targets; such a packet is buffered behind the first one, or dropped if a limit is reached.
+func (fb *flowBuffer) addFollowing(key flow.Key, packet []byte) bool {
+	b, known := fb.flows[key]
+	if !known || (!b.searching && !b.denied) {
 		return false
 	}
-	if len(k.followers) < maxFollowers && l.packets < maxKeptPackets {
-		k.followers = append(k.followers, append([]byte(nil), packet...))
-		l.packets++
+	if len(b.following) < maxFollowingPackets && fb.packets < maxBufferedPackets {
+		b.following = append(b.following, append([]byte(nil), packet...))
+		fb.packets++
 	}
 	return true
 }
 
-// drop forgets a flow and returns the packets that follow its first one.
-func (l *keptFlows) drop(key flow.Key) (followers [][]byte) {
-	k, known := l.flows[key]
+// remove deletes a flow and returns the packets behind its first one.
+func (fb *flowBuffer) remove(key flow.Key) (following [][]byte) {
+	b, known := fb.flows[key]
 	if !known {
 		return nil
 	}
-	delete(l.flows, key)
-	l.packets -= 1 + len(k.followers)
-	return k.followers
+	delete(fb.flows, key)
+	fb.packets -= 1 + len(b.following)
+	return b.following
 }
 
-// due returns the flows that are to be tried again, in an order that repeats,
-// and forgets those whose time is over.
-func (l *keptFlows) due(now time.Time) (keys []flow.Key, expired int) {
-	for key, k := range l.flows {
-		if now.After(k.expires) {
-			l.drop(key)
+// due returns the flows that are to be tried again, in a deterministic order, and removes the
+// expired ones.
+func (fb *flowBuffer) due(now time.Time) (keys []flow.Key, expired int) {
+	for key, b := range fb.flows {
+		if now.After(b.expiresAt) {
+			fb.remove(key)
 			expired++
-		} else if !now.Before(k.next) {
+		} else if !now.Before(b.nextTryAt) {
 			keys = append(keys, key)
 		}
 	}
--- a/balancer/search/kept_test.go
+++ b/balancer/search/kept_test.go
@@ -12,54 +12,56 @@
 	"github.com/poppywall/poppywall/platform"
 )
 
-// TestPacketsBeforeTheBalancerKnowsTheirWayAreKept: their clients would repeat
-// them up to 1.6 s later.
-func TestPacketsBeforeTheBalancerKnowsTheirWayAreKept(t *testing.T) {
+// TestPacketsAreBufferedUntilConfigAndTargetsAreKnown guards against dropped packets after a
+// start: their clients would retransmit only up to 1.6 s later.
+func TestPacketsAreBufferedUntilConfigAndTargetsAreKnown(t *testing.T) {
 	for name, p := range map[string][]byte{"a new flow": packet(true, 0), "an open flow": packet(false, 9)} {
-		f := newStarted()
+		f := newFreshFixture()
 		f.client(p)
-		f.pass(2 * ParkPause)
+		f.advance(2 * ParkPause)
 		require.Empty(t, f.port.Delivered(), name)
 		f.SetConfig(f.now, config(5))
-		f.pass(2 * ParkPause)
+		f.advance(2 * ParkPause)
 		require.Empty(t, f.port.Delivered(), "%s: no target yet", name)
 		f.announce(targetA, fleet.Ready)
-		f.pass(ParkPause)
+		f.advance(ParkPause)
 		require.Len(t, f.port.Delivered(), 1, name)
-		f.pass(keptPause / 2)
-		require.Len(t, f.port.Delivered(), 1, "%s: the target was asked", name)
+		f.advance(searchRetryInterval / 2)
+		require.Len(t, f.port.Delivered(), 1, "%s: sent once", name)
 	}
 }
 
-// TestAKeptSYNGivesWayToItsCopies and is of no use once the client has sent one.
-func TestAKeptSYNGivesWayToItsCopies(t *testing.T) {
-	f := newStarted()
+// TestBufferedSYNIsReplacedByItsRetransmission guards against a SYN sent twice: once its
+// buffer time is over, the client has retransmitted it.
+func TestBufferedSYNIsReplacedByItsRetransmission(t *testing.T) {
+	f := newFreshFixture()
 	f.client(packet(true, 0))
-	f.pass(parkTTL + 2*ParkPause)
+	f.advance(synBufferTTL + 2*ParkPause)
 	f.SetConfig(f.now, config(5))
 	f.announce(targetA, fleet.Ready)
-	f.pass(2 * ParkPause)
-	require.Empty(t, f.port.Delivered(), "it came too long ago")
+	f.advance(2 * ParkPause)
+	require.Empty(t, f.port.Delivered(), "its buffer time is over")
 
-	f = newStarted()
+	f = newFreshFixture()
 	f.client(packet(true, 0))
 	f.SetConfig(f.now, config(5))
 	f.announce(targetA, fleet.Ready)
 	f.client(packet(true, 1))
-	f.pass(2 * ParkPause)
-	require.Len(t, f.port.Delivered(), 1, "the copy went instead")
+	f.advance(2 * ParkPause)
+	require.Len(t, f.port.Delivered(), 1, "only the retransmission is sent")
 }
 
-// TestAKeptSYNIsNotSearchedFor: once the client has sent a later packet its flow is
-// open, and the SYN would open another one wherever it came.
-func TestAKeptSYNIsNotSearchedFor(t *testing.T) {
-	f := newStarted()
+// TestBufferedSYNIsNotSearchedFor guards against a second flow: once the client has sent a
+// later packet its flow is open, and the buffered SYN would open another one at whichever
+// target received it.
+func TestBufferedSYNIsNotSearchedFor(t *testing.T) {
+	f := newFreshFixture()
 	f.client(packet(true, 0))
 	f.SetConfig(f.now, config(5))
 	f.client(packet(false, 9))
 	f.announce(targetA, fleet.Ready)
 	f.client(packet(false, 9))
-	f.pass(2 * ParkPause)
+	f.advance(2 * ParkPause)
 	for _, s := range f.port.Delivered() {
 		h, err := platform.DecodePacket(s.Raw[len(s.Raw)-platform.HeadLen:])
 		require.NoError(t, err)
@@ -68,32 +70,33 @@
 	require.NotEmpty(t, f.port.Delivered())
 }
 
-func TestKeptPacketsAreBounded(t *testing.T) {
-	f := newStarted()
-	for i := range 2 * maxKeptFlows {
+func TestBufferedPacketsAreBounded(t *testing.T) {
+	f := newFreshFixture()
+	for i := range 2 * maxBufferedFlows {
 		p := packet(false, 9)
 		p[18], p[19], p[20], p[21] = 9, 9, byte(i>>8), byte(i)
 		f.client(p)
 	}
-	require.Len(t, f.kept.flows, maxKeptFlows)
-	f.pass(keptTTL + 2*ParkPause)
-	require.Empty(t, f.kept.flows)
-	require.Zero(t, f.kept.packets)
+	require.Len(t, f.buffer.flows, maxBufferedFlows)
+	f.advance(bufferTTL + 2*ParkPause)
+	require.Empty(t, f.buffer.flows)
+	require.Zero(t, f.buffer.packets)
 }
 
-// TestAKeptPacketWithoutARouteIsDropped: silence, as for any other one.
-func TestAKeptPacketWithoutARouteIsDropped(t *testing.T) {
-	f := newStarted()
+// TestBufferedPacketWithoutRouteIsDropped checks that the client gets no reset, as for any
+// packet without a route.
+func TestBufferedPacketWithoutRouteIsDropped(t *testing.T) {
+	f := newFreshFixture()
 	f.client(packet(false, 9))
 	f.SetConfig(f.now, &flow.Config{Version: 6})
-	f.pass(2 * ParkPause)
-	require.Empty(t, f.kept.flows)
+	f.advance(2 * ParkPause)
+	require.Empty(t, f.buffer.flows)
 	require.Empty(t, f.port.Resets)
 }
 
-// TestOnePacketOfAFlowIsSentAlongTheTargets: the others follow once one of them has
-// said that the flow is its own, in order.
-func TestOnePacketOfAFlowIsSentAlongTheTargets(t *testing.T) {
+// TestOnlyTheFirstPacketOfAFlowIsProbed checks that the packets behind the first one are
+// forwarded in order once a target reports that it holds the flow.
+func TestOnlyTheFirstPacketOfAFlowIsProbed(t *testing.T) {
 	f := newFixture()
 	for i := range byte(3) {
 		f.client(packet(false, 9+i))
@@ -108,15 +111,16 @@
 		require.Zero(t, s.Env.Flags&envelope.Search)
 		require.Equal(t, byte(10+i), s.Raw[len(s.Raw)-platform.HeadLen+7])
 	}
-	require.Zero(t, f.kept.packets)
+	require.Zero(t, f.buffer.packets)
 }
 
-// TestFollowersOfALostAnswerAreNotForgotten: the search is repeated.
-func TestFollowersOfALostAnswerAreNotForgotten(t *testing.T) {
+// TestSearchIsRepeatedAfterALostAnswer checks that the packets behind the first one are
+// forwarded after the repeated search.
+func TestSearchIsRepeatedAfterALostAnswer(t *testing.T) {
 	f := newFixture()
 	f.client(packet(false, 9))
 	f.client(packet(false, 10))
-	f.pass(keptPause + tickPeriod)
+	f.advance(searchRetryInterval + tickPeriod)
 	require.Len(t, f.port.Delivered(), 2, "searched for again")
 	f.client(packet(false, 11))
 	require.Len(t, f.port.Delivered(), 2)
@@ -125,22 +129,23 @@
 	require.Len(t, f.port.Delivered(), 4)
 }
 
-// TestFollowersEndWithTheirFlow: a flow that is certainly over is reset once.
-func TestFollowersEndWithTheirFlow(t *testing.T) {
+// TestFollowingPacketsAreDroppedWithTheirFlow checks that a flow that has certainly ended is
+// reset once.
+func TestFollowingPacketsAreDroppedWithTheirFlow(t *testing.T) {
 	f := newFixture()
 	f.client(packet(false, 9))
 	f.client(packet(false, 10))
-	f.answer(targetB, envelope.Searched, packet(false, 9))
+	f.returnLast(targetB, envelope.Searched, packet(false, 9))
 	require.Len(t, f.port.Resets, 1)
-	require.Zero(t, f.kept.packets)
-	f.pass(time.Second)
+	require.Zero(t, f.buffer.packets)
+	f.advance(time.Second)
 	require.Len(t, f.port.Delivered(), 1)
 }
 
-func TestFollowersAreBounded(t *testing.T) {
+func TestFollowingPacketsAreBounded(t *testing.T) {
 	f := newFixture()
-	for i := range byte(2 * maxFollowers) {
+	for i := range byte(2 * maxFollowingPackets) {
 		f.client(packet(false, i))
 	}
-	require.Equal(t, 1+maxFollowers, f.kept.packets)
+	require.Equal(t, 1+maxFollowingPackets, f.buffer.packets)
 }
--- a/balancer/search/proof.go
+++ b/balancer/search/proof.go
@@ -8,227 +8,232 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Doubt is why a flow that no candidate holds may live all the same. Only a flow
-// that is certainly over is reset.
+// Doubt is the uncertainty because of which a flow that no candidate holds may still be alive.
+// Only a flow that has certainly ended is reset.
 type Doubt string
 
-// The doubts.
+// Reasons for uncertainty.
 const (
-	// DoubtTarget: a target that was asked could not say a certain no.
+	// DoubtTarget: a probed target could not exclude that it holds the flow.
 	DoubtTarget Doubt = "a target is unsure"
-	// DoubtFresh: the balancer has just started; agents have not found it yet.
+	// DoubtFresh: the balancer has just started; agents have not discovered it yet.
 	DoubtFresh Doubt = "just started"
-	// DoubtSurvey: the registry of agents was not read shortly before the packet
-	// came or since. An agent is registered before its target takes its first flow,
-	// so a reading that began later lists the flow's target.
+	// DoubtSurvey: the registry of agents was not read shortly before the packet came or
+	// since. An agent is registered before its target takes its first flow, so a snapshot
+	// begun later contains the flow's target.
 	DoubtSurvey Doubt = "registry not read"
-	// DoubtRegistry: an agent that is heard is not registered, so others may be
-	// missing there: the store was away when they started.
+	// DoubtRegistry: an agent that was seen is not registered, so the registry may lack others
+	// as well: the store was unavailable when they started.
 	DoubtRegistry Doubt = "registry incomplete"
-	// DoubtMissing: an agent that the registry or another balancer names was not
-	// heard.
+	// DoubtMissing: an agent that the registry or another balancer names was not seen.
 	DoubtMissing Doubt = "a target was not asked"
 )
 
-// Times of the proof that a flow is over.
+// Timing of the proof that a flow has ended.
 const (
-	// SettleTime is how long after its start a balancer takes "no target known"
-	// for not yet knowing: agents repeat their announcements each second.
+	// SettleTime is how long after its start a balancer takes "no target known" to mean that
+	// targets are not known yet: agents repeat their announcements every second.
 	SettleTime = 2 * time.Second
-	// FreshTime is how long after its start a balancer takes its view for
-	// incomplete. Agents that live greet a new balancer within a round trip of
-	// its joining, a balancer joins by its seeds and asks others for the nodes that
-	// they know five times a second, and so often an agent that the registry lacks
-	// announces itself to the seeds.
+	// FreshTime is how long after its start a balancer considers its view incomplete. A
+	// running agent introduces itself to a new balancer within a round trip of its joining. A
+	// balancer joins through its seeds and asks other balancers for the nodes that they know
+	// five times a second; an agent that the registry lacks announces itself to the seeds as
+	// often.
 	FreshTime = 500 * time.Millisecond
-	// SurveyAhead is how long before that the registry is read for the first time: the store
-	// answers each page in milliseconds.
+	// SurveyAhead is how long before the end of FreshTime the registry is read for the first
+	// time: the store answers each page in milliseconds.
 	SurveyAhead = 150 * time.Millisecond
-	// absentTime is how long an agent that is registered and was not heard keeps
-	// flows in doubt: longer than a process takes to be restarted. After that its
-	// VM counts as gone.
-	absentTime = 4 * time.Second
-	// surveyTTL is how old a reading of the registry may be when a packet comes. An
-	// agent that has registered since has told this balancer, again until that
-	// was acknowledged.
-	surveyTTL = 2 * time.Second
+	// missingAgentTimeout is how long an agent that is registered but was not seen keeps flows
+	// uncertain: longer than a process takes to restart. After that its VM counts as gone.
+	missingAgentTimeout = 4 * time.Second
+	// snapshotMaxAge is how old a snapshot of the registry may be when a packet comes. An
+	// agent that has registered since the snapshot has notified this balancer, repeatedly
+	// until that was acknowledged.
+	snapshotMaxAge = 2 * time.Second
 )
 
-// survey is the last reading of the agents' registry. An agent is registered
-// from its first start on: so a balancer that has just started learns from it
-// which targets may hold flows, also when their agents are not back.
-type survey struct {
+// registrySnapshot is the latest snapshot of the agents' registry. An agent is registered from
+// its first start on, so a balancer that has just started learns from the registry which
+// targets may hold flows, even if their agents are not back yet.
+type registrySnapshot struct {
 	fleet.RegistryReading
-	// earliest and latest bound when the reading began; zero before the first.
+	// earliest and latest bound when the snapshot was begun; zero before the first.
 	earliest, latest time.Time
 	revision         int64
-	wanted           bool
-	pace             fleet.SurveyPace
+	refreshWanted    bool
+	schedule         fleet.SurveyPace
 }
 
-// Proof tells whether this balancer knows all targets that may hold flows. It is not safe
+// Proof determines whether this balancer knows all targets that may hold flows. It is not safe
 // for concurrent use; its owner holds a lock.
 type Proof struct {
 	self  flow.IPv4
 	seeds []flow.IPv4
 	view  *fleet.View
-	// startedAt is when the balancer started, seedJoinedAt when a seed was heard for the
-	// first time, the last one.
-	startedAt, seedJoinedAt time.Time
-	// named are agents that other balancers know and this one has not heard.
-	named  map[flow.IPv4]time.Time
-	survey survey
+	// startedAt is when the balancer started, lastSeedJoinedAt when a seed was last seen for
+	// the first time.
+	startedAt, lastSeedJoinedAt time.Time
+	// namedAgents are agents that other balancers know and this one has not seen, with when
+	// they were last named.
+	namedAgents map[flow.IPv4]time.Time
+	snapshot    registrySnapshot
 }
 
 // NewProof returns the proof of a balancer that has just started.
 func NewProof(now time.Time, self flow.IPv4, seeds []flow.IPv4, view *fleet.View) *Proof {
-	return &Proof{self: self, seeds: seeds, view: view, startedAt: now, named: map[flow.IPv4]time.Time{}}
+	return &Proof{self: self, seeds: seeds, view: view, startedAt: now, namedAgents: map[flow.IPv4]time.Time{}}
 }
 
-// SetSeeds replaces the balancers to join by.
+// SetSeeds replaces the seeds, the balancers to join through.
 func (p *Proof) SetSeeds(seeds []flow.IPv4) { p.seeds = seeds }
 
-// Joined notes that another balancer was heard for the first time.
+// Joined records that another balancer was seen for the first time.
 func (p *Proof) Joined(now time.Time, balancer flow.IPv4) {
 	if slices.Contains(p.seeds, balancer) {
-		p.seedJoinedAt = now
+		p.lastSeedJoinedAt = now
 	}
 }
 
-// Named notes that another balancer knows an agent.
+// Named records that another balancer knows an agent.
 func (p *Proof) Named(now time.Time, agent flow.IPv4) {
 	if !p.view.KnowsTarget(agent) {
-		p.named[agent] = now
+		p.namedAgents[agent] = now
 	}
 }
 
-// Settled tells whether the targets had the time to announce themselves.
+// Settled reports whether the targets have had time to announce themselves.
 func (p *Proof) Settled(now time.Time) bool { return now.Sub(p.startedAt) >= SettleTime }
 
-// unsurveyed tells whether the registry was not read shortly before a packet came
-// or since.
-func (p *Proof) unsurveyed(since time.Time) Doubt {
-	if !p.survey.earliest.Before(since.Add(-surveyTTL)) {
+// checkSnapshotAge returns uncertainty and requests a snapshot if the registry was not read
+// shortly before a packet came or since.
+func (p *Proof) checkSnapshotAge(since time.Time) Doubt {
+	if !p.snapshot.earliest.Before(since.Add(-snapshotMaxAge)) {
 		return ""
 	}
-	p.survey.wanted = true
+	p.snapshot.refreshWanted = true
 	return DoubtSurvey
 }
 
-// incomplete tells why there may be targets that this balancer does not know, and
-// one of them if that is known.
-func (p *Proof) incomplete(now time.Time) (Doubt, flow.IPv4) {
+// checkView returns why there may be targets that this balancer does not know, and one of them
+// if it is known.
+func (p *Proof) checkView(now time.Time) (Doubt, flow.IPv4) {
 	switch {
 	case p.Fresh(now):
 		return DoubtFresh, 0
-	case p.survey.earliest.IsZero():
-		p.survey.wanted = true
+	case p.snapshot.earliest.IsZero():
+		p.snapshot.refreshWanted = true
 		return DoubtSurvey, 0
 	}
-	if ip, missing := p.unheard(now); missing {
+	if ip, missing := p.missingTarget(now); missing {
 		return DoubtMissing, ip
 	}
-	if ip, missing := p.unregistered(); missing {
-		p.survey.wanted = true
+	if ip, missing := p.unregisteredTarget(); missing {
+		p.snapshot.refreshWanted = true
 		return DoubtRegistry, ip
 	}
 	return "", 0
 }
 
-// Fresh tells whether the balancer has just started. One that knows no other one
-// has nobody to ask, and is fresh until it would have heard the targets itself. So is
-// one that has just heard of a seed: targets that the registry lacks announce themselves
-// to the seeds, and those that have started together with this one have to hear of
-// them first. The others are not waited for: of hundreds one is always late.
+// Fresh reports whether the balancer has just started. One that knows no other balancer cannot
+// ask for nodes, and is fresh until the targets would have announced themselves to it. One
+// that has just seen a seed for the first time is fresh as well: targets that the registry
+// lacks announce themselves to the seeds, and seeds that have started together with this
+// balancer must receive those announcements first. Other balancers are not waited for: among
+// hundreds, one is always late.
 func (p *Proof) Fresh(now time.Time) bool {
 	age := now.Sub(p.startedAt)
 	if age >= SettleTime {
 		return false
 	}
-	lone := len(p.view.Balancers()) == 0 && p.hasOtherSeeds()
-	return age < FreshTime || now.Sub(p.seedJoinedAt) < FreshTime || lone
+	isolated := len(p.view.Balancers()) == 0 && p.hasOtherSeeds()
+	return age < FreshTime || now.Sub(p.lastSeedJoinedAt) < FreshTime || isolated
 }
 
 func (p *Proof) hasOtherSeeds() bool {
 	return slices.ContainsFunc(p.seeds, func(ip flow.IPv4) bool { return ip != p.self })
 }
 
-// unheard returns a target that may hold flows and could not be asked.
-func (p *Proof) unheard(now time.Time) (flow.IPv4, bool) {
-	if ip, missing := p.survey.Missing(now, absentTime, p.view.KnowsTarget); missing {
-		// It may have been taken out of the registry since.
-		p.survey.wanted = true
+// missingTarget returns a target that may hold flows and could not be asked.
+func (p *Proof) missingTarget(now time.Time) (flow.IPv4, bool) {
+	if ip, missing := p.snapshot.Missing(now, missingAgentTimeout, p.view.KnowsTarget); missing {
+		// It may have been removed from the registry since.
+		p.snapshot.refreshWanted = true
 		return ip, true
 	}
-	for ip, at := range p.named {
+	for ip, at := range p.namedAgents {
 		if p.view.KnowsTarget(ip) || now.Sub(at) > fleet.Forget {
-			delete(p.named, ip)
+			delete(p.namedAgents, ip)
 			continue
 		}
 		return ip, true
 	}
-	ip, silent := p.view.FirstTarget(func(h *fleet.Target) bool { return !answers(now, h) && p.mayLive(now, h) })
-	if h, known := p.view.Target(ip); known && h.State == fleet.Gone {
-		p.survey.wanted = true
+	ip, missing := p.view.FirstTarget(func(t *fleet.Target) bool { return !reachable(now, t) && p.mayHoldFlows(now, t) })
+	if t, known := p.view.Target(ip); known && t.State == fleet.Gone {
+		p.snapshot.refreshWanted = true
 	}
-	return ip, silent
+	return ip, missing
 }
 
-// answers tells whether a target's agent is there to be asked.
-func answers(now time.Time, h *fleet.Target) bool {
-	return !h.Quiet(now) && h.Listing != fleet.ListingLeft
+// reachable reports whether a target's agent can be asked.
+func reachable(now time.Time, t *fleet.Target) bool {
+	return !t.Quiet(now) && t.Listing != fleet.ListingLeft
 }
 
-// mayLive tells whether a target whose agent does not answer may hold flows. One that
-// said before that it holds nothing may have started since; after a while its VM
-// counts as gone.
-func (p *Proof) mayLive(now time.Time, h *fleet.Target) bool {
-	if h.State != fleet.Gone {
+// mayHoldFlows reports whether a target whose agent does not answer may hold flows. One that
+// last reported that it holds none may have started again since; after missingAgentTimeout its
+// VM counts as gone.
+func (p *Proof) mayHoldFlows(now time.Time, t *fleet.Target) bool {
+	if t.State != fleet.Gone {
 		return true
 	}
-	return p.view.MayLive(h) && now.Sub(h.HeardAt) < absentTime
+	return p.view.MayLive(t) && now.Sub(t.HeardAt) < missingAgentTimeout
 }
 
-// unregistered returns an agent that is heard and not in the registry. One that was
-// heard to be there only after the reading began is newer than it.
-func (p *Proof) unregistered() (flow.IPv4, bool) {
-	return p.view.FirstTarget(func(h *fleet.Target) bool {
-		return h.State != fleet.Gone && !h.Listed && !h.RegisteredSince(p.survey.latest)
+// unregisteredTarget returns an agent that was seen but is not in the registry. An agent that
+// was reported as registered only after the snapshot was begun is newer than the snapshot and
+// does not count.
+func (p *Proof) unregisteredTarget() (flow.IPv4, bool) {
+	return p.view.FirstTarget(func(t *fleet.Target) bool {
+		return t.State != fleet.Gone && !t.Listed && !t.RegisteredSince(p.snapshot.latest)
 	})
 }
 
-// WantsSurvey tells whether the registry of agents is to be read: shortly before the balancer
-// is not fresh any more, for nothing is concluded before, and when a flow seems to be over.
+// WantsSurvey reports whether the registry of agents should be read: shortly before the
+// balancer stops being fresh, since nothing is decided earlier, and when a flow seems to have
+// ended.
 func (p *Proof) WantsSurvey(now time.Time) bool {
-	if now.Sub(p.startedAt) < FreshTime-SurveyAhead || (!p.survey.wanted && !p.survey.earliest.IsZero()) {
+	if now.Sub(p.startedAt) < FreshTime-SurveyAhead || (!p.snapshot.refreshWanted && !p.snapshot.earliest.IsZero()) {
 		return false
 	}
-	return p.survey.pace.Begin(now)
+	return p.snapshot.schedule.Begin(now)
 }
 
-// SurveyPending notes that another balancer is reading the registry: it is to be asked again
-// soon.
-func (p *Proof) SurveyPending() { p.survey.pace.Pending() }
+// SurveyPending records that another balancer is reading the registry, so that it is asked
+// again soon.
+func (p *Proof) SurveyPending() { p.snapshot.schedule.Pending() }
 
-// Surveyed takes a reading of the agents' registry, and tells whether it is not older
-// than the last one: an agent that has registered since must not get lost.
+// Surveyed applies a snapshot of the agents' registry and reports whether it was accepted. A
+// snapshot older than the last one is rejected: an agent that has registered since must not
+// get lost.
 func (p *Proof) Surveyed(now time.Time, s fleet.Survey) bool {
-	if s.Revision < p.survey.revision {
+	if s.Revision < p.snapshot.revision {
 		return false
 	}
-	p.survey.Take(s.Latest, s.Agents, p.view.KnowsTarget)
+	p.snapshot.Take(s.Latest, s.Agents, p.view.KnowsTarget)
 	p.view.List(now, s.Latest, s.Agents)
-	p.survey.revision, p.survey.wanted = s.Revision, false
-	p.survey.pace.Got(s.Earliest)
-	if s.Earliest.After(p.survey.earliest) {
-		p.survey.earliest = s.Earliest
+	p.snapshot.revision, p.snapshot.refreshWanted = s.Revision, false
+	p.snapshot.schedule.Got(s.Earliest)
+	if s.Earliest.After(p.snapshot.earliest) {
+		p.snapshot.earliest = s.Earliest
 	}
-	if s.Latest.After(p.survey.latest) {
-		p.survey.latest = s.Latest
+	if s.Latest.After(p.snapshot.latest) {
+		p.snapshot.latest = s.Latest
 	}
 	return true
 }
 
-// Strike takes the agents off the last reading that were not heard for as long as nodes
-// are remembered, and returns them.
-func (p *Proof) Strike(now time.Time) []fleet.Entry { return p.survey.Strike(now, p.view.KnowsTarget) }
+// Strike removes from the last snapshot the agents that were not seen for as long as nodes are
+// remembered, and returns them.
+func (p *Proof) Strike(now time.Time) []fleet.Entry {
+	return p.snapshot.Strike(now, p.view.KnowsTarget)
+}
--- a/balancer/search/proof_test.go
+++ b/balancer/search/proof_test.go
@@ -12,61 +12,61 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-func TestOnlyAFlowThatIsCertainlyOverIsReset(t *testing.T) {
+func TestOnlyFlowsThatCertainlyEndedAreReset(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare func(f *fixture)
 		during  func(f *fixture)
 		flags   envelope.Flags
 		want    Doubt
 	}{
-		"all said no":    {want: ""},
+		"all denied":     {want: ""},
 		"one was unsure": {flags: envelope.Unsure, want: DoubtTarget},
 		"a target ended": {during: func(f *fixture) { f.announce(targetA, fleet.Gone) }, want: ""},
-		"alone among its seeds": {
+		"no other balancer seen, seeds configured": {
 			prepare: func(f *fixture) {
 				f.SetSeeds([]flow.IPv4{self, peer})
 				f.startedAt = f.now.Add(-FreshTime)
 			},
 			want: DoubtFresh,
 		},
-		"alone for long": {
+		"no other balancer seen for long": {
 			prepare: func(f *fixture) {
 				f.SetSeeds([]flow.IPv4{self, peer})
 				f.startedAt = f.now.Add(-SettleTime)
 			},
 			want: "",
 		},
-		"a seed was heard a moment ago": {
+		"a seed was first seen a moment ago": {
 			prepare: func(f *fixture) {
 				f.SetSeeds([]flow.IPv4{self, peer})
 				f.startedAt = f.now.Add(-FreshTime)
-				f.hears(peer)
+				f.beaconFrom(peer)
 				f.now = f.now.Add(FreshTime - 1)
 			},
 			want: DoubtFresh,
 		},
-		"a seed was heard before": {
+		"a seed was first seen earlier": {
 			prepare: func(f *fixture) {
 				f.SetSeeds([]flow.IPv4{self, peer})
 				f.startedAt = f.now.Add(-FreshTime)
-				f.hears(peer)
+				f.beaconFrom(peer)
 				f.now = f.now.Add(FreshTime)
 			},
 			want: "",
 		},
-		"hundreds of others are heard one after the other": {
+		"hundreds of others are first seen one after the other": {
 			prepare: func(f *fixture) {
 				f.SetSeeds([]flow.IPv4{self, peer})
 				f.startedAt = f.now.Add(-FreshTime / 2)
-				f.hears(peer)
+				f.beaconFrom(peer)
 				for i := range flow.IPv4(300) {
 					f.now = f.now.Add(FreshTime / 299)
-					f.hears(0x0a040000 + i)
+					f.beaconFrom(0x0a040000 + i)
 				}
 			},
 			want: "",
 		},
-		"its own only seed": {
+		"it is its only seed": {
 			prepare: func(f *fixture) {
 				f.SetSeeds([]flow.IPv4{self})
 				f.startedAt = f.now.Add(-FreshTime)
@@ -77,46 +77,46 @@
 		"an agent was missing for a while": {
 			prepare: func(f *fixture) {
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
-				f.wait(absentTime - time.Millisecond)
+				f.advanceAnnouncing(missingAgentTimeout - time.Millisecond)
 			},
 			want: DoubtMissing,
 		},
 		"an agent was missing for long": {
 			prepare: func(f *fixture) {
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
-				f.wait(absentTime)
-				f.survey.earliest = f.now
+				f.advanceAnnouncing(missingAgentTimeout)
+				f.snapshot.earliest = f.now
 			},
 			want: "",
 		},
-		"an agent is missing still": {
+		"an agent is still missing in a new snapshot": {
 			prepare: func(f *fixture) {
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
-				f.wait(absentTime)
+				f.advanceAnnouncing(missingAgentTimeout)
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
 			},
 			want: "",
 		},
-		"one that said it is gone is registered, and is silent": {
+		"a gone target is registered and overdue": {
 			prepare: func(f *fixture) {
 				f.announce(other, fleet.Gone)
-				f.wait(fleet.Quiet + time.Second)
+				f.advanceAnnouncing(fleet.Quiet + time.Second)
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
 			},
 			want: DoubtMissing,
 		},
-		"one that said it is gone is registered, and falls silent": {
+		"a gone target is registered and becomes overdue": {
 			prepare: func(f *fixture) {
 				f.announce(other, fleet.Gone)
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
 			},
 			during: func(f *fixture) {
-				f.wait(fleet.Quiet + 1)
-				f.survey.earliest = f.now
+				f.advanceAnnouncing(fleet.Quiet + 1)
+				f.snapshot.earliest = f.now
 			},
 			want: DoubtMissing,
 		},
-		"one that was heard to be registered after the reading": {
+		"one was registered after the snapshot": {
 			prepare: func(f *fixture) {
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
 				f.now = f.now.Add(1)
@@ -124,15 +124,15 @@
 			},
 			want: "",
 		},
-		"one that was heard to be registered before the reading": {
+		"one was registered before the snapshot": {
 			prepare: func(f *fixture) {
 				f.announceRegistered(other)
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
 			},
 			want: DoubtRegistry,
 		},
-		"registry not read":          {prepare: func(f *fixture) { f.survey.earliest = time.Time{} }, want: DoubtSurvey},
-		"registry read before":       {prepare: func(f *fixture) { f.survey.earliest = f.now.Add(-surveyTTL - 1) }, want: DoubtSurvey},
+		"registry not read":          {prepare: func(f *fixture) { f.snapshot.earliest = time.Time{} }, want: DoubtSurvey},
+		"registry read too early":    {prepare: func(f *fixture) { f.snapshot.earliest = f.now.Add(-snapshotMaxAge - 1) }, want: DoubtSurvey},
 		"an agent is missing":        {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: DoubtMissing},
 		"an agent is not registered": {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: DoubtRegistry},
 		"another balancer names one": {
@@ -141,11 +141,11 @@
 			},
 			want: DoubtMissing,
 		},
-		"an agent is quiet": {
+		"an agent is overdue": {
 			prepare: func(f *fixture) { f.now = f.now.Add(fleet.Quiet + time.Second); f.announce(targetA, fleet.Ready) },
 			want:    DoubtMissing,
 		},
-		"a quiet one has no target": {
+		"an overdue agent has no target": {
 			prepare: func(f *fixture) {
 				f.announce(targetB, fleet.Gone)
 				f.now = f.now.Add(fleet.Quiet + time.Second)
@@ -154,7 +154,7 @@
 			},
 			want: "",
 		},
-		"a quiet one that had no target is registered": {
+		"an overdue agent without a target is registered": {
 			prepare: func(f *fixture) {
 				f.announce(targetB, fleet.Gone)
 				f.now = f.now.Add(fleet.Quiet + time.Second)
@@ -163,10 +163,10 @@
 			},
 			want: DoubtMissing,
 		},
-		"a quiet one that had no target is registered, for long": {
+		"an overdue agent without a target is registered, for long": {
 			prepare: func(f *fixture) {
 				f.announce(targetB, fleet.Gone)
-				f.now = f.now.Add(absentTime)
+				f.now = f.now.Add(missingAgentTimeout)
 				f.announce(targetA, fleet.Ready)
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
 			},
@@ -181,34 +181,35 @@
 		if c.during != nil {
 			c.during(f)
 		}
-		for _, s := range f.visiting() {
-			f.comeBack(s, c.flags)
+		for _, s := range f.outstandingProbes() {
+			f.returnProbe(s, c.flags)
 		}
-		require.Equal(t, c.want, f.doubt, name)
+		require.Equal(t, c.want, f.uncertainty, name)
 		require.Equal(t, c.want == "", len(f.port.Resets) == 1, name)
 	}
 }
 
-// TestADoubtfulFlowEndsWithTheDoubt: all have said no, so nobody is asked again.
-func TestADoubtfulFlowEndsWithTheDoubt(t *testing.T) {
+// TestUncertainFlowIsResetWhenTheUncertaintyEnds checks that no target is probed again for
+// that: all have denied the flow.
+func TestUncertainFlowIsResetWhenTheUncertaintyEnds(t *testing.T) {
 	f := newFixture()
 	f.startedAt = f.now
 	f.client(packet(false, 9))
-	f.answer(targetB, envelope.Searched, packet(false, 9))
-	require.Equal(t, DoubtFresh, f.doubt)
+	f.returnLast(targetB, envelope.Searched, packet(false, 9))
+	require.Equal(t, DoubtFresh, f.uncertainty)
 	f.client(packet(false, 9))
-	f.pass(FreshTime / 2)
+	f.advance(FreshTime / 2)
 	require.Empty(t, f.port.Resets)
-	f.pass(FreshTime + keptPause)
+	f.advance(FreshTime + searchRetryInterval)
 	require.Len(t, f.port.Resets, 1)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Len(t, f.port.Delivered(), 1)
 	require.Len(t, f.port.Resets, 1)
 }
 
-// TestARegisteredTargetThatIsGoneIsAskedToo: it may have started since, and the
-// message that says so may be lost.
-func TestARegisteredTargetThatIsGoneIsAskedToo(t *testing.T) {
+// TestRegisteredTargetThatIsGoneIsProbed guards against resetting a live flow: the target may
+// have started again since, and the announcement of that may be lost.
+func TestRegisteredTargetThatIsGoneIsProbed(t *testing.T) {
 	for name, c := range map[string]struct {
 		agents []fleet.Entry
 		asked  bool
@@ -220,18 +221,18 @@
 		f.announce(other, fleet.Gone)
 		f.Surveyed(f.now, fleet.SurveyAt(f.now, c.agents))
 		f.client(packet(false, 9))
-		require.Equal(t, c.asked, slices.Contains(targetsOf(f.visiting()...), other), name)
-		for _, s := range f.visiting() {
+		require.Equal(t, c.asked, slices.Contains(targetsOf(f.outstandingProbes()...), other), name)
+		for _, s := range f.outstandingProbes() {
 			require.False(t, len(targetsOf(s)) > 1 && slices.Contains(targetsOf(s), other), "its VM may be gone")
-			f.comeBack(s, 0)
+			f.returnProbe(s, 0)
 		}
 		require.Len(t, f.port.Resets, 1, name)
 	}
 }
 
-// TestATargetThatComesAfterASearchIsAskedAlone: those that have denied the flow are
-// not asked again, and it ends only when the new one has denied it too.
-func TestATargetThatComesAfterASearchIsAskedAlone(t *testing.T) {
+// TestOnlyTargetsNewSinceASearchAreProbed checks that targets that have denied the flow are
+// not probed again, and that the flow is reset only when the new target has denied it too.
+func TestOnlyTargetsNewSinceASearchAreProbed(t *testing.T) {
 	for name, during := range map[string]bool{"after the last answer": false, "before it": true} {
 		f := newFixture()
 		f.startedAt = f.now
@@ -239,56 +240,57 @@
 		if during {
 			f.announce(other, fleet.Ready)
 		}
-		f.answer(targetB, envelope.Searched, packet(false, 9))
+		f.returnLast(targetB, envelope.Searched, packet(false, 9))
 		if !during {
 			f.announce(other, fleet.Ready)
 		}
 		f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
-		f.pass(ParkPause)
+		f.advance(ParkPause)
 		asked := f.port.Delivered()
 		require.Len(t, asked, 2, name)
 		require.Equal(t, other, asked[1].To, name)
 		require.Zero(t, asked[1].Env.Count, name)
 		f.startedAt = f.now.Add(-FreshTime)
-		f.pass(keptPause / 2)
+		f.advance(searchRetryInterval / 2)
 		require.Empty(t, f.port.Resets, "%s: no answer yet", name)
-		f.answer(other, envelope.Searched, packet(false, 9))
+		f.returnLast(other, envelope.Searched, packet(false, 9))
 		require.Len(t, f.port.Resets, 1, name)
 	}
 }
 
-// TestAnAnswerToAnEarlierSearchIsNone: the target that it asked last may have come
-// after it.
-func TestAnAnswerToAnEarlierSearchIsNone(t *testing.T) {
+// TestAnswerToAnEarlierSearchIsIgnored guards against a reset while a target has not denied the
+// flow: the repeated search may include a target that came after the earlier one.
+func TestAnswerToAnEarlierSearchIsIgnored(t *testing.T) {
 	f := newFixture()
 	f.client(packet(false, 9))
 	late := f.port.Delivered()[0]
-	f.pass(keptPause + tickPeriod)
+	f.advance(searchRetryInterval + tickPeriod)
 	require.Len(t, f.port.Delivered(), 2, "repeated")
 	late.Env.Kind, late.Env.Count, late.Env.Flags = envelope.Returned, 0, envelope.Search|envelope.Searched|envelope.Unsure
 	f.HandleNode(f.now, targetB, append(late.Env.Append(nil), packet(false, 9)...))
 	require.Empty(t, f.port.Resets)
-	f.answer(targetB, envelope.Searched, packet(false, 9))
+	f.returnLast(targetB, envelope.Searched, packet(false, 9))
 	require.Len(t, f.port.Resets, 1)
 }
 
-// TestAFlowIsNotSearchedForOverAndOverInDoubt: with a target missing for long, each
-// flow costs one search.
-func TestAFlowIsNotSearchedForOverAndOverInDoubt(t *testing.T) {
+// TestUncertainFlowIsSearchedForOnce checks that each flow costs one search while a target is
+// missing for long.
+func TestUncertainFlowIsSearchedForOnce(t *testing.T) {
 	f := newFixture()
 	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
 	f.client(packet(false, 9))
-	f.answer(targetB, envelope.Searched, packet(false, 9))
-	require.Equal(t, DoubtMissing, f.doubt)
-	f.pass(keptTTL - keptPause)
+	f.returnLast(targetB, envelope.Searched, packet(false, 9))
+	require.Equal(t, DoubtMissing, f.uncertainty)
+	f.advance(bufferTTL - searchRetryInterval)
 	require.Len(t, f.port.Delivered(), 1)
 	require.Empty(t, f.port.Resets)
 }
 
-// TestAnAnswerToAFormerProcessIsNone: it had asked other targets.
-func TestAnAnswerToAFormerProcessIsNone(t *testing.T) {
+// TestAnswerToAFormerIncarnationIsIgnored guards against counting denials of a search by an
+// earlier process, which had probed other targets.
+func TestAnswerToAFormerIncarnationIsIgnored(t *testing.T) {
 	former, f := newFixture(), newFixture()
-	f = startedAt(f.now.Add(-FreshTime), 2)
+	f = newFixtureStartedAt(f.now.Add(-FreshTime), 2)
 	f.now = f.now.Add(FreshTime)
 	f.SetConfig(f.now, config(5))
 	f.announce(targetA, fleet.Ready)
@@ -300,27 +302,28 @@
 	late.Env.Kind, late.Env.Count, late.Env.Flags = envelope.Returned, 0, envelope.Search|envelope.Searched
 	f.HandleNode(f.now, targetB, append(late.Env.Append(nil), packet(false, 9)...))
 	require.Empty(t, f.port.Resets)
-	f.answer(targetB, envelope.Searched, packet(false, 9))
+	f.returnLast(targetB, envelope.Searched, packet(false, 9))
 	require.Len(t, f.port.Resets, 1)
 }
 
-// TestTheRegistryIsReadLessOftenWhileDoubtLasts: each reading is a priced call.
-func TestTheRegistryIsReadLessOftenWhileDoubtLasts(t *testing.T) {
+// TestRegistryReadsBackOffWhileUncertaintyLasts bounds the reads of the registry: each is a
+// billed call.
+func TestRegistryReadsBackOffWhileUncertaintyLasts(t *testing.T) {
 	const surveyPause, mostSurveyPause = 400 * time.Millisecond, 1600 * time.Millisecond
 	f := newFixture()
-	var readings []time.Duration
+	var reads []time.Duration
 	begin := f.now
 	for f.now.Sub(begin) < 10*time.Second {
 		f.now = f.now.Add(100 * time.Millisecond)
-		f.survey.wanted = true
+		f.snapshot.refreshWanted = true
 		if f.WantsSurvey(f.now) {
-			readings = append(readings, f.now.Sub(begin))
+			reads = append(reads, f.now.Sub(begin))
 		}
 	}
-	require.Equal(t, []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 1300 * time.Millisecond}, readings[:3])
-	require.Len(t, readings, 8)
+	require.Equal(t, []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 1300 * time.Millisecond}, reads[:3])
+	require.Len(t, reads, 8)
 	f.now = f.now.Add(2*mostSurveyPause + 1)
 	require.True(t, f.WantsSurvey(f.now))
 	f.now = f.now.Add(surveyPause)
-	require.True(t, f.WantsSurvey(f.now), "calm again meanwhile")
+	require.True(t, f.WantsSurvey(f.now), "the pause is back to its minimum")
 }
--- a/balancer/search/search.go
+++ b/balancer/search/search.go
@@ -10,30 +10,30 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// searchRound is how many targets one message of a search visits.
-const searchRound = envelope.MaxCandidates + 1
+// maxTargetsPerProbe is how many targets one search probe can visit.
+const maxTargetsPerProbe = envelope.MaxCandidates + 1
 
-// Port is how a finder acts; it must not keep the slices.
+// Port is how a finder sends packets; it must not retain the slices.
 type Port interface {
 	// Send sends a packet to a target in an envelope.
 	Send(target flow.IPv4, env *envelope.Envelope, packet []byte)
 	// Forward sends a packet to the target that holds its flow.
 	Forward(key flow.Key, target flow.IPv4, packet []byte)
-	// Route routes a packet like one that has just come.
+	// Route routes a packet as if it had just arrived.
 	Route(now time.Time, key flow.Key, h *flow.Header, packet []byte)
-	// Reset ends a flow at its client.
+	// Reset resets a flow at its client.
 	Reset(key flow.Key, seq uint32)
 }
 
 // Options are a finder's parameters.
 type Options struct {
-	// Self and Zone are the balancer's.
+	// Self and Zone are the balancer's address and zone.
 	Self flow.IPv4
 	Zone flow.Tag
-	// Epoch is random for each start.
+	// Epoch identifies the incarnation; it is random for each start.
 	Epoch uint64
-	// First is how many targets of a flow's ranking, in the own zone and elsewhere, are
-	// asked before all others: at most as many as one message visits, both together.
+	// First is how many targets of a flow's ranking, in the local zone and in other zones
+	// each, are probed before all others: both together at most maxTargetsPerProbe.
 	First int
 }
 
@@ -48,199 +48,199 @@
 	codec  flow.Codec
 	port   Port
 	events Events
-	kept   keptFlows
-	// searches numbers the messages of searches, from the epoch on: answers to a
-	// former process arrive here.
-	searches uint32
+	buffer flowBuffer
+	// lastSearchID numbers the probes. It starts at the epoch, because answers to an earlier
+	// incarnation may still arrive here.
+	lastSearchID uint32
 
-	// Scratch space, so that a packet costs no allocation: holders are the targets that may
+	// Scratch space, so that a packet costs no allocation: ranked are the targets that may
 	// hold a flow.
-	holders []holder
-	out     []flow.Candidate
-	env     envelope.Envelope
+	ranked       []rankedCandidate
+	candidateBuf []flow.Candidate
+	env          envelope.Envelope
 }
 
-// New returns a finder that has found nothing yet. config returns the configuration in
-// force; it is asked only for flows whose configuration is known.
+// New returns a finder with an empty buffer. config returns the configuration in force; it is
+// called only for flows whose configuration is known.
 func New(opts Options, config func() *flow.Config, view *fleet.View, table *Table, proof *Proof, codec flow.Codec, port Port, events Events) *Finder {
 	return &Finder{
 		opts: opts, config: config, view: view, table: table, proof: proof, codec: codec, port: port, events: events,
-		kept: newKept(), searches: uint32(opts.Epoch),
+		buffer: newFlowBuffer(), lastSearchID: uint32(opts.Epoch),
 	}
 }
 
-// Known returns the target that is remembered for a flow, unless its VM may be gone: the
-// flow may have been opened elsewhere then by a copy of its SYN.
+// Known returns the target that is recorded for a flow, unless its VM may be gone: the flow
+// may then have been opened elsewhere by a retransmission of its SYN.
 func (f *Finder) Known(now time.Time, key flow.Key) (flow.IPv4, bool) {
 	target, ok := f.table.Get(now, key)
-	return target, ok && f.heard(now, target)
+	return target, ok && f.usable(now, target)
 }
 
-// heard tells whether a remembered target may be relied on.
-func (f *Finder) heard(now time.Time, target flow.IPv4) bool {
-	h, known := f.view.Target(target)
-	return !known || !h.Quiet(now)
+// usable reports whether packets may be sent to a recorded target: it is not in the view, or
+// not overdue.
+func (f *Finder) usable(now time.Time, target flow.IPv4) bool {
+	t, known := f.view.Target(target)
+	return !known || !t.Quiet(now)
 }
 
-// Found notes which target holds a flow and sends it the packets that waited.
+// Found records which target holds a flow and forwards the buffered packets to it.
 func (f *Finder) Found(now time.Time, key flow.Key, target flow.IPv4) {
 	f.table.Put(now, key, target)
 	f.Release(key, target)
 }
 
-// Forget drops the packets of a flow that are kept.
-func (f *Finder) Forget(key flow.Key) { f.kept.drop(key) }
+// Forget drops the buffered packets of a flow.
+func (f *Finder) Forget(key flow.Key) { f.buffer.remove(key) }
 
-// Seek searches for the target of a packet's flow, or lets the packet follow one for which
-// that is done already.
+// Seek searches for the target of a packet's flow, or buffers the packet if a search for the
+// flow is under way or has ended without a target.
 func (f *Finder) Seek(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
-	if !f.kept.follow(key, packet) {
-		f.seek(now, key, h, packet)
+	if !f.buffer.addFollowing(key, packet) {
+		f.startSearch(now, key, h, packet)
 	}
 }
 
-// Wake looks again at the flows that all targets have denied: more is known since.
+// Wake checks again the flows that all targets have denied, because the view or the registry
+// snapshot has changed.
 func (f *Finder) Wake(now time.Time) {
-	f.kept.wake(now)
+	f.buffer.retryDenied(now)
 	f.Retry(now)
 }
 
-// seek searches for the target of a flow that the balancer does not know, by one of
-// the flow's packets. Where all targets of an earlier moment have denied the flow,
-// only those that came since are asked.
-func (f *Finder) seek(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
+// startSearch searches for the target of an unknown flow with one of its packets. If all
+// targets of an earlier generation have denied the flow, only those that came since are
+// probed.
+func (f *Finder) startSearch(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	route, ok := f.config().Routes[key.Front()]
 	if !ok {
-		f.kept.drop(key)
+		f.buffer.remove(key)
 		f.events.Dropped(DropNoRoute)
 		return
 	}
-	k := f.kept.flows[key]
-	candidates := f.candidates(now, key, route, k.denials())
+	b := f.buffer.flows[key]
+	candidates := f.candidates(now, key, route, b.denials())
 	if len(candidates) == 0 {
-		f.nobodyToAsk(now, key, h, packet)
+		f.handleNoCandidates(now, key, h, packet)
 		return
 	}
-	if k = f.kept.ask(now, key, packet); k == nil {
-		// There is no room to keep the packet: it is sent along the first targets, and
-		// its client repeats it if none of them holds the flow.
-		f.sendAlong(packet, candidates[:min(len(candidates), searchRound)], 0)
+	if b = f.buffer.addForSearch(now, key, packet); b == nil {
+		// The buffer is full: the packet is sent to the first targets only, and its client
+		// retransmits it if none of them holds the flow.
+		f.sendProbe(packet, candidates[:min(len(candidates), maxTargetsPerProbe)], 0)
 		return
 	}
-	k.begin(f.view.Generation())
-	// Where there are more than one message visits, the likeliest are asked alone
-	// first: nearly every flow that lives is at one of them.
-	if len(candidates) > searchRound {
-		k.unasked = slices.Clone(candidates[2*f.opts.First:])
+	b.beginSearch(f.view.Generation())
+	// If there are more candidates than fit into one probe, the likeliest are probed
+	// first: nearly every live flow is at one of them.
+	if len(candidates) > maxTargetsPerProbe {
+		b.notProbed = slices.Clone(candidates[2*f.opts.First:])
 		candidates = candidates[:2*f.opts.First]
 	}
-	f.visit(now, key, k, candidates)
+	f.sendProbes(now, key, b, candidates)
 }
 
-// nobodyToAsk handles a packet of an unknown flow for which there is no target to
-// ask.
-func (f *Finder) nobodyToAsk(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
-	if k, kept := f.kept.flows[key]; kept && k.denied {
-		f.conclude(now, key, k, h, 0)
+// handleNoCandidates handles a packet of an unknown flow for which there is no target to
+// probe.
+func (f *Finder) handleNoCandidates(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
+	if b, buffered := f.buffer.flows[key]; buffered && b.denied {
+		f.resetIfEnded(now, key, b, h, 0)
 		return
 	}
 	if f.proof.Settled(now) {
-		f.kept.drop(key)
+		f.buffer.remove(key)
 		f.events.Dropped(DropNoCandidate)
 		return
 	}
 	f.Park(now, key, h, packet, KeepUnsettled)
 }
 
-// Sizes of a visit of many targets.
+// Limits of a search over many targets.
 const (
-	// mostParts is how many messages visit the targets at the same time, so that a
-	// packet is passed on a few times, not hundreds of times: 600 flows that 263 targets
-	// deny are all decided within 100 ms, where one message after the other takes 200
-	// (simulated, 0.3 ms a hop).
-	mostParts = 16
-	// leastPart is how many targets each of them visits at least: a message that goes to
-	// one target and back costs twice as much a target as one that visits many.
-	leastPart = 16
+	// maxParallelProbes is how many probes visit the targets in parallel, so that a packet is
+	// passed on a few times, not hundreds of times: 600 flows that 263 targets deny are all
+	// decided within 100 ms; with one probe after the other it takes 200 ms (simulated, 0.3 ms
+	// per hop).
+	maxParallelProbes = 16
+	// minTargetsPerProbe is how many targets each of them visits at least: a probe of a single
+	// target costs twice as much per target as one that visits many.
+	minTargetsPerProbe = 16
 )
 
-// partOf is how many of so many targets one message visits. A single message visits as
-// many as it can hold.
-func partOf(targets int) int {
-	if targets <= searchRound {
-		return searchRound
+// targetsPerProbe returns how many of the given number of targets one probe visits. A single
+// probe visits as many as it can hold.
+func targetsPerProbe(targets int) int {
+	if targets <= maxTargetsPerProbe {
+		return maxTargetsPerProbe
 	}
-	return min(max((targets+mostParts-1)/mostParts, leastPart), searchRound)
+	return min(max((targets+maxParallelProbes-1)/maxParallelProbes, minTargetsPerProbe), maxTargetsPerProbe)
 }
 
-// visit sends the first packet of a flow along targets, with several messages at the
-// same time where there are many. Whoever may not be there any more is visited alone:
-// a packet that is passed on through a VM that has died is lost there.
-func (f *Finder) visit(now time.Time, key flow.Key, k *keptFlow, targets []flow.Candidate) {
-	f.events.Searching(key, len(targets), k.searches)
-	k.next = now.Add(keptPause)
-	for _, part := range f.parts(now, targets, k.backward()) {
-		f.searches++
-		k.visits[f.searches] = part
-		f.sendAlong(k.first, part, f.searches)
+// sendProbes sends the first packet of a flow to targets, with several probes in parallel if
+// there are many. A target that may be gone gets a probe of its own: a packet that is passed
+// on through a failed VM is lost there.
+func (f *Finder) sendProbes(now time.Time, key flow.Key, b *bufferedFlow, targets []flow.Candidate) {
+	f.events.Searching(key, len(targets), b.attempts)
+	b.nextTryAt = now.Add(searchRetryInterval)
+	for _, probe := range f.splitIntoProbes(now, targets, b.reverseOrder()) {
+		f.lastSearchID++
+		b.probes[f.lastSearchID] = probe
+		f.sendProbe(b.first, probe, f.lastSearchID)
 	}
 }
 
-// parts divides targets among messages. A message that visits several of many stays in
-// their zone: so what crosses zones goes with the messages, not with the targets. backward
-// reverses the order in which they are visited.
-func (f *Finder) parts(now time.Time, targets []flow.Candidate, backward bool) [][]flow.Candidate {
-	together, alone := map[flow.Tag][]flow.Candidate{}, [][]flow.Candidate{}
-	heard := 0
+// splitIntoProbes divides targets among probes. When there are several probes, each stays
+// within one zone, so that cross-zone traffic grows with the number of probes and not with
+// that of targets. reverse reverses the order in which the targets are visited.
+func (f *Finder) splitIntoProbes(now time.Time, targets []flow.Candidate, reverse bool) [][]flow.Candidate {
+	byZone, single := map[flow.Tag][]flow.Candidate{}, [][]flow.Candidate{}
+	reachableCount := 0
 	for _, candidate := range targets {
-		h, known := f.view.Target(candidate.Target)
-		if !known || h.State == fleet.Gone || h.Quiet(now) {
-			alone = append(alone, []flow.Candidate{candidate})
+		t, known := f.view.Target(candidate.Target)
+		if !known || t.State == fleet.Gone || t.Quiet(now) {
+			single = append(single, []flow.Candidate{candidate})
 			continue
 		}
-		heard++
-		zone := h.Zone
-		if len(targets) <= searchRound {
-			// One message visits them all, the likeliest first.
+		reachableCount++
+		zone := t.Zone
+		if len(targets) <= maxTargetsPerProbe {
+			// One probe visits them all, the likeliest first.
 			zone = 0
 		}
-		together[zone] = append(together[zone], candidate)
+		byZone[zone] = append(byZone[zone], candidate)
 	}
 	var out [][]flow.Candidate
-	for _, zone := range slices.Sorted(maps.Keys(together)) {
-		if backward {
-			slices.Reverse(together[zone])
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+		if reverse {
+			slices.Reverse(byZone[zone])
 		}
-		out = slices.AppendSeq(out, slices.Chunk(together[zone], partOf(heard)))
+		out = slices.AppendSeq(out, slices.Chunk(byZone[zone], targetsPerProbe(reachableCount)))
 	}
-	return append(out, alone...)
+	return append(out, single...)
 }
 
-// askAgain goes on with a search whose messages do not come back: those targets are
-// asked again that have not answered, unless they hold nothing any more, and the
-// others with them.
-func (f *Finder) askAgain(now time.Time, key flow.Key, k *keptFlow, h *flow.Header) {
-	targets := k.unasked
-	for _, id := range slices.Sorted(maps.Keys(k.visits)) {
-		for _, candidate := range k.visits[id] {
+// retrySearch continues a search whose probes did not return: targets that have not answered
+// are probed again, unless they hold no flows any more, together with those not yet probed.
+func (f *Finder) retrySearch(now time.Time, key flow.Key, b *bufferedFlow, h *flow.Header) {
+	targets := b.notProbed
+	for _, id := range slices.Sorted(maps.Keys(b.probes)) {
+		for _, candidate := range b.probes[id] {
 			if target, known := f.view.Target(candidate.Target); known && target.MayHold(now) {
 				targets = append(targets, candidate)
 			}
 		}
 	}
-	clear(k.visits)
-	k.unasked = nil
+	clear(b.probes)
+	b.notProbed = nil
 	if len(targets) == 0 {
-		f.allAsked(now, key, k, h, 0)
+		f.finishSearch(now, key, b, h, 0)
 		return
 	}
-	k.searches++
-	f.visit(now, key, k, targets)
+	b.attempts++
+	f.sendProbes(now, key, b, targets)
 }
 
-// sendAlong sends a packet to the first of some targets, to be passed on to the
-// others.
-func (f *Finder) sendAlong(packet []byte, targets []flow.Candidate, searchID uint32) {
+// sendProbe sends a packet to the first of the targets, to be passed on to the others.
+func (f *Finder) sendProbe(packet []byte, targets []flow.Candidate, searchID uint32) {
 	f.env = envelope.Envelope{
 		Kind: envelope.Deliver, Balancer: f.opts.Self, Flags: envelope.Search, SearchID: searchID, Service: targets[0].Service,
 	}
@@ -248,75 +248,74 @@
 	f.port.Send(targets[0].Target, &f.env, packet)
 }
 
-// Returned takes a packet back that nobody took, in the envelope that came with it. One
-// that was sent to the remembered target of its flow is searched for; a search goes on, or
-// ends.
+// Returned handles a packet that no target took, with the envelope that it came back in. If it
+// was sent to the recorded target of its flow, the flow is searched for; if it was a probe,
+// its search continues or ends.
 func (f *Finder) Returned(now time.Time, from flow.IPv4, key flow.Key, env envelope.Envelope, h *flow.Header, packet []byte) {
 	f.table.Drop(key, from)
 	if env.Flags&envelope.Search == 0 {
 		f.port.Route(now, key, h, packet)
 		return
 	}
-	k, kept := f.kept.flows[key]
-	if !kept || !k.asking || k.visits[env.SearchID] == nil {
+	b, buffered := f.buffer.flows[key]
+	if !buffered || !b.searching || b.probes[env.SearchID] == nil {
 		f.events.Dropped(DropLateAnswer)
 		return
 	}
-	delete(k.visits, env.SearchID)
-	k.unsure = k.unsure || env.Flags&envelope.Unsure != 0
-	if len(k.visits) > 0 {
+	delete(b.probes, env.SearchID)
+	b.unsure = b.unsure || env.Flags&envelope.Unsure != 0
+	if len(b.probes) > 0 {
 		return
 	}
-	if rest := k.unasked; len(rest) > 0 {
-		k.unasked = nil
-		f.visit(now, key, k, rest)
+	if rest := b.notProbed; len(rest) > 0 {
+		b.notProbed = nil
+		f.sendProbes(now, key, b, rest)
 		return
 	}
-	f.allAsked(now, key, k, h, int(env.Hops))
+	f.finishSearch(now, key, b, h, int(env.Hops))
 }
 
-// allAsked ends a search in which every target was asked and none has the flow.
-func (f *Finder) allAsked(now time.Time, key flow.Key, k *keptFlow, h *flow.Header, hops int) {
-	k.asking = false
-	if k.unsure {
+// finishSearch ends a search in which every target was probed and none has the flow.
+func (f *Finder) finishSearch(now time.Time, key flow.Key, b *bufferedFlow, h *flow.Header, hops int) {
+	b.searching = false
+	if b.unsure {
 		f.events.Lost(key, hops, DoubtTarget, 0)
-		k.next = now.Add(keptPause)
+		b.nextTryAt = now.Add(searchRetryInterval)
 		return
 	}
-	k.denied, k.deniedUpTo = true, k.generation
-	f.conclude(now, key, k, h, hops)
+	b.denied, b.deniedGeneration = true, b.generation
+	f.resetIfEnded(now, key, b, h, hops)
 }
 
-// conclude decides on a flow that all targets have denied that were known when its
-// search began. Those that came since are asked; otherwise its client is told at
-// once when the flow is certainly over, and while that is not certain it is looked
-// at again.
-func (f *Finder) conclude(now time.Time, key flow.Key, k *keptFlow, h *flow.Header, hops int) {
-	if f.view.Generation() != k.deniedUpTo && f.anyoneSince(now, k.deniedUpTo) {
-		f.seek(now, key, h, k.first)
+// resetIfEnded decides about a flow that all targets known at the start of its search have
+// denied. If targets came since, they are probed. Otherwise the client is reset if the flow
+// has certainly ended, and the flow is checked again later if that is uncertain.
+func (f *Finder) resetIfEnded(now time.Time, key flow.Key, b *bufferedFlow, h *flow.Header, hops int) {
+	if f.view.Generation() != b.deniedGeneration && f.hasTargetSince(now, b.deniedGeneration) {
+		f.startSearch(now, key, h, b.first)
 		return
 	}
-	doubt, missing := f.proof.incomplete(now)
-	if doubt == "" {
-		doubt = f.proof.unsurveyed(k.since)
+	uncertainty, missing := f.proof.checkView(now)
+	if uncertainty == "" {
+		uncertainty = f.proof.checkSnapshotAge(b.receivedAt)
 	}
-	f.events.Lost(key, hops, doubt, missing)
-	if doubt != "" {
-		k.next = now.Add(keptPause)
+	f.events.Lost(key, hops, uncertainty, missing)
+	if uncertainty != "" {
+		b.nextTryAt = now.Add(searchRetryInterval)
 		return
 	}
-	f.kept.drop(key)
+	f.buffer.remove(key)
 	if !h.Flags.Has(flow.RST) {
 		f.port.Reset(key, h.Ack)
 	}
 }
 
-// anyoneSince tells whether a target that may hold flows came after a generation of
-// the view.
-func (f *Finder) anyoneSince(now time.Time, generation uint32) bool {
+// hasTargetSince reports whether a target that may hold flows came after the given generation
+// of the view.
+func (f *Finder) hasTargetSince(now time.Time, generation uint32) bool {
 	for _, tag := range f.view.Services() {
-		for _, h := range f.view.Service(tag) {
-			if h.MayHoldSince(now, generation) {
+		for _, t := range f.view.Service(tag) {
+			if t.MayHoldSince(now, generation) {
 				return true
 			}
 		}
@@ -324,47 +323,47 @@
 	return false
 }
 
-// Park keeps a packet that came before the balancer knew its way.
+// Park buffers a packet that cannot be routed yet.
 func (f *Finder) Park(now time.Time, key flow.Key, h *flow.Header, packet []byte, reason Keep) {
-	ttl := keptTTL
+	ttl := bufferTTL
 	if h.IsOpening() {
-		ttl = parkTTL
+		ttl = synBufferTTL
 	}
-	_, kept := f.kept.flows[key]
-	if f.kept.keep(now, key, h.IsOpening(), packet, now.Add(ParkPause), ttl) != nil && !kept {
+	_, buffered := f.buffer.flows[key]
+	if f.buffer.add(now, key, h.IsOpening(), packet, now.Add(ParkPause), ttl) != nil && !buffered {
 		f.events.Kept(key, reason)
 	}
 }
 
-// Release sends the packets that waited for a flow's target.
+// Release forwards the packets that waited for a flow's target.
 func (f *Finder) Release(key flow.Key, target flow.IPv4) {
-	for _, packet := range f.kept.drop(key) {
+	for _, packet := range f.buffer.remove(key) {
 		f.port.Forward(key, target, packet)
 	}
 }
 
-// Retry tries the packets that are due once more.
+// Retry retries the buffered packets that are due.
 func (f *Finder) Retry(now time.Time) {
-	if len(f.kept.flows) == 0 {
+	if len(f.buffer.flows) == 0 {
 		return
 	}
-	keys, expired := f.kept.due(now)
+	keys, expired := f.buffer.due(now)
 	for range expired {
 		f.events.Dropped(DropExpired)
 	}
 	for _, key := range keys {
-		k := f.kept.flows[key]
-		h, err := f.codec.Decode(k.first)
+		b := f.buffer.flows[key]
+		h, err := f.codec.Decode(b.first)
 		switch {
 		case err != nil:
-			// It was decoded when it came; a packet that is none is of no use.
-			f.kept.drop(key)
-		case k.asking:
-			f.askAgain(now, key, k, &h)
-		case k.denied:
-			f.conclude(now, key, k, &h, 0)
+			// It was decoded when it came; one that does not decode cannot be routed.
+			f.buffer.remove(key)
+		case b.searching:
+			f.retrySearch(now, key, b, &h)
+		case b.denied:
+			f.resetIfEnded(now, key, b, &h, 0)
 		default:
-			f.port.Route(now, key, &h, k.first)
+			f.port.Route(now, key, &h, b.first)
 		}
 	}
 }
--- a/balancer/search/search_test.go
+++ b/balancer/search/search_test.go
@@ -14,8 +14,8 @@
 	"github.com/poppywall/poppywall/flow/envelope/envelopetest"
 )
 
-// manyTargets is a settled balancer that knows so many targets.
-func manyTargets(count int) *fixture {
+// newFixtureWithTargets returns a settled balancer that knows count targets.
+func newFixtureWithTargets(count int) *fixture {
 	f := newFixture()
 	for i := range flow.IPv4(count - 2) {
 		f.announce(0x0a020000+i, fleet.Ready)
@@ -25,7 +25,7 @@
 	return f
 }
 
-// targetsOf returns the targets that messages visit.
+// targetsOf returns the targets that probes visit.
 func targetsOf(messages ...envelopetest.Sent) []flow.IPv4 {
 	var out []flow.IPv4
 	for _, s := range messages {
@@ -37,120 +37,123 @@
 	return out
 }
 
-// comeBack lets a message return whose packet no target has taken.
-func (f *fixture) comeBack(s envelopetest.Sent, flags envelope.Flags) {
+// returnProbe returns a probe whose packet no target has taken.
+func (f *fixture) returnProbe(s envelopetest.Sent, flags envelope.Flags) {
 	e := s.Env
 	e.Kind, e.Count = envelope.Returned, 0
 	e.Flags |= envelope.Searched | flags
 	f.HandleNode(f.now, s.To, append(e.Append(nil), packet(false, 9)...))
 }
 
-// TestAFlowIsResetOnceAllTargetsHaveDeniedIt: however many there are, each visited
-// once, and none after more than a few others.
+// TestAFlowIsResetOnceAllTargetsHaveDeniedIt checks for any number of targets that each is
+// visited once, and that no probe visits more than it can hold.
 func TestAFlowIsResetOnceAllTargetsHaveDeniedIt(t *testing.T) {
-	for _, targets := range []int{2, searchRound, searchRound + 1, 264, 265, 325, 1000} {
-		f := manyTargets(targets)
+	for _, targets := range []int{2, maxTargetsPerProbe, maxTargetsPerProbe + 1, 264, 265, 325, 1000} {
+		f := newFixtureWithTargets(targets)
 		f.client(packet(false, 9))
-		var visited []flow.IPv4
+		var probed []flow.IPv4
 		rounds := 0
-		for ; len(f.visiting()) > 0; rounds++ {
-			messages := f.visiting()
+		for ; len(f.outstandingProbes()) > 0; rounds++ {
+			messages := f.outstandingProbes()
 			for _, s := range messages {
 				require.Empty(t, f.port.Resets)
-				require.LessOrEqual(t, len(targetsOf(s)), searchRound)
-				f.comeBack(s, 0)
+				require.LessOrEqual(t, len(targetsOf(s)), maxTargetsPerProbe)
+				f.returnProbe(s, 0)
 			}
-			visited = append(visited, targetsOf(messages...)...)
+			probed = append(probed, targetsOf(messages...)...)
 		}
 		require.Len(t, f.port.Resets, 1)
-		require.ElementsMatch(t, f.View().Targets(), visited)
+		require.ElementsMatch(t, f.View().Targets(), probed)
 		want := 2
-		if targets <= searchRound {
+		if targets <= maxTargetsPerProbe {
 			want = 1
 		}
 		require.Equal(t, want, rounds)
 	}
 }
 
-// TestTheLikeliestTargetsAreVisitedAlone: nearly every flow that lives is at one of them.
-func TestTheLikeliestTargetsAreVisitedAlone(t *testing.T) {
-	f := manyTargets(200)
-	likeliest := f.candidates(f.now, key, f.inUse.Routes[front], denials{})[:2*first]
+// TestLikeliestTargetsAreProbedFirst checks that they get a probe of their own: nearly every
+// live flow is at one of them.
+func TestLikeliestTargetsAreProbedFirst(t *testing.T) {
+	f := newFixtureWithTargets(200)
+	likeliest := f.candidates(f.now, key, f.inForce.Routes[front], denials{})[:2*first]
 	f.client(packet(false, 9))
-	visits := f.visiting()
-	require.Len(t, visits, 1)
+	probes := f.outstandingProbes()
+	require.Len(t, probes, 1)
 	var want []flow.IPv4
 	for _, c := range likeliest {
 		want = append(want, c.Target)
 	}
-	require.Equal(t, want, targetsOf(visits...))
+	require.Equal(t, want, targetsOf(probes...))
 }
 
-// TestALostVisitIsRepeatedAlone: those that came back are not sent again, and targets
-// that have ended meanwhile are not waited for.
-func TestALostVisitIsRepeatedAlone(t *testing.T) {
-	f := manyTargets(200)
+// TestOnlyLostProbesAreRepeated checks that probes that returned are not sent again, and that
+// targets that have ended meanwhile are not waited for.
+func TestOnlyLostProbesAreRepeated(t *testing.T) {
+	f := newFixtureWithTargets(200)
 	f.client(packet(false, 9))
-	f.comeBack(f.visiting()[0], 0)
-	parts := f.visiting()
-	for _, s := range parts[1:] {
-		f.comeBack(s, 0)
+	f.returnProbe(f.outstandingProbes()[0], 0)
+	probes := f.outstandingProbes()
+	for _, s := range probes[1:] {
+		f.returnProbe(s, 0)
 	}
-	lost := targetsOf(parts[0])
+	lost := targetsOf(probes[0])
 	f.announce(lost[2], fleet.Gone)
 	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(slices.DeleteFunc(f.View().Targets(), func(ip flow.IPv4) bool { return ip == lost[2] })...)))
-	f.pass(keptPause)
-	again := f.visiting()
-	backward := slices.Delete(slices.Clone(lost), 2, 3)
-	slices.Reverse(backward)
-	require.Equal(t, backward, targetsOf(again...), "a VM that is dead is the last one then")
-	f.comeBack(parts[0], envelope.Unsure)
-	require.Empty(t, f.port.Resets, "it had visited before the repetition")
-	f.comeBack(again[0], 0)
+	f.advance(searchRetryInterval)
+	repeated := f.outstandingProbes()
+	reversed := slices.Delete(slices.Clone(lost), 2, 3)
+	slices.Reverse(reversed)
+	require.Equal(t, reversed, targetsOf(repeated...), "in reverse order, so that a dead VM is visited last")
+	f.returnProbe(probes[0], envelope.Unsure)
+	require.Empty(t, f.port.Resets, "a probe from before the repetition does not count")
+	f.returnProbe(repeated[0], 0)
 	require.Len(t, f.port.Resets, 1)
 }
 
-// TestAllAreVisitedWhenTheLikeliestDoNotAnswer: one of them may be dead, and the flow
-// at any other target.
-func TestAllAreVisitedWhenTheLikeliestDoNotAnswer(t *testing.T) {
-	f := manyTargets(200)
+// TestAllTargetsAreProbedWhenTheLikeliestDoNotAnswer guards against waiting for a dead target
+// while the flow is at another one.
+func TestAllTargetsAreProbedWhenTheLikeliestDoNotAnswer(t *testing.T) {
+	f := newFixtureWithTargets(200)
 	f.client(packet(false, 9))
-	f.pass(keptPause)
-	require.ElementsMatch(t, f.View().Targets(), targetsOf(f.visiting()...))
+	f.advance(searchRetryInterval)
+	require.ElementsMatch(t, f.View().Targets(), targetsOf(f.outstandingProbes()...))
 }
 
-// TestTargetsThatEndWhileTheyAreAskedAreNotWaitedFor.
-func TestTargetsThatEndWhileTheyAreAskedAreNotWaitedFor(t *testing.T) {
+// TestTargetsThatEndWhileProbedAreNotWaitedFor guards against a flow that is never reset
+// because its last probes cannot return.
+func TestTargetsThatEndWhileProbedAreNotWaitedFor(t *testing.T) {
 	f := newFixture()
 	f.client(packet(false, 9))
 	f.announce(targetA, fleet.Gone)
 	f.announce(targetB, fleet.Gone)
 	f.Surveyed(f.now, fleet.SurveyAt(f.now, nil))
-	f.pass(keptPause)
+	f.advance(searchRetryInterval)
 	require.Len(t, f.port.Resets, 1)
 }
 
-// TestATargetThatIsUnsureKeepsTheFlowInDoubt: whichever of the messages visited it.
-func TestATargetThatIsUnsureKeepsTheFlowInDoubt(t *testing.T) {
-	f := manyTargets(200)
+// TestUnsureTargetKeepsTheFlowUncertain checks that one unsure answer suffices, whichever
+// probe carries it.
+func TestUnsureTargetKeepsTheFlowUncertain(t *testing.T) {
+	f := newFixtureWithTargets(200)
 	f.client(packet(false, 9))
-	f.comeBack(f.visiting()[0], 0)
-	for i, s := range f.visiting() {
+	f.returnProbe(f.outstandingProbes()[0], 0)
+	for i, s := range f.outstandingProbes() {
 		flags := envelope.Flags(0)
 		if i == 3 {
 			flags = envelope.Unsure
 		}
-		f.comeBack(s, flags)
+		f.returnProbe(s, flags)
 	}
-	require.Equal(t, DoubtTarget, f.doubt)
+	require.Equal(t, DoubtTarget, f.uncertainty)
 	require.Empty(t, f.port.Resets)
 }
 
-// TestOnlyWhatEveryTargetHasDeniedIsReset: targets fall silent, are heard again, end,
-// start and join while messages come back in any order, late, or never.
-func TestOnlyWhatEveryTargetHasDeniedIsReset(t *testing.T) {
+// TestOnlyFlowsDeniedByEveryTargetAreReset checks random runs in which targets become overdue,
+// are seen again, end, start and join while probes return in any order, late, or never.
+func TestOnlyFlowsDeniedByEveryTargetAreReset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := manyTargets(rapid.IntRange(3, 3*searchRound).Draw(t, "targets"))
+		f := newFixtureWithTargets(rapid.IntRange(3, 3*maxTargetsPerProbe).Draw(t, "targets"))
 		targets := f.View().Targets()
 		denied, ended := map[flow.IPv4]bool{}, map[flow.IPv4]bool{}
 		f.client(packet(false, 9))
@@ -170,9 +173,9 @@
 				f.announce(next, fleet.Ready)
 				targets = append(targets, next)
 			case 3:
-				f.pass(time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * time.Millisecond)
+				f.advance(time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * time.Millisecond)
 			default:
-				f.someComeBack(t, denied)
+				f.returnSomeProbes(t, denied)
 			}
 			if len(f.port.Resets) == 0 {
 				continue
@@ -185,10 +188,10 @@
 	})
 }
 
-// someComeBack lets some of the messages return, late ones among them.
-func (f *fixture) someComeBack(t *rapid.T, denied map[flow.IPv4]bool) {
+// returnSomeProbes returns some of the probes, late ones among them.
+func (f *fixture) returnSomeProbes(t *rapid.T, denied map[flow.IPv4]bool) {
 	all := rapid.Bool().Draw(t, "all")
-	waiting := f.visiting()
+	waiting := f.outstandingProbes()
 	for _, s := range f.port.Delivered() {
 		if !all && rapid.IntRange(0, 3).Draw(t, "comes back") == 0 {
 			continue
@@ -198,12 +201,13 @@
 				denied[ip] = true
 			}
 		}
-		f.comeBack(s, 0)
+		f.returnProbe(s, 0)
 	}
 }
 
-// TestTheOrderOfASearch: whom the flow was chosen among, then whom it may be at.
-func TestTheOrderOfASearch(t *testing.T) {
+// TestSearchOrder checks that the targets that the flow was chosen among come first, then the
+// others that may hold it.
+func TestSearchOrder(t *testing.T) {
 	f := newFixture()
 	add := func(ip flow.IPv4, zone, service flow.Tag) {
 		f.seq++
@@ -217,7 +221,7 @@
 		add(0x0a040000+i, 0, alpha)
 	}
 	kinds := ""
-	for _, c := range f.candidates(f.now, key, f.inUse.Routes[front], denials{}) {
+	for _, c := range f.candidates(f.now, key, f.inForce.Routes[front], denials{}) {
 		switch c.Target >> 16 {
 		case 0x0a01:
 			kinds += "q"
@@ -233,9 +237,9 @@
 	require.Equal(t, repeat("n", 8)+repeat("f", 8)+repeat("n", 12)+repeat("f", 12)+repeat("o", 20)+"qq", kinds)
 }
 
-// TestAMessageToManyTargetsStaysInAZone: hundreds of targets in six zones, each of which is
-// asked about a flow that none holds.
-func TestAMessageToManyTargetsStaysInAZone(t *testing.T) {
+// TestProbeToManyTargetsStaysInOneZone bounds cross-zone traffic: hundreds of targets in six
+// zones are probed for a flow that none holds.
+func TestProbeToManyTargetsStaysInOneZone(t *testing.T) {
 	const zones, targets = 6, 678
 	f := newFixture()
 	for i := range flow.IPv4(targets) {
@@ -244,18 +248,18 @@
 		f.HandleNode(f.now, 0x0a020000+i, a.Append(nil))
 	}
 	f.client(packet(false, 9))
-	f.comeBack(f.visiting()[0], 0)
-	messages := f.visiting()
-	require.LessOrEqual(t, len(messages), targets/searchRound+zones+1)
-	visited := 0
+	f.returnProbe(f.outstandingProbes()[0], 0)
+	messages := f.outstandingProbes()
+	require.LessOrEqual(t, len(messages), targets/maxTargetsPerProbe+zones+1)
+	probed := 0
 	for _, s := range messages {
 		in := map[flow.Tag]bool{}
 		for _, ip := range targetsOf(s) {
 			h, _ := f.View().Target(ip)
 			in[h.Zone] = true
-			visited++
+			probed++
 		}
 		require.Len(t, in, 1)
 	}
-	require.Equal(t, targets+2-2*first, visited)
+	require.Equal(t, targets+2-2*first, probed)
 }
--- a/balancer/search/table.go
+++ b/balancer/search/table.go
@@ -6,21 +6,19 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// MaxFlows bounds a balancer's table: at some 100 bytes a flow 6 MB. The platform's
-// size ahead is 12 M flows over 1,700 nodes, 7,000 each.
+// MaxFlows bounds a balancer's table: 6 MB at some 100 bytes per flow. The planned size of the
+// platform is 12 M flows over 1,700 nodes, 7,000 each.
 const MaxFlows = 1 << 16
 
-// entry is what the balancer remembers of a flow.
+// entry is the record of a flow.
 type entry struct {
 	target flow.IPv4
 	usedAt time.Time
-	// openedAt is when the first copy of the flow's SYN came; zero when it did
-	// not come here.
+	// openedAt is when the flow's SYN first came; zero when it did not come here.
 	openedAt time.Time
 }
 
-// Table is soft state: an entry may be lost at any moment, its flow is found
-// again by a search.
+// Table is soft state: any entry may be lost at any moment; a search finds its flow again.
 type Table struct {
 	flows map[flow.Key]entry
 	limit int
@@ -44,7 +42,7 @@
 	return e.target, true
 }
 
-// Put remembers a flow's target. A full table gives up an arbitrary flow.
+// Put records a flow's target. A full table evicts an arbitrary flow.
 func (t *Table) Put(now time.Time, key flow.Key, target flow.IPv4) {
 	if _, known := t.flows[key]; !known && len(t.flows) >= t.limit {
 		for victim := range t.flows {
@@ -55,27 +53,27 @@
 	t.flows[key] = entry{target: target, usedAt: now, openedAt: t.flows[key].openedAt}
 }
 
-// Opened remembers where the first copy of a SYN was sent.
+// Opened records where a SYN was sent when it first came.
 func (t *Table) Opened(now time.Time, key flow.Key, target flow.IPv4) {
 	t.Put(now, key, target)
 	t.flows[key] = entry{target: target, usedAt: now, openedAt: now}
 }
 
-// Opening returns where a flow was sent and when the first copy of its SYN came; zero time
-// when it did not come here.
+// Opening returns where a flow was sent and when its SYN first came; the time is zero when it
+// did not come here.
 func (t *Table) Opening(key flow.Key) (flow.IPv4, time.Time) {
 	e := t.flows[key]
 	return e.target, e.openedAt
 }
 
-// Drop forgets a flow if it is remembered at the target.
+// Drop removes a flow if it is recorded at the target.
 func (t *Table) Drop(key flow.Key, target flow.IPv4) {
 	if e, ok := t.flows[key]; ok && e.target == target {
 		delete(t.flows, key)
 	}
 }
 
-// DropTarget forgets all flows at a target.
+// DropTarget removes all flows at a target.
 func (t *Table) DropTarget(target flow.IPv4) {
 	for key, e := range t.flows {
 		if e.target == target {
@@ -84,7 +82,7 @@
 	}
 }
 
-// Expire forgets flows idle for longer than idle.
+// Expire removes flows idle for longer than idle.
 func (t *Table) Expire(now time.Time, idle time.Duration) {
 	for key, e := range t.flows {
 		if now.Sub(e.usedAt) > idle {
--- a/balancer/search/table_test.go
+++ b/balancer/search/table_test.go
@@ -9,7 +9,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	table := NewTable(100)
 	now := time.Unix(1, 0)
 	for i := range flow.IPv4(1000) {
