--- a/balancer/operator/fixture_test.go
+++ b/balancer/operator/fixture_test.go
@@ -17,32 +17,32 @@
 
 var alpha = flow.TagOf("alpha")
 
-// told is what a listener has heard of.
-type told struct {
+// changeRecorder implements Listener and records the changes.
+type changeRecorder struct {
 	configs int
-	// evacuations are those of each change, former those before it, from who told it.
-	evacuations, former []flow.Evacuations
-	from                []Origin
+	// evacuations are those of each change, previous those before it, from where it came from.
+	evacuations, previous []flow.Evacuations
+	from                  []Origin
 }
 
-func (t *told) ConfigChanged(time.Time) { t.configs++ }
+func (r *changeRecorder) ConfigChanged(time.Time) { r.configs++ }
 
-func (t *told) EvacuationsChanged(_ time.Time, next, former flow.Evacuations, from Origin) {
-	t.evacuations, t.former, t.from = append(t.evacuations, next), append(t.former, former), append(t.from, from)
+func (r *changeRecorder) EvacuationsChanged(_ time.Time, next, previous flow.Evacuations, from Origin) {
+	r.evacuations, r.previous, r.from = append(r.evacuations, next), append(r.previous, previous), append(r.from, from)
 }
 
-// fixture is the state of a balancer that has started a while ago, with configuration 5.
+// fixture is the state of a balancer that started a while ago and has configuration 5.
 type fixture struct {
 	*State
-	view *fleet.View
-	told told
-	now  time.Time
-	seq  uint32
+	view    *fleet.View
+	changes changeRecorder
+	now     time.Time
+	seq     uint32
 }
 
 func newFixture() *fixture {
 	f := &fixture{view: fleet.NewView(), now: time.Unix(1_700_000_000, 0)}
-	f.State = New(f.now, Options{Self: self, FeedTime: time.Second}, f.view, &f.told, rand.New(rand.NewPCG(1, 1)))
+	f.State = New(f.now, Options{Self: self, FeedTime: time.Second}, f.view, &f.changes, rand.New(rand.NewPCG(1, 1)))
 	f.SetConfig(f.now, config(5))
 	f.now = f.now.Add(3 * time.Second)
 	return f
--- a/balancer/operator/gap_test.go
+++ b/balancer/operator/gap_test.go
@@ -10,16 +10,16 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// follower returns a balancer with configuration 5 that relies on three others for
-// its changes.
-func follower() *fixture {
+// newFollower returns a balancer with configuration 5 that does not watch the store and relies
+// on three others.
+func newFollower() *fixture {
 	f := newFixture()
-	f.hearVersion(5)
+	f.peersAnnounce(5)
 	return f
 }
 
-// hearVersion lets the three others tell a version.
-func (f *fixture) hearVersion(version int64) {
+// peersAnnounce delivers beacons of the three others with a configuration version.
+func (f *fixture) peersAnnounce(version int64) {
 	for i := range flow.IPv4(3) {
 		f.seq++
 		m := fleet.Beacon{Identity: fleet.Identity{Epoch: 1, Seq: f.seq}, ConfigVersion: version, Feeding: true, Period: time.Hour}
@@ -27,9 +27,10 @@
 	}
 }
 
-// TestABalancerThatIsBehind: a follower fetches at once, and reads the store too
-// when that does not help; one that watches gives its own watch a moment first.
-func TestABalancerThatIsBehind(t *testing.T) {
+// TestFetchAndStoreDutyWhileConfigLags checks when a balancer fetches and reads the store: a
+// follower fetches at once, and reads the store too if that does not help; one that watches
+// gives its own watch a moment first.
+func TestFetchAndStoreDutyWhileConfigLags(t *testing.T) {
 	type want struct {
 		fetch bool
 		duty  StoreDuty
@@ -39,24 +40,24 @@
 		after   time.Duration
 		want    want
 	}{
-		"a follower as new as the others":          {func(*fixture) {}, time.Minute, want{false, DutyNone}},
-		"a follower that just heard":               {func(f *fixture) { f.hearVersion(7) }, 0, want{true, DutyNone}},
-		"a follower just before its patience ends": {func(f *fixture) { f.hearVersion(7) }, storePatience - 1, want{true, DutyNone}},
-		"a follower for its patience":              {func(f *fixture) { f.hearVersion(7) }, storePatience, want{true, DutyRead}},
+		"a follower as new as the others":                  {func(*fixture) {}, time.Minute, want{false, DutyNone}},
+		"a follower that just saw a newer version":         {func(f *fixture) { f.peersAnnounce(7) }, 0, want{true, DutyNone}},
+		"a follower just before the store read delay ends": {func(f *fixture) { f.peersAnnounce(7) }, storeReadDelay - 1, want{true, DutyNone}},
+		"a follower after the store read delay":            {func(f *fixture) { f.peersAnnounce(7) }, storeReadDelay, want{true, DutyRead}},
 		"a follower that has fetched and decodes": {func(f *fixture) {
-			f.hearVersion(7)
+			f.peersAnnounce(7)
 			f.FetchFrom(f.now)
-			f.now = f.now.Add(storePatience - 1)
-			f.Fetched(f.now)
-		}, storePatience - 1, want{true, DutyNone}},
-		"one that watches and just heard":    {func(f *fixture) { f.opts.Zone = 9; f.hearVersion(7) }, 0, want{false, DutyWatch}},
-		"one that watches, after a moment":   {func(f *fixture) { f.opts.Zone = 9; f.hearVersion(7) }, peerPatience, want{true, DutyWatch}},
-		"one that watches, for its patience": {func(f *fixture) { f.opts.Zone = 9; f.hearVersion(7) }, storePatience, want{true, DutyRead}},
-		"without any configuration":          {func(f *fixture) { f.config = nil; f.hearVersion(7) }, storePatience, want{true, DutyWatch}},
-		"what does not decode here":          {func(f *fixture) { f.RefuseConfig(f.now, peer, 7); f.hearVersion(7) }, time.Minute, want{false, DutyNone}},
-		"a newer one than does not decode":   {func(f *fixture) { f.RefuseConfig(f.now, peer, 7); f.hearVersion(8) }, 0, want{true, DutyNone}},
+			f.now = f.now.Add(storeReadDelay - 1)
+			f.FetchSucceeded(f.now)
+		}, storeReadDelay - 1, want{true, DutyNone}},
+		"one that watches and just saw a newer version":     {func(f *fixture) { f.opts.Zone = 9; f.peersAnnounce(7) }, 0, want{false, DutyWatch}},
+		"one that watches, after a moment":                  {func(f *fixture) { f.opts.Zone = 9; f.peersAnnounce(7) }, peerFetchDelay, want{true, DutyWatch}},
+		"one that watches, after the store read delay":      {func(f *fixture) { f.opts.Zone = 9; f.peersAnnounce(7) }, storeReadDelay, want{true, DutyRead}},
+		"without any configuration":                         {func(f *fixture) { f.config = nil; f.peersAnnounce(7) }, storeReadDelay, want{true, DutyWatch}},
+		"a version that does not decode here":               {func(f *fixture) { f.RejectVersion(f.now, peer, 7); f.peersAnnounce(7) }, time.Minute, want{false, DutyNone}},
+		"a newer version than the one that does not decode": {func(f *fixture) { f.RejectVersion(f.now, peer, 7); f.peersAnnounce(8) }, 0, want{true, DutyNone}},
 	} {
-		f := follower()
+		f := newFollower()
 		c.prepare(f)
 		f.FetchFrom(f.now)
 		f.now = f.now.Add(c.after)
@@ -68,14 +69,14 @@
 	}
 }
 
-// TestProgressStartsTheGapAnew: a follower that gets one version after another is
-// served, though there always is a newer one.
-func TestProgressStartsTheGapAnew(t *testing.T) {
-	f := follower()
+// TestProgressRestartsTheGapTimer guards against needless reads of the store: a follower that
+// gets one version after another is not stuck, though there always is a newer one.
+func TestProgressRestartsTheGapTimer(t *testing.T) {
+	f := newFollower()
 	for version := int64(6); version < 20; version++ {
-		f.hearVersion(version + 1)
+		f.peersAnnounce(version + 1)
 		f.FetchFrom(f.now)
-		f.now = f.now.Add(storePatience / 2)
+		f.now = f.now.Add(storeReadDelay / 2)
 		require.Equal(t, DutyNone, f.StoreDuty(f.now))
 		f.SetConfig(f.now, config(version))
 	}
@@ -84,60 +85,62 @@
 	require.False(t, due)
 }
 
-// TestWhatWasFetchedMakesNoGap where there is none.
-func TestWhatWasFetchedMakesNoGap(t *testing.T) {
-	f := follower()
-	f.Fetched(f.now)
+// TestFetchDoesNotOpenAGap guards against a read of the store after a fetch while no balancer
+// has a newer version.
+func TestFetchDoesNotOpenAGap(t *testing.T) {
+	f := newFollower()
+	f.FetchSucceeded(f.now)
 	f.now = f.now.Add(time.Minute)
 	require.Equal(t, DutyNone, f.StoreDuty(f.now))
 }
 
-// kept announces an agent that keeps a copy of a version.
-func (f *fixture) kept(ip flow.IPv4, version int64) {
+// announceCopy delivers the announcement of an agent that holds a copy of a version.
+func (f *fixture) announceCopy(ip flow.IPv4, version int64) {
 	f.seq++
 	a := fleet.Announcement{Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, ConfigVersion: version}
 	f.view.Announce(f.now, ip, a)
 }
 
-// withoutConfig returns a balancer that has started a while ago and has no configuration.
-func withoutConfig(age time.Duration) *fixture {
+// newFixtureWithoutConfig returns a balancer of the given age without a configuration, and two
+// agents that hold copies.
+func newFixtureWithoutConfig(age time.Duration) *fixture {
 	f := newFixture()
 	f.config, f.startedAt = nil, f.now.Add(-age)
-	f.kept(targetA, 6)
-	f.kept(targetB, 7)
+	f.announceCopy(targetA, 6)
+	f.announceCopy(targetB, 7)
 	return f
 }
 
-// TestABalancerWithoutAConfigurationTakesAnAgentsCopy, the newest one, when the store has
-// had its time and no balancer has one.
-func TestABalancerWithoutAConfigurationTakesAnAgentsCopy(t *testing.T) {
+// TestBalancerWithoutConfigFetchesAnAgentsCopy checks that it fetches the newest copy, once
+// the store has had time to answer and while no balancer has a configuration.
+func TestBalancerWithoutConfigFetchesAnAgentsCopy(t *testing.T) {
 	type want struct {
 		from    flow.IPv4
 		version int64
 	}
-	const age = keptPatience
+	const age = copyFetchDelay
 	for name, c := range map[string]struct {
 		age     time.Duration
 		prepare func(*fixture)
 		want    want
 	}{
-		"the newest copy":         {age, func(*fixture) {}, want{targetB, 7}},
-		"the store has its time":  {age - 1, func(*fixture) {}, want{}},
-		"it has a configuration":  {age, func(f *fixture) { f.SetConfig(f.now, config(1)) }, want{}},
-		"a balancer has an older": {age, func(f *fixture) { f.hearVersion(5) }, want{self - 1, 5}},
-		"its agent is silent":     {age, func(f *fixture) { f.now = f.now.Add(5 * time.Second); f.kept(targetA, 6) }, want{targetA, 6}},
-		"it does not decode":      {age, func(f *fixture) { f.RefuseConfig(f.now, targetB, 7) }, want{targetA, 6}},
-		"it does not come":        {age, func(f *fixture) { f.NotFetched(f.now, targetB) }, want{targetA, 6}},
-		"asked a moment ago":      {age, func(f *fixture) { f.FetchFrom(f.now) }, want{}},
-		"asked again":             {age, func(f *fixture) { f.FetchFrom(f.now); f.now = f.now.Add(keptPause) }, want{targetB, 7}},
-		"broken ones, after while": {age, func(f *fixture) {
-			f.NotFetched(f.now, targetB)
-			f.now = f.now.Add(badKeptTime)
-			f.kept(targetA, 6)
-			f.kept(targetB, 7)
+		"the newest copy":             {age, func(*fixture) {}, want{targetB, 7}},
+		"the store may still answer":  {age - 1, func(*fixture) {}, want{}},
+		"it has a configuration":      {age, func(f *fixture) { f.SetConfig(f.now, config(1)) }, want{}},
+		"a balancer has an older one": {age, func(f *fixture) { f.peersAnnounce(5) }, want{self - 1, 5}},
+		"its agent is overdue":        {age, func(f *fixture) { f.now = f.now.Add(5 * time.Second); f.announceCopy(targetA, 6) }, want{targetA, 6}},
+		"it does not decode":          {age, func(f *fixture) { f.RejectVersion(f.now, targetB, 7) }, want{targetA, 6}},
+		"it does not come":            {age, func(f *fixture) { f.FetchFailed(f.now, targetB) }, want{targetA, 6}},
+		"asked a moment ago":          {age, func(f *fixture) { f.FetchFrom(f.now) }, want{}},
+		"asked again":                 {age, func(f *fixture) { f.FetchFrom(f.now); f.now = f.now.Add(copyFetchInterval) }, want{targetB, 7}},
+		"failed ones, after the backoff": {age, func(f *fixture) {
+			f.FetchFailed(f.now, targetB)
+			f.now = f.now.Add(failedCopyBackoff)
+			f.announceCopy(targetA, 6)
+			f.announceCopy(targetB, 7)
 		}, want{targetB, 7}},
 	} {
-		f := withoutConfig(c.age)
+		f := newFixtureWithoutConfig(c.age)
 		c.prepare(f)
 		from, version, due := f.FetchFrom(f.now)
 		require.Equal(t, c.want.version != 0, due, name)
@@ -147,14 +150,15 @@
 	}
 }
 
-// TestACopyIsReplacedByWhatTheStoreHas, and never comes back.
-func TestACopyIsReplacedByWhatTheStoreHas(t *testing.T) {
-	f := withoutConfig(keptPatience)
+// TestAgentCopyIsReplacedByTheStoredConfig checks that the stored configuration replaces an
+// agent's copy, and that no copy replaces it again.
+func TestAgentCopyIsReplacedByTheStoredConfig(t *testing.T) {
+	f := newFixtureWithoutConfig(copyFetchDelay)
 	require.True(t, f.SetConfig(f.now, config(7)), "the copy")
 	require.Equal(t, DutyWatch, f.StoreDuty(f.now))
 	require.True(t, f.SetConfig(f.now, config(9)), "what the store has")
 	require.False(t, f.SetConfig(f.now, config(7)))
-	f.kept(targetA, 8)
+	f.announceCopy(targetA, 8)
 	f.now = f.now.Add(time.Minute)
 	_, _, due := f.FetchFrom(f.now)
 	require.False(t, due)
--- a/balancer/operator/peers.go
+++ b/balancer/operator/peers.go
@@ -14,19 +14,19 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// peerPeriod is how often a balancer looks whether others have a newer configuration.
-const peerPeriod = 100 * time.Millisecond
+// peerCheckInterval is how often a balancer checks whether others have a newer configuration.
+const peerCheckInterval = 100 * time.Millisecond
 
-// FollowPeers fetches a configuration that another balancer has and this one
-// does not get from the store.
+// FollowPeers fetches configurations that other nodes have and this balancer does not get from
+// the store.
 func (s *Source) FollowPeers(ctx context.Context) error {
-	return worker.Every(ctx, peerPeriod, func() {
+	return worker.Every(ctx, peerCheckInterval, func() {
 		var peer flow.IPv4
 		var version int64
 		due := false
 		s.Locked(func(now time.Time) {
 			peer, version, due = s.State.FetchFrom(now)
-			s.Transfers.heardOf(max(version, s.State.ConfigVersion()))
+			s.Transfers.setHighestSeen(max(version, s.State.ConfigVersion()))
 		})
 		if due {
 			s.fetch(ctx, peer, version)
@@ -34,33 +34,32 @@
 	})
 }
 
-// fetch takes over the configuration of another balancer, which has told of a
-// version.
+// fetch fetches and applies the configuration of another node, which has announced version.
 func (s *Source) fetch(ctx context.Context, peer flow.IPv4, version int64) {
 	began := time.Now()
 	raw, err := s.Peers.Fetch(ctx, netip.AddrPortFrom(peer.Addr(), s.Port))
-	s.Transfers.fetched(err)
+	s.Transfers.countFetch(err)
 	fields := []zap.Field{
-		zap.Stringer(telemetry.FieldPeer, peer), zap.Int64(telemetry.FieldConfig, s.version()), zap.Int64(fieldHeard, version),
+		zap.Stringer(telemetry.FieldPeer, peer), zap.Int64(telemetry.FieldConfig, s.version()), zap.Int64(fieldSeenVersion, version),
 		zap.Int(telemetry.FieldBytes, bytesOf(raw, err)), zap.Int64(fieldTookMS, time.Since(began).Milliseconds()),
 	}
 	if err != nil {
 		s.Log.Warn("configuration not fetched", append(fields, zap.Error(err))...)
-		s.Locked(func(now time.Time) { s.State.NotFetched(now, peer) })
+		s.Locked(func(now time.Time) { s.State.FetchFailed(now, peer) })
 		return
 	}
 	s.Log.Info("configuration fetched", fields...)
-	s.Locked(s.State.Fetched)
+	s.Locked(s.State.FetchSucceeded)
 	c, err := decode(raw)
 	if err != nil {
-		s.Log.Error("configuration of another balancer refused", zap.Stringer(telemetry.FieldPeer, peer), zap.Int64(fieldHeard, version), zap.Error(err))
-		s.Locked(func(now time.Time) { s.State.RefuseConfig(now, peer, version) })
+		s.Log.Error("configuration of another balancer refused", zap.Stringer(telemetry.FieldPeer, peer), zap.Int64(fieldSeenVersion, version), zap.Error(err))
+		s.Locked(func(now time.Time) { s.State.RejectVersion(now, peer, version) })
 		return
 	}
 	s.apply(c, raw, Origin(peer))
 }
 
-// bytesOf is how much of an answer has come, whole or not.
+// bytesOf returns how many bytes of an answer were received, complete or not.
 func bytesOf(whole []byte, err error) int {
 	var part *transfer.Error
 	if errors.As(err, &part) {
--- a/balancer/operator/source.go
+++ b/balancer/operator/source.go
@@ -18,112 +18,110 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// Times of the configuration's watch.
+// Timing of the configuration's watch.
 const (
-	// watchMargin is what a balancer has left after it has noticed that a watch was
-	// lost in silence, besides the transfer: for a connection, a read, and a watch
-	// that starts late.
+	// watchMargin is the time reserved, besides the transfer, after a silent loss of a watch
+	// is detected: for a connection, a read, and a watch that starts late.
 	watchMargin = 500 * time.Millisecond
-	// leastWatchWait keeps a balancer from asking without a pause, whatever the
-	// bound is.
-	leastWatchWait = 500 * time.Millisecond
-	// mostWatchWait bounds the waiting time of a watch: the configuration's
-	// freshness is told to others by what it returns.
-	mostWatchWait = 5 * time.Second
+	// minWatchWait keeps a balancer from calling the store without a pause, whatever the bound
+	// is.
+	minWatchWait = 500 * time.Millisecond
+	// maxWatchWait bounds the waiting time of a watch: a balancer reports to others that it
+	// follows the store only while watches return.
+	maxWatchWait = 5 * time.Second
 	// StoreTimeout bounds a call at the store, which answers in milliseconds.
 	StoreTimeout = 900 * time.Millisecond
-	// retryPause is the pause after a failed call; it doubles up to the most.
+	// retryPause is the pause after a failed call; it doubles up to maxRetryPause.
 	retryPause    = 50 * time.Millisecond
-	mostRetryWait = 800 * time.Millisecond
-	// idlePause is how often a balancer that others feed looks whether it still
-	// is.
-	idlePause = 100 * time.Millisecond
-	// decodePause is the pause between two pieces of a configuration that is decoded:
-	// long enough for the packets that came meanwhile, 33 of them for 4,200 routes.
+	maxRetryPause = 800 * time.Millisecond
+	// dutyCheckInterval is how often a balancer that does not watch the store checks whether
+	// it has to.
+	dutyCheckInterval = 100 * time.Millisecond
+	// decodePause is the pause between two pieces of a configuration that is decoded: long
+	// enough for the packets that came meanwhile, 33 of them for 4,200 routes.
 	decodePause = time.Millisecond
 )
 
-// Log field names; shared ones stand in package telemetry.
+// Log field names; shared ones are in package telemetry.
 const (
-	fieldHeard  = "heard"
-	fieldTookMS = "took_ms"
+	fieldSeenVersion = "heard"
+	fieldTookMS      = "took_ms"
 )
 
-// watchWait is how long the store may hold a watch. One that was lost in silence
-// is noticed after that and the store's time-out; then the configuration takes its
-// time to come. Each watch is a priced call, so it is as long as the bound allows, counted
-// from the last answer, since when the connection may be silent.
+// watchWait returns how long the store may hold a watch. A watch whose connection went silent
+// is detected after that and the store's timeout; then the configuration has to be
+// transferred. Each watch is a billed call, so the wait is as long as the bound allows,
+// counted from the last answer, since when the connection may have been silent.
 func watchWait(catchUp, transfer, sinceAnswer time.Duration) time.Duration {
-	return min(max(catchUp-StoreTimeout-watchMargin-transfer-sinceAnswer, leastWatchWait), mostWatchWait)
+	return min(max(catchUp-StoreTimeout-watchMargin-transfer-sinceAnswer, minWatchWait), maxWatchWait)
 }
 
-// FeedTime is how long after an answer of the store a balancer counts as fed: a watch's
-// waiting time and its time-out.
+// FeedTime returns how long after an answer of the store a balancer counts as following it: a
+// watch's waiting time and its timeout.
 func FeedTime(catchUp time.Duration) time.Duration { return watchWait(catchUp, 0, 0) + StoreTimeout }
 
-// Source follows what the operator has written: the configuration and the emptied zones,
-// by one watch of the store and from other nodes. The exported fields are set before it
-// runs.
+// Source follows what the operator has written, the configuration and the evacuated zones, by
+// one watch of the store and from other nodes. The exported fields are set before it runs.
 type Source struct {
 	State *State
-	// Locked calls do with the time while State may be used.
+	// Locked calls do with the current time while State may be used.
 	Locked func(do func(now time.Time))
 	Store  store.Watcher
-	// Peers calls other nodes, which serve their copies at Port.
+	// Peers calls other nodes, which serve their copies of the configuration at Port.
 	Peers *configcopy.Client
 	Port  uint16
-	// CatchUp is how long the source may take after connections went silent.
+	// CatchUp is how long the source may take to catch up after connections went silent.
 	CatchUp   time.Duration
 	Transfers *Transfers
 	Log       *zap.Logger
 
-	// stored is the configuration in force as it is stored, nil before the first; it is
+	// stored is the configuration in force in its stored encoding, nil before the first; it is
 	// used while Locked.
 	stored *configcopy.Copy
 	// transfer is how long the last configuration took to come from the store.
 	transfer time.Duration
-	// emptied are the zones that the store empties, as of the last answer.
-	emptied map[string]bool
-	// lost tells that the store does not answer.
-	lost bool
+	// evacuated are the zones that the store lists as evacuated, as of its last answer.
+	evacuated map[string]bool
+	// storeUnavailable reports whether the last call to the store failed.
+	storeUnavailable bool
 }
 
 // FollowStore reads what the operator has written and watches it until ctx ends.
 func (s *Source) FollowStore(ctx context.Context) error {
 	revision, pause := int64(0), retryPause
-	s.emptied = map[string]bool{}
+	s.evacuated = map[string]bool{}
 	for ctx.Err() == nil {
 		duty := s.duty()
 		switch duty {
 		case DutyNone:
-			worker.Sleep(ctx, idlePause)
+			worker.Sleep(ctx, dutyCheckInterval)
 			continue
 		case DutyRead:
 			s.Log.Info("behind other balancers, the store is read")
 			revision = 0
 		}
-		next, err := s.step(ctx, revision)
+		next, err := s.readOrWatch(ctx, revision)
 		switch {
 		case ctx.Err() != nil:
 			return nil
 		case err == nil:
 			s.Locked(s.State.Fed)
 			revision = next
-			s.noteStore(nil)
+			s.logStoreAvailability(nil)
 			if duty == DutyWatch {
 				pause = retryPause
 				continue
 			}
 			// A read that does not close the gap is not repeated without a pause.
-		case revision != 0 && wantsRead(err):
+		case revision != 0 && needsFullRead(err):
 			s.Log.Info("changes cannot be watched from here, read anew", zap.Int64(telemetry.FieldRevision, revision), zap.Error(err))
 			revision = 0
 			continue
 		default:
-			s.noteStore(err)
+			s.logStoreAvailability(err)
 		}
 		worker.Sleep(ctx, worker.Jitter(pause))
-		pause = min(2*pause, mostRetryWait)
+		pause = min(2*pause, maxRetryPause)
 	}
 	return nil
 }
@@ -133,22 +131,23 @@
 	return d
 }
 
-// step reads all, or waits for the next change when a revision is known, and returns the revision to continue from.
-func (s *Source) step(ctx context.Context, revision int64) (int64, error) {
+// readOrWatch reads everything if revision is zero, or else waits for the next changes after
+// it. It applies what it received and returns the revision to continue from.
+func (s *Source) readOrWatch(ctx context.Context, revision int64) (int64, error) {
 	if revision == 0 {
 		return s.read(ctx)
 	}
 	var sinceAnswer time.Duration
-	s.Locked(func(now time.Time) { sinceAnswer = s.State.SinceFed(now) })
+	s.Locked(func(now time.Time) { sinceAnswer = s.State.SinceStoreAnswer(now) })
 	changes, err := s.Store.Watch(ctx, platform.OperatorPrefix, revision, watchWait(s.CatchUp, s.transfer, sinceAnswer))
 	if err != nil {
 		return 0, err
 	}
-	s.takeEvacuations(changes)
+	s.applyEvacuationEvents(changes)
 	for _, e := range changes.Events {
 		if e.Key == platform.ConfigKey && !e.Removed {
 			s.transfer = changes.Took
-			s.take(e.Value)
+			s.decodeAndApply(e.Value)
 		}
 	}
 	return max(changes.Revision, revision), nil
@@ -157,19 +156,19 @@
 // errNoRevision is returned for an answer that no watch can continue from.
 var errNoRevision = errors.New("answer without a revision")
 
-// read reads all pages and returns the revision of the first one: what has changed
-// since, seen on a later page or not, the watch from there tells.
+// read reads all pages and returns the revision of the first one: the watch from there returns
+// what has changed since, whether or not a later page already showed it.
 func (s *Source) read(ctx context.Context) (int64, error) {
 	began := time.Now()
 	var config []byte
-	emptied := map[string]bool{}
+	evacuated := map[string]bool{}
 	all := store.RangeRequest{Key: platform.OperatorPrefix, End: store.PrefixEnd(platform.OperatorPrefix)}
 	revision, err := store.ReadAll(ctx, s.Store, all, func(kv store.KV) error {
 		if kv.Key == platform.ConfigKey {
 			config = kv.Value
 		}
 		if zone, ok := platform.EvacuatedZone(kv.Key); ok {
-			emptied[zone] = true
+			evacuated[zone] = true
 		}
 		return nil
 	})
@@ -180,17 +179,17 @@
 		return 0, errNoRevision
 	}
 	s.transfer = time.Since(began)
-	s.emptied = emptied
-	s.tellEvacuations(revision)
+	s.evacuated = evacuated
+	s.setEvacuations(revision)
 	if config != nil {
-		s.take(config)
+		s.decodeAndApply(config)
 	}
 	return revision, nil
 }
 
-// takeEvacuations follows the zones that changes empty or take back. They come before
-// a configuration of the same answer, whose decoding takes its time.
-func (s *Source) takeEvacuations(changes store.Changes) {
+// applyEvacuationEvents applies the changes that evacuate or restore zones. It runs before a
+// configuration of the same answer is applied, because decoding that takes time.
+func (s *Source) applyEvacuationEvents(changes store.Changes) {
 	revision := int64(0)
 	for _, e := range changes.Events {
 		zone, ok := platform.EvacuatedZone(e.Key)
@@ -199,36 +198,37 @@
 		}
 		revision = max(revision, e.ModRevision)
 		if e.Removed {
-			delete(s.emptied, zone)
+			delete(s.evacuated, zone)
 		} else {
-			s.emptied[zone] = true
+			s.evacuated[zone] = true
 		}
 	}
 	if revision > 0 {
-		s.tellEvacuations(revision)
+		s.setEvacuations(revision)
 	}
 }
 
-// tellEvacuations passes on which zones the store empties since a revision.
-func (s *Source) tellEvacuations(revision int64) {
-	zones, out := flow.NewEvacuations(revision, slices.Collect(maps.Keys(s.emptied)))
-	if len(out) > 0 {
-		s.Log.Error("zones cannot be emptied", zap.Strings("zones", out), zap.Int64(telemetry.FieldRevision, revision))
+// setEvacuations puts the zones that the store lists as evacuated in force, as of a revision.
+func (s *Source) setEvacuations(revision int64) {
+	evacuations, rejected := flow.NewEvacuations(revision, slices.Collect(maps.Keys(s.evacuated)))
+	if len(rejected) > 0 {
+		s.Log.Error("zones cannot be emptied", zap.Strings("zones", rejected), zap.Int64(telemetry.FieldRevision, revision))
 	}
-	s.Locked(func(now time.Time) { s.State.SetEvacuations(now, zones, FromStore) })
+	s.Locked(func(now time.Time) { s.State.SetEvacuations(now, evacuations, FromStore) })
 }
 
-func (s *Source) take(raw []byte) {
+// decodeAndApply applies a configuration read from the store.
+func (s *Source) decodeAndApply(raw []byte) {
 	c, err := decode(raw)
 	if err != nil {
-		s.Log.Error("configuration refused", zap.Error(err))
+		s.Log.Error("stored configuration does not decode", zap.Error(err))
 		return
 	}
 	s.apply(c, raw, FromStore)
 }
 
-// decode decodes a configuration beside the packets' way: the sleep lets the
-// goroutines run that wait for packets.
+// decode decodes a configuration off the packet path: its sleeps let the goroutines run that
+// wait for packets.
 func decode(raw []byte) (*flow.Config, error) {
 	return platform.DecodeConfig(raw, func() { time.Sleep(decodePause) })
 }
@@ -236,13 +236,13 @@
 // apply puts a configuration in force if it is newer.
 func (s *Source) apply(c *flow.Config, raw []byte, from Origin) {
 	s.Locked(func(now time.Time) {
-		former := s.State.ConfigVersion()
+		previous := s.State.ConfigVersion()
 		if !s.State.SetConfig(now, c) {
 			return
 		}
 		s.stored = configcopy.Stored(raw)
-		s.Transfers.applied(c.Version, len(raw))
-		s.Log.Info("configuration in force", zap.Int64(telemetry.FieldConfig, c.Version), zap.Int64("former", former),
+		s.Transfers.setInForce(c.Version, len(raw))
+		s.Log.Info("configuration in force", zap.Int64(telemetry.FieldConfig, c.Version), zap.Int64("former", previous),
 			zap.Int("routes", len(c.Routes)), zap.Int(telemetry.FieldBytes, len(raw)), zap.Stringer("from", from))
 	})
 }
@@ -253,17 +253,17 @@
 	return stored
 }
 
-// version returns the configuration's version in force.
+// version returns the version of the configuration in force.
 func (s *Source) version() (v int64) {
 	s.Locked(func(time.Time) { v = s.State.ConfigVersion() })
 	return v
 }
 
-// noteStore logs when the store is lost and regained.
-func (s *Source) noteStore(err error) {
-	if lost := err != nil; lost != s.lost {
-		s.lost = lost
-		if lost {
+// logStoreAvailability logs when the store becomes unavailable and available again.
+func (s *Source) logStoreAvailability(err error) {
+	if unavailable := err != nil; unavailable != s.storeUnavailable {
+		s.storeUnavailable = unavailable
+		if unavailable {
 			s.Log.Warn("store lost", zap.Error(err))
 			return
 		}
@@ -271,9 +271,9 @@
 	}
 }
 
-// wantsRead tells whether a watch from the same revision would fail again, be the
-// store as well as it may.
-func wantsRead(err error) bool {
+// needsFullRead reports whether a watch from the same revision would fail again even if the
+// store is healthy.
+func needsFullRead(err error) bool {
 	var v *verdict.Error
 	return errors.As(err, &v) && (v.Reason == store.ReasonCompacted || v.Reason == store.ReasonTooLarge)
 }
--- a/balancer/operator/state.go
+++ b/balancer/operator/state.go
@@ -7,27 +7,28 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Fleet is what a state needs to know of other nodes; a fleet.View is one.
+// Fleet supplies what a State needs to know of other nodes; a fleet.View implements it.
 type Fleet interface {
-	// Newest returns the balancer with the highest configuration above a version.
+	// Newest returns the balancer with the highest configuration version above the given one.
 	Newest(above int64) (balancer flow.IPv4, version int64, ok bool)
-	// NewestKept returns an agent with the highest copy, and pick chooses among several.
+	// NewestKept returns an agent with the highest version among the agents' copies; pick
+	// chooses among several, by their number.
 	NewestKept(now time.Time, except func(flow.IPv4) bool, pick func(n int) int) (agent flow.IPv4, version int64, ok bool)
-	// KnowsTarget tells whether an address is that of a target's agent.
+	// KnowsTarget reports whether an address is that of a target's agent.
 	KnowsTarget(ip flow.IPv4) bool
-	// Feeds tells whether a balancer has to watch the store.
+	// Feeds reports whether a balancer has to watch the store.
 	Feeds(now time.Time, self flow.IPv4, zone flow.Tag) bool
 }
 
-// Listener hears what comes into force, at once and under the owner's lock.
+// Listener is called when a change comes into force, at once and under the owner's lock.
 type Listener interface {
 	ConfigChanged(now time.Time)
-	// EvacuationsChanged tells that other zones than formerly are emptied; from is who
-	// told it.
-	EvacuationsChanged(now time.Time, next, former flow.Evacuations, from Origin)
+	// EvacuationsChanged reports that the set of evacuated zones has changed; from is where
+	// the change came from.
+	EvacuationsChanged(now time.Time, next, previous flow.Evacuations, from Origin)
 }
 
-// Origin is who has told something: a node, by its address, or the store.
+// Origin is where a change came from: a node, by its address, or the store.
 type Origin flow.IPv4
 
 // FromStore is the store.
@@ -43,16 +44,16 @@
 
 // Options are a state's parameters.
 type Options struct {
-	// Self and Zone are the balancer's.
+	// Self and Zone are the balancer's address and zone.
 	Self flow.IPv4
 	Zone flow.Tag
-	// FeedTime is how long after an answer of the store a balancer counts as fed:
-	// a watch's waiting time and its time-out.
+	// FeedTime is how long after an answer of the store a balancer counts as following it: a
+	// watch's waiting time and its timeout.
 	FeedTime time.Duration
 }
 
-// State is the operator's state at one balancer. It is not safe for concurrent use; its
-// owner holds a lock.
+// State is the operator's state at one balancer. It is not safe for concurrent use; its owner
+// holds a lock.
 type State struct {
 	opts      Options
 	fleet     Fleet
@@ -61,22 +62,22 @@
 	startedAt time.Time
 
 	config *flow.Config
-	// evacuations are the emptied zones, as of the highest revision heard of.
+	// evacuations are the evacuated zones, as of the highest revision seen.
 	evacuations flow.Evacuations
 	gap         gap
-	// refusedConfig is the highest version of others that does not decode here.
-	refusedConfig int64
-	// badKept are agents whose copy of the configuration did not come or does not decode,
-	// with when they may be asked again; nextKept is when another one may be.
-	badKept  map[flow.IPv4]time.Time
-	nextKept time.Time
-	// fedAt is when the store answered a read or a watch of the configuration.
-	fedAt time.Time
+	// undecodableVersion is the highest version of other balancers that does not decode here.
+	undecodableVersion int64
+	// copyRetryAt is when an agent whose copy of the configuration could not be fetched or
+	// decoded may be asked again; nextCopyFetchAt is when any agent may be.
+	copyRetryAt     map[flow.IPv4]time.Time
+	nextCopyFetchAt time.Time
+	// storeAnsweredAt is when the store last answered a read or a watch of the configuration.
+	storeAnsweredAt time.Time
 }
 
-// New returns the state of a balancer that has just started and knows nothing.
+// New returns the state of a balancer that has just started, with nothing in force.
 func New(now time.Time, opts Options, fleet Fleet, listener Listener, rnd *rand.Rand) *State {
-	return &State{opts: opts, fleet: fleet, listener: listener, rnd: rnd, startedAt: now, badKept: map[flow.IPv4]time.Time{}}
+	return &State{opts: opts, fleet: fleet, listener: listener, rnd: rnd, startedAt: now, copyRetryAt: map[flow.IPv4]time.Time{}}
 }
 
 // Config returns the configuration in force, nil before the first.
@@ -90,7 +91,8 @@
 	return s.config.Version
 }
 
-// SetConfig puts a configuration in force unless it is older than the present one.
+// SetConfig puts a configuration in force if it is newer than the present one, and reports
+// whether it was.
 func (s *State) SetConfig(now time.Time, next *flow.Config) bool {
 	if s.config != nil && next.Version <= s.config.Version {
 		return false
@@ -100,31 +102,32 @@
 	return true
 }
 
-// Evacuations returns the emptied zones in force.
+// Evacuations returns the evacuated zones in force.
 func (s *State) Evacuations() flow.Evacuations { return s.evacuations }
 
-// Emptied tells whether a zone is emptied. Cost: a comparison for each emptied zone.
+// Emptied reports whether a zone is evacuated. Cost: a comparison for each evacuated zone.
 func (s *State) Emptied(zone flow.Tag) bool { return s.evacuations.Has(zone) }
 
-// SetEvacuations puts evacuations in force unless they are older than the present ones;
-// from is who told them.
+// SetEvacuations puts evacuations in force if they are newer than the present ones; from is
+// where they came from.
 func (s *State) SetEvacuations(now time.Time, next flow.Evacuations, from Origin) {
-	former := s.evacuations
+	previous := s.evacuations
 	if _, differ := s.evacuations.TakeOver(next); differ {
-		s.listener.EvacuationsChanged(now, next, former, from)
+		s.listener.EvacuationsChanged(now, next, previous, from)
 	}
 }
 
-// Feeds tells whether this balancer has to watch the store.
+// Feeds reports whether this balancer has to watch the store.
 func (s *State) Feeds(now time.Time) bool { return s.fleet.Feeds(now, s.opts.Self, s.opts.Zone) }
 
-// Fed notes that the store answered.
-func (s *State) Fed(now time.Time) { s.fedAt = now }
+// Fed records that the store answered.
+func (s *State) Fed(now time.Time) { s.storeAnsweredAt = now }
 
-// SinceFed returns how long ago the store answered last.
-func (s *State) SinceFed(now time.Time) time.Duration { return now.Sub(s.fedAt) }
+// SinceStoreAnswer returns how long ago the store last answered.
+func (s *State) SinceStoreAnswer(now time.Time) time.Duration { return now.Sub(s.storeAnsweredAt) }
 
-// Feeding tells whether a new configuration would come from here.
+// Feeding reports whether this balancer follows the store, so that others can fetch new
+// configurations from it.
 func (s *State) Feeding(now time.Time) bool {
-	return s.SinceFed(now) <= s.opts.FeedTime && s.Feeds(now)
+	return s.SinceStoreAnswer(now) <= s.opts.FeedTime && s.Feeds(now)
 }
--- a/balancer/operator/state_test.go
+++ b/balancer/operator/state_test.go
@@ -11,45 +11,45 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// evacuations are those of a revision.
+// evacuations returns the evacuations of a revision.
 func evacuations(revision int64, zones ...string) flow.Evacuations {
 	e, _ := flow.NewEvacuations(revision, zones)
 	return e
 }
 
-// TestOnlyNewerConfigurationsComeIntoForce, and each is told once.
+// TestOnlyNewerConfigurationsComeIntoForce also checks that the listener is called once for
+// each.
 func TestOnlyNewerConfigurationsComeIntoForce(t *testing.T) {
 	f := newFixture()
-	require.Equal(t, 1, f.told.configs)
+	require.Equal(t, 1, f.changes.configs)
 	for _, c := range []struct {
 		next, inForce int64
-		told          int
+		changes       int
 	}{{5, 5, 0}, {4, 5, 0}, {6, 6, 1}, {6, 6, 0}, {5, 6, 0}, {9, 9, 1}} {
-		f.told.configs = 0
-		require.Equal(t, c.told == 1, f.SetConfig(f.now, config(c.next)), c.next)
+		f.changes.configs = 0
+		require.Equal(t, c.changes == 1, f.SetConfig(f.now, config(c.next)), c.next)
 		require.Equal(t, c.inForce, f.ConfigVersion(), c.next)
 		require.Equal(t, c.inForce, f.Config().Version, c.next)
-		require.Equal(t, c.told, f.told.configs, c.next)
+		require.Equal(t, c.changes, f.changes.configs, c.next)
 	}
 }
 
-// TestNothingIsInForceAtFirst.
-func TestNothingIsInForceAtFirst(t *testing.T) {
+func TestNewStateIsEmpty(t *testing.T) {
 	f := &fixture{view: fleet.NewView()}
-	s := New(f.now, Options{Self: self}, f.view, &f.told, nil)
+	s := New(f.now, Options{Self: self}, f.view, &f.changes, nil)
 	require.Nil(t, s.Config())
 	require.Zero(t, s.ConfigVersion())
 	require.Equal(t, flow.Evacuations{}, s.Evacuations())
 }
 
-// TestOnlyNewerEvacuationsComeIntoForce: a revision that empties the same zones is taken
-// over, for it outbids older ones, and not told.
+// TestOnlyNewerEvacuationsComeIntoForce checks that a later revision with the same zones is
+// stored, because it takes precedence over older ones, without a call to the listener.
 func TestOnlyNewerEvacuationsComeIntoForce(t *testing.T) {
 	f := newFixture()
 	for _, c := range []struct {
 		name          string
 		next, inForce flow.Evacuations
-		told          bool
+		changed       bool
 	}{
 		{"the first", evacuations(3, "a"), evacuations(3, "a"), true},
 		{"the same again", evacuations(3, "a"), evacuations(3, "a"), false},
@@ -60,33 +60,34 @@
 		{"another zone", evacuations(6, "a", "b"), evacuations(6, "a", "b"), true},
 		{"none", evacuations(7), evacuations(7), true},
 	} {
-		former := f.Evacuations()
-		f.told = told{}
+		previous := f.Evacuations()
+		f.changes = changeRecorder{}
 		f.SetEvacuations(f.now, c.next, FromStore)
 		require.Equal(t, c.inForce, f.Evacuations(), c.name)
 		for _, zone := range []string{"a", "b"} {
 			require.Equal(t, slices.Contains(c.inForce.Zones(), zone), f.Emptied(flow.TagOf(zone)), c.name)
 		}
-		if !c.told {
-			require.Empty(t, f.told.evacuations, c.name)
+		if !c.changed {
+			require.Empty(t, f.changes.evacuations, c.name)
 			continue
 		}
-		require.Equal(t, told{evacuations: []flow.Evacuations{c.next}, former: []flow.Evacuations{former}, from: []Origin{FromStore}}, f.told, c.name)
+		require.Equal(t, changeRecorder{evacuations: []flow.Evacuations{c.next}, previous: []flow.Evacuations{previous}, from: []Origin{FromStore}}, f.changes, c.name)
 	}
 }
 
-// TestABalancerFeedsWhileTheStoreAnswers it and others have to hear from it.
-func TestABalancerFeedsWhileTheStoreAnswers(t *testing.T) {
+// TestFeedingOnlyWhileTheStoreAnswers checks that a balancer counts as following the store
+// only if it has to watch it and was answered lately.
+func TestFeedingOnlyWhileTheStoreAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		watches bool
 		after   time.Duration
 		want    bool
 	}{
-		"answered lately":         {true, time.Second, true},
-		"not any more":            {true, time.Second + 1, false},
-		"it relies on the others": {false, 0, false},
+		"answered recently":         {true, time.Second, true},
+		"no recent answer":          {true, time.Second + 1, false},
+		"it does not have to watch": {false, 0, false},
 	} {
-		f := follower()
+		f := newFollower()
 		if c.watches {
 			f.opts.Zone = 9
 		}
@@ -96,8 +97,8 @@
 	}
 }
 
-// TestOriginsAreNamed in logs by what operators know them by.
-func TestOriginsAreNamed(t *testing.T) {
+// TestOriginString checks the names that operators see in logs.
+func TestOriginString(t *testing.T) {
 	require.Equal(t, "store", FromStore.String())
 	require.Equal(t, "10.0.0.2", Origin(peer).String())
 }
--- a/balancer/operator/transfers.go
+++ b/balancer/operator/transfers.go
@@ -6,26 +6,26 @@
 	"github.com/poppywall/poppywall/telemetry"
 )
 
-// Outcomes of a fetch in the metrics.
+// Values of the label "outcome".
 const (
 	outcomeFetched = "fetched"
 	outcomeFailed  = "failed"
 )
 
-// Transfers shows how a balancer follows the configuration. A version heard of
-// that stays above the one in force means that it does not get through.
+// Transfers exports how a balancer follows the configuration. If the highest version seen
+// stays above the one in force, the newer configuration does not arrive.
 type Transfers struct {
-	inForce, heard, size prometheus.Gauge
-	fetches              *prometheus.CounterVec
+	inForce, highestSeen, size prometheus.Gauge
+	fetches                    *prometheus.CounterVec
 }
 
 // NewTransfers registers the metrics.
 func NewTransfers(c telemetry.Counters) *Transfers {
 	t := &Transfers{
-		inForce: c.Gauge("configuration_version", "Version of the configuration in force."),
-		heard:   c.Gauge("configuration_version_heard", "Highest version that any balancer is known to have in force."),
-		size:    c.Gauge("configuration_bytes", "Size of the configuration in force as it is stored."),
-		fetches: c.Vector("configuration_fetches_total", "Fetches of a configuration from another balancer, by outcome.", "outcome"),
+		inForce:     c.Gauge("configuration_version", "Version of the configuration in force."),
+		highestSeen: c.Gauge("configuration_version_heard", "Highest version that any balancer is known to have in force."),
+		size:        c.Gauge("configuration_bytes", "Size of the configuration in force as it is stored."),
+		fetches:     c.Vector("configuration_fetches_total", "Fetches of a configuration from another balancer, by outcome.", "outcome"),
 	}
 	for _, outcome := range []string{outcomeFetched, outcomeFailed} {
 		t.fetches.WithLabelValues(outcome)
@@ -33,7 +33,7 @@
 	return t
 }
 
-func (t *Transfers) fetched(err error) {
+func (t *Transfers) countFetch(err error) {
 	outcome := outcomeFetched
 	if err != nil {
 		outcome = outcomeFailed
@@ -41,9 +41,9 @@
 	t.fetches.WithLabelValues(outcome).Inc()
 }
 
-func (t *Transfers) heardOf(version int64) { t.heard.Set(float64(version)) }
+func (t *Transfers) setHighestSeen(version int64) { t.highestSeen.Set(float64(version)) }
 
-func (t *Transfers) applied(version int64, size int) {
+func (t *Transfers) setInForce(version int64, size int) {
 	t.inForce.Set(float64(version))
 	t.size.Set(float64(size))
 }
--- a/balancer/operator/transfers_test.go
+++ b/balancer/operator/transfers_test.go
@@ -14,13 +14,14 @@
 	"github.com/poppywall/poppywall/telemetry"
 )
 
-// TestTransfersShowABalancerThatIsBehind by its metrics alone.
-func TestTransfersShowABalancerThatIsBehind(t *testing.T) {
+// TestTransferMetricsShowALaggingBalancer checks that the metrics alone show that a balancer's
+// configuration is older than that of others.
+func TestTransferMetricsShowALaggingBalancer(t *testing.T) {
 	reg := prometheus.NewRegistry()
 	tr := NewTransfers(telemetry.Counters{Registry: reg, Subsystem: "packetfront"})
-	tr.applied(12, 4096)
-	tr.heardOf(15)
-	tr.fetched(errors.New("deadline"))
+	tr.setInForce(12, 4096)
+	tr.setHighestSeen(15)
+	tr.countFetch(errors.New("deadline"))
 	rec := httptest.NewRecorder()
 	promhttp.HandlerFor(reg, promhttp.HandlerOpts{}).ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	text, err := io.ReadAll(rec.Body)
