--- a/agent/endpoint.go
+++ b/agent/endpoint.go
@@ -33,7 +33,7 @@
 )
 
 // connIDs makes the QUIC library use routes as connection IDs.
-type connIDs struct{ minter *route.Minter }
+type connIDs struct{ minter *route.IDGenerator }
 
 // GenerateConnectionID implements quic.ConnectionIDGenerator.
 func (g connIDs) GenerateConnectionID() (quic.ConnectionID, error) {
@@ -72,7 +72,7 @@
 
 func newEndpoint(m *mux, s *catalog.Service, tlsConf *tls.Config, maxConns int, load func(route.ServiceID) serviceLoad, log *zap.Logger) (*endpoint, error) {
 	base := route.Route{Host: m.socket.Addr(), Incarnation: m.inc, Service: s.ID}
-	minter, err := route.NewMinter(m.codec, base, rand.Uint32())
+	minter, err := route.NewIDGenerator(m.codec, base, rand.Uint32())
 	if err != nil {
 		return nil, err
 	}
--- a/agent/handover_test.go
+++ b/agent/handover_test.go
@@ -296,7 +296,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = p.gate.enter(ctx, admission.Offer{Service: 1})
-	require.Equal(t, verdict.NotRun, verdict.Of(err))
+	require.Equal(t, verdict.NotRun, verdict.FromError(err))
 	held.done(admission.Result{})
 	again, err := p.gate.enter(t.Context(), admission.Offer{Service: 1})
 	require.NoError(t, err, "the one that gave up holds nothing")
@@ -342,6 +342,6 @@
 	both.Wait()
 	proxy.Silence()
 	err = ask()
-	require.Equal(t, verdict.Unknown, verdict.Of(err), "it may have run")
+	require.Equal(t, verdict.Unknown, verdict.FromError(err), "it may have run")
 	require.NoError(t, ask())
 }
--- a/agent/mux.go
+++ b/agent/mux.go
@@ -103,7 +103,7 @@
 		m.forward(from, h, payload)
 	case encap.Leaving:
 		m.mu.Lock()
-		m.paths.Leave(from)
+		m.paths.RemoveBalancer(from)
 		m.mu.Unlock()
 	default:
 		m.metrics.drop(dropKind)
@@ -187,7 +187,7 @@
 func (m *mux) setKnown(balancers []netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.paths.SetKnown(balancers)
+	m.paths.SetFallback(balancers)
 }
 
 func (m *mux) sweep(now time.Time) {
--- a/agent/packetfront/core.go
+++ b/agent/packetfront/core.go
@@ -324,7 +324,7 @@
 // that saw its target start knows all its flows; another one asks the target.
 func (c *Core) deliverUnknownFlow(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	if c.target.state() == fleet.Absent || c.target.state() == fleet.Gone {
-		c.passToNextCandidate(packet, c.target.certainlyAbsent())
+		c.passToNextCandidate(packet, c.target.absent())
 		return
 	}
 	if c.target.sawStart && !c.flows.overflowed {
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -45,7 +45,7 @@
 func (quiet) PassedOn(flow.Key, string, int)                     {}
 func (quiet) Bounced(flow.Key, bool)                             {}
 func (quiet) Reset(flow.Key, string)                             {}
-func (quiet) Dropped(Drop)                                       {}
+func (quiet) Dropped(DropReason)                                 {}
 func (quiet) TargetReport(string, fleet.Heartbeat)               {}
 func (quiet) Failed()                                            {}
 func (quiet) Ejected(bool, int, int)                             {}
--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -8,18 +8,18 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Drop is why a packet went nowhere.
-type Drop string
+// DropReason is why a packet went nowhere.
+type DropReason string
 
 // The reasons.
 const (
-	DropMalformed Drop = "malformed"
+	DropMalformed DropReason = "malformed"
 	// DropBounced is a bounced packet of which nothing is known any more.
-	DropBounced Drop = "bounced"
+	DropBounced DropReason = "bounced"
 )
 
-// Drops lists all reasons.
-var Drops = []Drop{DropMalformed, DropBounced}
+// DropReasons lists all reasons.
+var DropReasons = []DropReason{DropMalformed, DropBounced}
 
 // Abandoned is why nobody waits for a request any more.
 type Abandoned string
@@ -57,7 +57,7 @@
 	// Bounced is a packet that the target did not take.
 	Bounced(key flow.Key, opening bool)
 	Reset(key flow.Key, reason string)
-	Dropped(reason Drop)
+	Dropped(reason DropReason)
 	TargetReport(what string, b fleet.Heartbeat)
 	// Failed is a request that the target answered with a failure or a reset.
 	Failed()
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -45,7 +45,7 @@
 	registry store.Store
 	reg      *prometheus.Registry
 
-	internal, outbound *relay.Datagrams
+	internal, outbound *relay.DatagramSocket
 	self               flow.IPv4
 	port               uint16
 	clientPort         uint16
@@ -73,10 +73,10 @@
 	}
 	f.self, f.port = flow.ParseAddrPort(cfg.Internal)
 	var err error
-	if f.internal, err = relay.OpenDatagrams(netip.MustParseAddrPort(cfg.Internal)); err != nil {
+	if f.internal, err = relay.OpenDatagramSocket(netip.MustParseAddrPort(cfg.Internal)); err != nil {
 		return nil, errors.Wrap(err, "field \"internal\"")
 	}
-	if f.outbound, err = relay.OpenDatagrams(netip.MustParseAddrPort(cfg.Outbound)); err != nil {
+	if f.outbound, err = relay.OpenDatagramSocket(netip.MustParseAddrPort(cfg.Outbound)); err != nil {
 		return nil, errors.Wrap(err, "field \"outbound\"")
 	}
 	opts := Options{
@@ -274,7 +274,7 @@
 		if balancers.Passed > 0 {
 			f.log.Warn("invalid registry entries", zap.Int("entries", balancers.Passed))
 		}
-		f.locked(func(now time.Time) { f.core.AnnounceToUnknown(now, fleet.Addresses(balancers.Entries)) })
+		f.locked(func(now time.Time) { f.core.Contact(now, fleet.Addresses(balancers.Entries)) })
 	})
 }
 
--- a/agent/packetfront/nodes.go
+++ b/agent/packetfront/nodes.go
@@ -56,18 +56,16 @@
 		return err
 	}
 	// Their answers must not name peers again: each answer would be answered.
-	c.announceToUnknown(now, names.Balancers, false)
+	c.contact(now, names.Balancers, false)
 	return nil
 }
 
-// AnnounceToUnknown announces the target to balancers that the store names.
-func (c *Core) AnnounceToUnknown(now time.Time, balancers []flow.IPv4) {
-	c.announceToUnknown(now, balancers, true)
-}
+// Contact announces the target to balancers that the store names.
+func (c *Core) Contact(now time.Time, balancers []flow.IPv4) { c.contact(now, balancers, true) }
 
-// announceToUnknown announces the target to balancers that are not known yet; they answer with
+// contact announces the target to balancers that are not known yet; they answer with
 // a beacon.
-func (c *Core) announceToUnknown(now time.Time, balancers []flow.IPv4, wantPeers bool) {
+func (c *Core) contact(now time.Time, balancers []flow.IPv4, wantPeers bool) {
 	for _, ip := range balancers {
 		if !c.view.KnowsBalancer(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
 			c.announceTo(now, ip, wantPeers)
@@ -203,7 +201,7 @@
 	if !c.target.deregisteredAt.IsZero() {
 		c.endFlows(now, "its target has left")
 	}
-	if c.target.certainlyAbsent() && c.registration != fleet.ListingTakenAway {
+	if c.target.absent() && c.registration != fleet.ListingTakenAway {
 		c.registration = fleet.ListingLeft
 	}
 	c.announceAll(now)
@@ -211,7 +209,7 @@
 
 func (c *Core) announcement(now time.Time) fleet.Announcement {
 	state := c.target.state()
-	if c.target.certainlyAbsent() || (c.target.sawStart && c.awaitsRegistration(now)) {
+	if c.target.absent() || (c.target.sawStart && c.awaitsRegistration(now)) {
 		// Balancers need not ask here for open flows.
 		state = fleet.Gone
 	}
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -44,7 +44,7 @@
 	delivered, requested, waited, postponed, gaveUp, unwanted, passedOn, bounced, resets prometheus.Counter
 	failed, ejections, unproven, asked                                                   prometheus.Counter
 	refusedReports                                                                       *prometheus.CounterVec
-	drops                                                                                map[Drop]prometheus.Counter
+	drops                                                                                map[DropReason]prometheus.Counter
 	withheld                                                                             map[Abandoned]prometheus.Counter
 	load                                                                                 prometheus.Histogram
 	emptied                                                                              *telemetry.ZoneGauges
@@ -76,7 +76,7 @@
 		ejections: c.Counter("ejections_total", "Times that the target was taken out because it fails."),
 		unproven:  c.Counter("unproven_starts_total", "Starts of a target that had ended unplanned a moment ago."),
 		asked:     c.Counter("asked_nodes_total", "Balancers of other zones that were asked because no relay named them any more."),
-		drops:     telemetry.ByReason(c, "dropped_packets_total", "Packets dropped, by reason.", Drops),
+		drops:     telemetry.ByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
 		emptied:   telemetry.NewZoneGauges(c),
 		overloads: c.Counter("overloads_total", "Times that an overload of the target stood."),
 		load: c.Histogram("load_at_request",
@@ -155,7 +155,7 @@
 }
 
 // Dropped implements Events.
-func (o *observer) Dropped(reason Drop) {
+func (o *observer) Dropped(reason DropReason) {
 	o.drops[reason].Inc()
 	o.Write(&o.other, "packet dropped", zap.String(fieldReason, string(reason)))
 }
--- a/agent/packetfront/presence.go
+++ b/agent/packetfront/presence.go
@@ -14,9 +14,7 @@
 
 // TargetEnded tells whether the target has ended for certain, so that no flow can be
 // open here.
-func (c *Core) TargetEnded() bool {
-	return !c.target.deregisteredAt.IsZero() || c.target.certainlyAbsent()
-}
+func (c *Core) TargetEnded() bool { return !c.target.deregisteredAt.IsZero() || c.target.absent() }
 
 // RemovesEntry tells whether the agent, which is about to stop, has to take its entry out
 // of the registry: its target has ended.
@@ -35,7 +33,7 @@
 	switch {
 	case h.up && h.deregisteredAt.IsZero():
 		wanted = fleet.PresenceHere
-	case h.certainlyAbsent() && h.staysAway(now):
+	case h.absent() && h.staysAway(now):
 		wanted = fleet.PresenceEnded
 	}
 	if wanted != fleet.PresenceUnknown && wanted != c.wantedPresence {
--- a/agent/packetfront/relay_test.go
+++ b/agent/packetfront/relay_test.go
@@ -155,7 +155,7 @@
 		told  int
 	}{"has it": {1, 0}, "has not": {0, 1}} {
 		f := newFixture()
-		f.AnnounceToUnknown(f.now, []flow.IPv4{balancerIP})
+		f.Contact(f.now, []flow.IPv4{balancerIP})
 		last := f.Core.seq
 		f.port.Nodes = nil
 		f.beacon(balancerIP, 0, last*c.heard)
--- a/agent/packetfront/target.go
+++ b/agent/packetfront/target.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// certainlyAbsent tells that no target runs here for certain: it has ended, or a
+// absent tells that no target runs here for certain: it has ended, or a
 // connection was refused.
-func (h *target) certainlyAbsent() bool { return h.flowsEnded || (h.probeRefused && !h.up) }
+func (h *target) absent() bool { return h.flowsEnded || (h.probeRefused && !h.up) }
 
 // acceptsFlows tells whether the target may get new flows.
 func (h *target) acceptsFlows() bool { return h.state() == fleet.Ready }
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -52,7 +52,7 @@
 func (p *proxy) serve(w http.ResponseWriter, r *http.Request, svc *catalog.Service, workspace string, now time.Time) (int, verdict.Verdict) {
 	ctx, cancel, failed := p.prepare(r, svc, now)
 	if failed != nil {
-		failed.WriteTo(w)
+		failed.WriteResponse(w)
 		return failed.Status, failed.Verdict
 	}
 	defer cancel()
@@ -106,7 +106,7 @@
 	if !errors.As(err, &e) {
 		e = &verdict.Error{Verdict: verdict.Unknown, Status: http.StatusInternalServerError, Reason: "internal", Err: err}
 	}
-	e.WriteTo(w)
+	e.WriteResponse(w)
 	return e.Status, e.Verdict
 }
 
--- a/balancer/data.go
+++ b/balancer/data.go
@@ -102,7 +102,7 @@
 			d := &in[i]
 			a := b.table.FromAgent(now, d.From, d.Payload)
 			b.perform(batch, d, a)
-			if b.leaving.started() && a.Verb == forward.ToCaller {
+			if b.leaving.started() && a.Operation == forward.ToCaller {
 				b.tellLeaving(now, d.From, a.Header)
 			}
 		}
@@ -126,7 +126,7 @@
 
 // perform carries out one decision.
 func (b *Balancer) perform(batch *relay.Batch, d *relay.Datagram, a forward.Action) {
-	switch a.Verb {
+	switch a.Operation {
 	case forward.ToHost:
 		b.sendToHost(batch, d, a)
 	case forward.ToCaller:
--- a/balancer/operator/fixture_test.go
+++ b/balancer/operator/fixture_test.go
@@ -42,7 +42,7 @@
 
 func newFixture() *fixture {
 	f := &fixture{view: fleet.NewView(), now: time.Unix(1_700_000_000, 0)}
-	f.State = New(f.now, Options{Self: self, FeedTime: time.Second}, f.view, &f.changes, rand.New(rand.NewPCG(1, 1)))
+	f.State = New(f.now, Options{Self: self, FollowTime: time.Second}, f.view, &f.changes, rand.New(rand.NewPCG(1, 1)))
 	f.SetConfig(f.now, config(5))
 	f.now = f.now.Add(3 * time.Second)
 	return f
--- a/balancer/operator/source.go
+++ b/balancer/operator/source.go
@@ -56,9 +56,9 @@
 	return min(max(catchUp-StoreTimeout-watchMargin-transfer-sinceAnswer, minWatchWait), maxWatchWait)
 }
 
-// FeedTime returns how long after an answer of the store a balancer counts as following it: a
+// FollowTime returns how long after an answer of the store a balancer counts as following it: a
 // watch's waiting time and its timeout.
-func FeedTime(catchUp time.Duration) time.Duration { return watchWait(catchUp, 0, 0) + StoreTimeout }
+func FollowTime(catchUp time.Duration) time.Duration { return watchWait(catchUp, 0, 0) + StoreTimeout }
 
 // Source follows what the operator has written, the configuration and the evacuated zones, by
 // one watch of the store and from other nodes. The exported fields are set before it runs.
@@ -105,7 +105,7 @@
 		case ctx.Err() != nil:
 			return nil
 		case err == nil:
-			s.Locked(s.State.Fed)
+			s.Locked(s.State.StoreAnswered)
 			revision = next
 			s.logStoreAvailability(nil)
 			if duty == DutyWatch {
--- a/balancer/operator/state.go
+++ b/balancer/operator/state.go
@@ -47,9 +47,9 @@
 	// Self and Zone are the balancer's address and zone.
 	Self flow.IPv4
 	Zone flow.Tag
-	// FeedTime is how long after an answer of the store a balancer counts as following it: a
+	// FollowTime is how long after an answer of the store a balancer counts as following it: a
 	// watch's waiting time and its timeout.
-	FeedTime time.Duration
+	FollowTime time.Duration
 }
 
 // State is the operator's state at one balancer. It is not safe for concurrent use; its owner
@@ -105,8 +105,8 @@
 // Evacuations returns the evacuated zones in force.
 func (s *State) Evacuations() flow.Evacuations { return s.evacuations }
 
-// Emptied reports whether a zone is evacuated. Cost: a comparison for each evacuated zone.
-func (s *State) Emptied(zone flow.Tag) bool { return s.evacuations.Has(zone) }
+// Evacuated reports whether a zone is evacuated. Cost: a comparison for each evacuated zone.
+func (s *State) Evacuated(zone flow.Tag) bool { return s.evacuations.Has(zone) }
 
 // SetEvacuations puts evacuations in force if they are newer than the present ones; from is
 // where they came from.
@@ -120,8 +120,8 @@
 // Feeds reports whether this balancer has to watch the store.
 func (s *State) Feeds(now time.Time) bool { return s.fleet.Feeds(now, s.opts.Self, s.opts.Zone) }
 
-// Fed records that the store answered.
-func (s *State) Fed(now time.Time) { s.storeAnsweredAt = now }
+// StoreAnswered records that the store answered.
+func (s *State) StoreAnswered(now time.Time) { s.storeAnsweredAt = now }
 
 // SinceStoreAnswer returns how long ago the store last answered.
 func (s *State) SinceStoreAnswer(now time.Time) time.Duration { return now.Sub(s.storeAnsweredAt) }
@@ -129,5 +129,5 @@
 // Feeding reports whether this balancer follows the store, so that others can fetch new
 // configurations from it.
 func (s *State) Feeding(now time.Time) bool {
-	return s.SinceStoreAnswer(now) <= s.opts.FeedTime && s.Feeds(now)
+	return s.SinceStoreAnswer(now) <= s.opts.FollowTime && s.Feeds(now)
 }
--- a/balancer/operator/state_test.go
+++ b/balancer/operator/state_test.go
@@ -65,7 +65,7 @@
 		f.SetEvacuations(f.now, c.next, FromStore)
 		require.Equal(t, c.inForce, f.Evacuations(), c.name)
 		for _, zone := range []string{"a", "b"} {
-			require.Equal(t, slices.Contains(c.inForce.Zones(), zone), f.Emptied(flow.TagOf(zone)), c.name)
+			require.Equal(t, slices.Contains(c.inForce.Zones(), zone), f.Evacuated(flow.TagOf(zone)), c.name)
 		}
 		if !c.changed {
 			require.Empty(t, f.changes.evacuations, c.name)
@@ -92,7 +92,7 @@
 			f.opts.Zone = 9
 		}
 		require.False(t, f.Feeding(f.now), name)
-		f.Fed(f.now)
+		f.StoreAnswered(f.now)
 		require.Equal(t, c.want, f.Feeding(f.now.Add(c.after)), name)
 	}
 }
--- a/balancer/packetfront/bench_test.go
+++ b/balancer/packetfront/bench_test.go
@@ -60,7 +60,7 @@
 	require.NoError(b, err)
 	for b.Loop() {
 		f.HandleClient(f.now, &h, p)
-		f.finder.Forget(key)
+		f.finder.Discard(key)
 	}
 }
 
--- a/balancer/packetfront/core.go
+++ b/balancer/packetfront/core.go
@@ -33,9 +33,9 @@
 	Weights choose.Weights
 	// LinkMbps is the width of this VM's link, Mbit/s, zero when it is not known.
 	LinkMbps float64
-	// FeedTime is how long after an answer of the store a balancer counts as fed:
+	// FollowTime is how long after an answer of the store a balancer counts as fed:
 	// a watch's waiting time and its time-out.
-	FeedTime time.Duration
+	FollowTime time.Duration
 	// RelayFrom is the number of a zone's balancers from which on the nodes of other
 	// zones reach it through relays; zonecast.From unless it is set.
 	RelayFrom int
@@ -134,9 +134,9 @@
 		buf: make([]byte, 0, 2048), plan: newCandidatePlan(), relays: newRelays(opts, events.ZoneRelayed),
 		loads: serviceLoads{}, snapshots: snapshotSources{avoidUntil: map[flow.IPv4]time.Time{}},
 	}
-	c.operator = operator.New(now, operator.Options{Self: opts.Self, Zone: opts.Zone, FeedTime: opts.FeedTime}, c.view, listener{c}, rnd)
+	c.operator = operator.New(now, operator.Options{Self: opts.Self, Zone: opts.Zone, FollowTime: opts.FollowTime}, c.view, listener{c}, rnd)
 	c.proof = search.NewProof(now, opts.Self, opts.Seeds, c.view)
-	found := search.Options{Self: opts.Self, Zone: opts.Zone, Epoch: opts.Epoch, First: searchFirstTargets}
+	found := search.Options{Self: opts.Self, Zone: opts.Zone, Incarnation: opts.Epoch, First: searchFirstTargets}
 	c.finder = search.New(found, c.operator.Config, c.view, c.table, c.proof, codec, finderPort{c}, events)
 	return c
 }
@@ -156,7 +156,7 @@
 	if c.proof.Settled(now) {
 		return tickPeriod
 	}
-	return search.ParkPause
+	return search.BufferRetryInterval
 }
 
 // Ready tells whether clients' packets may come: a configuration is in force and
@@ -191,7 +191,7 @@
 // route sends a client's packet on its way, or keeps it while that is not known.
 func (c *Core) route(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	if c.operator.Config() == nil {
-		c.finder.Park(now, key, h, packet, search.KeepNoConfig)
+		c.finder.Buffer(now, key, h, packet, search.BufferNoConfig)
 		return
 	}
 	if h.IsOpening() {
@@ -200,10 +200,10 @@
 	}
 	if target, ok := c.finder.Known(now, key); ok {
 		c.forward(key, target, packet)
-		c.finder.Release(key, target)
+		c.finder.ForwardBuffered(key, target)
 		return
 	}
-	c.finder.Seek(now, key, h, packet)
+	c.finder.Search(now, key, h, packet)
 }
 
 // forward sends a packet to the target that is remembered for its flow.
@@ -226,7 +226,7 @@
 func (c *Core) openFlow(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	route, ok := c.operator.Config().Routes[key.Front()]
 	if !ok {
-		c.finder.Forget(key)
+		c.finder.Discard(key)
 		// Silence, not a reset: this balancer may be the one that has not heard
 		// of a new route yet, and a copy may reach another one.
 		c.events.Dropped(search.DropNoRoute)
@@ -243,7 +243,7 @@
 	if service.Overloaded {
 		c.preferFreeSlots(now, candidates)
 	}
-	c.finder.Forget(key)
+	c.finder.Discard(key)
 	remembered, known := c.table.Get(now, key)
 	repeated := known && h.Ack > 0
 	if repeated {
@@ -255,7 +255,7 @@
 	}
 	chosen := candidates[0]
 	if h.Ack == 0 {
-		c.table.Opened(now, key, chosen.Target)
+		c.table.RecordSYN(now, key, chosen.Target)
 	} else {
 		c.table.Put(now, key, chosen.Target)
 	}
@@ -278,10 +278,10 @@
 func (c *Core) noTarget(now time.Time, key flow.Key, h *flow.Header, route *flow.Route, backend flow.Backend, packet []byte) {
 	reason := c.refusal(backend.Tag)
 	if c.proof.Fresh(now) || (!c.proof.Settled(now) && reason == "") {
-		c.finder.Park(now, key, h, packet, search.KeepUnsettled)
+		c.finder.Buffer(now, key, h, packet, search.BufferNoTarget)
 		return
 	}
-	c.finder.Forget(key)
+	c.finder.Discard(key)
 	if reason == "" {
 		reason = "no target of the service"
 	}
--- a/balancer/packetfront/evacuations.go
+++ b/balancer/packetfront/evacuations.go
@@ -25,7 +25,7 @@
 // acceptsFlows tells whether a target may get new flows: it is ready, and its zone is not
 // emptied.
 func (c *Core) acceptsFlows(h *fleet.Target) bool {
-	return h.State == fleet.Ready && !c.operator.Emptied(h.Zone)
+	return h.State == fleet.Ready && !c.operator.Evacuated(h.Zone)
 }
 
 // refusal tells why no target of a service may get a new flow, empty where none is known
--- a/balancer/packetfront/events.go
+++ b/balancer/packetfront/events.go
@@ -10,25 +10,25 @@
 
 // The reasons of a search are those of the front too.
 type (
-	// Drop is why a packet went nowhere.
-	Drop = search.Drop
-	// Keep is why a packet is kept to be tried again.
-	Keep = search.Keep
-	// Doubt is why a flow that no target holds may live all the same.
-	Doubt = search.Doubt
+	// DropReason is why a packet went nowhere.
+	DropReason = search.DropReason
+	// BufferReason is why a packet is kept to be tried again.
+	BufferReason = search.BufferReason
+	// Uncertainty is why a flow that no target holds may live all the same.
+	Uncertainty = search.Uncertainty
 )
 
 // Reasons besides those of a search.
 const (
-	DropMalformed   Drop = "malformed"
-	DropCopyRefused Drop = "copy-refused"
+	DropMalformed   DropReason = "malformed"
+	DropCopyRefused DropReason = "copy-refused"
 	// DropNotRelayed is what a node of another zone said and this one did not relay
 	// in time.
-	DropNotRelayed Drop = "not relayed"
+	DropNotRelayed DropReason = "not relayed"
 )
 
-// Drops lists all reasons.
-var Drops = []Drop{DropMalformed, search.DropNoRoute, search.DropNoCandidate, search.DropExpired, DropCopyRefused, search.DropLateAnswer, DropNotRelayed}
+// DropReasons lists all reasons.
+var DropReasons = []DropReason{DropMalformed, search.DropNoRoute, search.DropNoCandidate, search.DropExpired, DropCopyRefused, search.DropLateAnswer, DropNotRelayed}
 
 // Decision is where a SYN went and what that was decided by.
 type Decision struct {
--- a/balancer/packetfront/finder.go
+++ b/balancer/packetfront/finder.go
@@ -43,6 +43,6 @@
 		c.refuseReturned(now, key, &h)
 		return nil
 	}
-	c.finder.Returned(now, from, key, c.env, &h, packet)
+	c.finder.HandleReturned(now, from, key, c.env, &h, packet)
 	return nil
 }
--- a/balancer/packetfront/finder_test.go
+++ b/balancer/packetfront/finder_test.go
@@ -38,13 +38,13 @@
 	for name, p := range map[string][]byte{"a new flow": packet(true, 0), "an open flow": packet(false, 9)} {
 		f := newStarted()
 		f.client(p)
-		f.pass(2 * search.ParkPause)
+		f.pass(2 * search.BufferRetryInterval)
 		require.Empty(t, f.port.Delivered(), name)
 		f.SetConfig(f.now, config(5))
-		f.pass(2 * search.ParkPause)
+		f.pass(2 * search.BufferRetryInterval)
 		require.Empty(t, f.port.Delivered(), "%s: no target yet", name)
 		f.announce(targetA, fleet.Ready)
-		f.pass(search.ParkPause)
+		f.pass(search.BufferRetryInterval)
 		require.Len(t, f.port.Delivered(), 1, name)
 		f.pass(searchPause / 2)
 		require.Len(t, f.port.Delivered(), 1, "%s: the target was asked", name)
@@ -57,25 +57,25 @@
 	for name, c := range map[string]struct {
 		prepare func(f *fixture)
 		flags   envelope.Flags
-		want    Doubt
+		want    Uncertainty
 	}{
 		"all said no":                {want: ""},
-		"one was unsure":             {flags: envelope.Unsure, want: search.DoubtTarget},
-		"an agent is missing":        {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: search.DoubtMissing},
-		"an agent is not registered": {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: search.DoubtRegistry},
-		"the registry was not read":  {prepare: func(f *fixture) { f.started(f.now.Add(-time.Minute)) }, want: search.DoubtSurvey},
+		"one was unsure":             {flags: envelope.Unsure, want: search.UncertainTarget},
+		"an agent is missing":        {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: search.UncertainMissing},
+		"an agent is not registered": {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: search.UncertainRegistry},
+		"the registry was not read":  {prepare: func(f *fixture) { f.started(f.now.Add(-time.Minute)) }, want: search.UncertainSnapshot},
 		"another balancer names an agent": {
 			prepare: func(f *fixture) {
 				fleet.Names{Holders: []flow.IPv4{other}}.Append(nil, func(msg []byte) { f.HandleNode(f.now, peer, msg) })
 			},
-			want: search.DoubtMissing,
+			want: search.UncertainMissing,
 		},
 		"alone among its seeds": {
 			prepare: func(f *fixture) {
 				f.started(f.now.Add(-search.FreshTime))
 				f.SetSeeds([]flow.IPv4{self, peer})
 			},
-			want: search.DoubtFresh,
+			want: search.UncertainFresh,
 		},
 		"a seed was heard a moment ago": {
 			prepare: func(f *fixture) {
@@ -84,7 +84,7 @@
 				f.hears(peer)
 				f.now = f.now.Add(search.FreshTime - 1)
 			},
-			want: search.DoubtFresh,
+			want: search.UncertainFresh,
 		},
 		"a seed was heard before": {
 			prepare: func(f *fixture) {
--- a/balancer/packetfront/fixture_test.go
+++ b/balancer/packetfront/fixture_test.go
@@ -30,28 +30,28 @@
 
 // quiet hears nothing but the last doubt and how many packets were kept.
 type quiet struct {
-	doubt *Doubt
+	doubt *Uncertainty
 	kept  *int
 }
 
-func (quiet) Forwarded()                                         {}
-func (quiet) Opened(Decision)                                    {}
-func (quiet) Refused(flow.Key, string, string)                   {}
-func (quiet) OverloadChanged(Overload)                           {}
-func (quiet) Searching(flow.Key, int, int)                       {}
-func (quiet) OwnerFound(flow.Key, flow.IPv4, int)                {}
-func (q quiet) Lost(_ flow.Key, _ int, d Doubt, _ flow.IPv4)     { *q.doubt = d }
-func (q quiet) Kept(flow.Key, Keep)                              { *q.kept++ }
-func (quiet) Dropped(Drop)                                       {}
-func (quiet) TargetChanged(*fleet.Target, fleet.Change)          {}
-func (quiet) TargetForgotten(flow.IPv4)                          {}
-func (quiet) PeerChanged(flow.IPv4, string)                      {}
-func (quiet) ZoneSilenceChanged(fleet.Silence)                   {}
-func (quiet) ZoneRelayed(flow.Tag, int, bool)                    {}
-func (quiet) Relayed(int)                                        {}
-func (quiet) Probed(flow.IPv4, time.Duration)                    {}
-func (quiet) RotationChanged(bool, float64, float64, int)        {}
-func (quiet) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
+func (quiet) Forwarded()                                           {}
+func (quiet) Opened(Decision)                                      {}
+func (quiet) Refused(flow.Key, string, string)                     {}
+func (quiet) OverloadChanged(Overload)                             {}
+func (quiet) Searching(flow.Key, int, int)                         {}
+func (quiet) OwnerFound(flow.Key, flow.IPv4, int)                  {}
+func (q quiet) Lost(_ flow.Key, _ int, d Uncertainty, _ flow.IPv4) { *q.doubt = d }
+func (q quiet) Buffered(flow.Key, BufferReason)                    { *q.kept++ }
+func (quiet) Dropped(DropReason)                                   {}
+func (quiet) TargetChanged(*fleet.Target, fleet.Change)            {}
+func (quiet) TargetForgotten(flow.IPv4)                            {}
+func (quiet) PeerChanged(flow.IPv4, string)                        {}
+func (quiet) ZoneSilenceChanged(fleet.Silence)                     {}
+func (quiet) ZoneRelayed(flow.Tag, int, bool)                      {}
+func (quiet) Relayed(int)                                          {}
+func (quiet) Probed(flow.IPv4, time.Duration)                      {}
+func (quiet) RotationChanged(bool, float64, float64, int)          {}
+func (quiet) EvacuationsChanged(_, _ flow.Evacuations, _ string)   {}
 
 // fixture is a settled balancer with two targets of a service.
 type fixture struct {
@@ -59,7 +59,7 @@
 	port  *envelopetest.Recorder
 	now   time.Time
 	seq   uint32
-	doubt Doubt
+	doubt Uncertainty
 	kept  int
 }
 
@@ -81,7 +81,7 @@
 
 // forgetConfig makes the balancer one that knows nothing of the operator's state.
 func (c *Core) forgetConfig(now time.Time) {
-	*c.operator = *operator.New(now, operator.Options{Self: c.opts.Self, Zone: c.opts.Zone, FeedTime: c.opts.FeedTime}, c.view, listener{c}, c.rnd)
+	*c.operator = *operator.New(now, operator.Options{Self: c.opts.Self, Zone: c.opts.Zone, FollowTime: c.opts.FollowTime}, c.view, listener{c}, c.rnd)
 }
 
 // started makes the balancer one that started at a time and has not read the registry.
--- a/balancer/packetfront/followregistry.go
+++ b/balancer/packetfront/followregistry.go
@@ -21,7 +21,7 @@
 // when the balancer is alone. It has a loop of its own, for a store that does
 // not answer holds it up.
 func (f *Front) followRegistry(ctx context.Context) error {
-	worker.Sleep(ctx, search.ParkPause)
+	worker.Sleep(ctx, search.BufferRetryInterval)
 	f.findTargets(ctx)
 	return worker.Every(ctx, tickPeriod, func() {
 		f.register()
@@ -55,7 +55,7 @@
 	if err != nil {
 		return
 	}
-	f.locked(func(now time.Time) { f.core.AnnounceToUnknown(now, fleet.Addresses(balancers.Entries), nil) })
+	f.locked(func(now time.Time) { f.core.Contact(now, fleet.Addresses(balancers.Entries), nil) })
 }
 
 // findTargets reads the first targets of a balancer that has started: all where one call
@@ -75,9 +75,9 @@
 		f.locked(func(now time.Time) { f.core.TakeSnapshot(now, snapshotOf(began, now, page)) })
 		return
 	}
-	f.locked(func(now time.Time) { f.core.AnnounceToUnknown(now, nil, fleet.Addresses(page.Entries)) })
+	f.locked(func(now time.Time) { f.core.Contact(now, nil, fleet.Addresses(page.Entries)) })
 	if page, err = f.page(ctx, f.self); err == nil {
-		f.locked(func(now time.Time) { f.core.AnnounceToUnknown(now, nil, fleet.Addresses(page.Entries)) })
+		f.locked(func(now time.Time) { f.core.Contact(now, nil, fleet.Addresses(page.Entries)) })
 	}
 }
 
--- a/balancer/packetfront/front.go
+++ b/balancer/packetfront/front.go
@@ -46,7 +46,7 @@
 	// invalidEntries counts invalid entries of the registry.
 	invalidEntries prometheus.Counter
 
-	data, internal *relay.Datagrams
+	data, internal *relay.DatagramSocket
 	port           uint16
 	clientPort     uint16
 	self           flow.IPv4
@@ -73,17 +73,17 @@
 	dataAddr := netip.MustParseAddrPort(cfg.Data)
 	f.clientPort = dataAddr.Port()
 	var err error
-	if f.data, err = relay.OpenDatagrams(dataAddr); err != nil {
+	if f.data, err = relay.OpenDatagramSocket(dataAddr); err != nil {
 		return nil, errors.Wrap(err, "field \"data\"")
 	}
-	if f.internal, err = relay.OpenDatagrams(netip.MustParseAddrPort(cfg.Internal)); err != nil {
+	if f.internal, err = relay.OpenDatagramSocket(netip.MustParseAddrPort(cfg.Internal)); err != nil {
 		return nil, errors.Wrap(err, "field \"internal\"")
 	}
 	opts := Options{
 		Self: f.self, Zone: flow.TagOf(cfg.Zone), Seeds: flow.ParseAddrs(cfg.Seeds), Epoch: rand.Uint64() | 1,
-		Weights:  choose.Weights{OtherZone: cfg.OtherZoneCost, OtherZonePrice: cfg.OtherZonePrice.D(), Warming: warmingFactor},
-		LinkMbps: cfg.LinkMbps,
-		FeedTime: operator.FeedTime(cfg.CatchUpWithin.D()),
+		Weights:         choose.Weights{OtherZone: cfg.OtherZoneCost, OtherZonePrice: cfg.OtherZonePrice.D(), Warming: warmingFactor},
+		LinkMbps:        cfg.LinkMbps,
+		FollowTime: operator.FollowTime(cfg.CatchUpWithin.D()),
 	}
 	calls := telemetry.NewStoreCalls(counters)
 	f.registry = calls.For(telemetry.PurposeRegistry, stored)
--- a/balancer/packetfront/front_test.go
+++ b/balancer/packetfront/front_test.go
@@ -220,7 +220,7 @@
 	}
 	require.Eventually(t, func() bool { return follower.version() == 1 && !feeds() }, 10*time.Second, 20*time.Millisecond)
 	// Its own watch ends without an answer, and it relies on the others from then on.
-	time.Sleep(operator.FeedTime(follower.cfg.CatchUpWithin.D()) - operator.StoreTimeout + 200*time.Millisecond)
+	time.Sleep(operator.FollowTime(follower.cfg.CatchUpWithin.D()) - operator.StoreTimeout + 200*time.Millisecond)
 
 	for version := int64(2); version < 5; version++ {
 		putVersion(t, s, version)
--- a/balancer/packetfront/keeper.go
+++ b/balancer/packetfront/keeper.go
@@ -69,8 +69,8 @@
 	for _, e := range balancers {
 		c.events.PeerChanged(e.IP, "forgotten")
 	}
-	targets = append(targets, c.proof.Strike(now)...)
-	balancers = append(balancers, c.registeredBalancers.Strike(now, c.view.KnowsBalancer)...)
+	targets = append(targets, c.proof.Purge(now)...)
+	balancers = append(balancers, c.registeredBalancers.Purge(now, c.view.KnowsBalancer)...)
 	if !c.view.Keeper(now, c.opts.Self) || len(targets)+len(balancers) > c.view.Heard(now) {
 		return
 	}
--- a/balancer/packetfront/nodes.go
+++ b/balancer/packetfront/nodes.go
@@ -104,7 +104,7 @@
 	c.mergeEvacuations(now, m.Evacuations, from)
 	if change == fleet.Joined {
 		c.digestAt = time.Time{}
-		c.proof.Joined(now, from)
+		c.proof.BalancerJoined(now, from)
 		c.events.PeerChanged(from, "joined")
 	}
 	return change
@@ -134,15 +134,15 @@
 		}
 	}
 	for _, ip := range names.Holders {
-		c.proof.Named(now, ip)
+		c.proof.AgentNamed(now, ip)
 	}
-	c.AnnounceToUnknown(now, nil, names.Holders)
-	c.AnnounceToUnknown(now, nil, names.Idle)
+	c.Contact(now, nil, names.Holders)
+	c.Contact(now, nil, names.Idle)
 	return nil
 }
 
-// AnnounceToUnknown makes the balancer known to nodes that the seeds or the store name.
-func (c *Core) AnnounceToUnknown(now time.Time, balancers, agents []flow.IPv4) {
+// Contact makes the balancer known to nodes that the seeds or the store name.
+func (c *Core) Contact(now time.Time, balancers, agents []flow.IPv4) {
 	for _, ip := range balancers {
 		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
@@ -172,7 +172,7 @@
 // refuseReturned answers a SYN that every candidate refused, if no later copy can
 // have been taken meanwhile.
 func (c *Core) refuseReturned(now time.Time, key flow.Key, h *flow.Header) {
-	target, openedAt := c.table.Opening(key)
+	target, openedAt := c.table.SYNRecord(key)
 	if now.Sub(openedAt) > refuseWithin {
 		c.events.Dropped(DropCopyRefused)
 		return
@@ -204,7 +204,7 @@
 func (c *Core) updateFresh(now time.Time) {
 	fresh := c.proof.Fresh(now)
 	if c.wasFresh && !fresh {
-		c.finder.Wake(now)
+		c.finder.RetryDenied(now)
 	}
 	c.wasFresh = fresh
 }
@@ -214,7 +214,7 @@
 // seeds is fresh until it has known the last of them for a while.
 func (c *Core) join(now time.Time) {
 	if !c.proof.Settled(now) {
-		c.AnnounceToUnknown(now, c.opts.Seeds, nil)
+		c.Contact(now, c.opts.Seeds, nil)
 	}
 	if now.Before(c.nextJoin) {
 		return
@@ -223,7 +223,7 @@
 	if now.Sub(c.startedAt) > search.SettleTime && len(c.view.Balancers()) > 0 {
 		c.nextJoin = now.Add(rejoinPeriod)
 	}
-	c.AnnounceToUnknown(now, c.opts.Seeds, nil)
+	c.Contact(now, c.opts.Seeds, nil)
 	if c.proof.Fresh(now) {
 		c.requestNodes(now)
 	}
--- a/balancer/packetfront/observer.go
+++ b/balancer/packetfront/observer.go
@@ -53,8 +53,8 @@
 	forwarded, opened, refused, searches, owners prometheus.Counter
 	overloads                                    *prometheus.CounterVec
 	lost                                         *prometheus.CounterVec
-	drops                                        map[Drop]prometheus.Counter
-	keeps                                        map[Keep]prometheus.Counter
+	drops                                        map[DropReason]prometheus.Counter
+	keeps                                        map[BufferReason]prometheus.Counter
 	crossed                                      prometheus.Counter
 	readingAge, expected                         prometheus.Histogram
 	emptied                                      *telemetry.ZoneGauges
@@ -75,8 +75,8 @@
 		overloads: c.Vector("overloads_total", "Times that a service was found overloaded.", "service"),
 		searches:  c.Counter("searches_total", "Packets of unknown flows sent along their candidates."),
 		owners:    c.Counter("owners_found_total", "Flows whose target a search found."),
-		drops:     telemetry.ByReason(c, "dropped_packets_total", "Packets dropped, by reason.", Drops),
-		keeps:     telemetry.ByReason(c, "kept_packets_total", "Packets kept because their way was not known yet, by reason.", search.Keeps),
+		drops:     telemetry.ByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
+		keeps:     telemetry.ByReason(c, "kept_packets_total", "Packets kept because their way was not known yet, by reason.", search.BufferReasons),
 		readingAge: c.Histogram("reading_age_seconds",
 			"Age of the target's load reading when a new flow was sent to it.", []float64{0.05, 0.1, 0.2, 0.5, 1, 2, 5}),
 		crossed: c.Counter("crossing_flows_total", "Opening packets for which a target of another zone was chosen."),
@@ -144,7 +144,7 @@
 }
 
 // Lost implements Events.
-func (o *observer) Lost(key flow.Key, hops int, doubt Doubt, missing flow.IPv4) {
+func (o *observer) Lost(key flow.Key, hops int, doubt Uncertainty, missing flow.IPv4) {
 	outcome := string(doubt)
 	if doubt == "" {
 		outcome = "reset"
@@ -155,13 +155,13 @@
 }
 
 // Dropped implements Events.
-func (o *observer) Dropped(reason Drop) {
+func (o *observer) Dropped(reason DropReason) {
 	o.drops[reason].Inc()
 	o.Write(&o.other, "packet dropped", zap.String(fieldReason, string(reason)))
 }
 
-// Kept implements Events.
-func (o *observer) Kept(key flow.Key, reason Keep) {
+// Buffered implements Events.
+func (o *observer) Buffered(key flow.Key, reason BufferReason) {
 	o.keeps[reason].Inc()
 	o.Write(&o.other, "packet kept", zap.Stringer(fieldFlow, key), zap.String(fieldReason, string(reason)))
 }
--- a/balancer/packetfront/overload_test.go
+++ b/balancer/packetfront/overload_test.go
@@ -21,11 +21,11 @@
 type overloadHeard struct {
 	quiet
 	changes []Overload
-	drops   map[Drop]int
+	drops   map[DropReason]int
 }
 
 func (h *overloadHeard) OverloadChanged(o Overload) { h.changes = append(h.changes, o) }
-func (h *overloadHeard) Dropped(d Drop)             { h.drops[d]++ }
+func (h *overloadHeard) Dropped(d DropReason)       { h.drops[d]++ }
 
 // overloadFixture is a balancer before eight targets of a service and two routes to it.
 type overloadFixture struct {
@@ -45,7 +45,7 @@
 func newOverloadFixture() *overloadFixture {
 	f := &overloadFixture{
 		fixture: &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)},
-		heard:   &overloadHeard{drops: map[Drop]int{}},
+		heard:   &overloadHeard{drops: map[DropReason]int{}},
 	}
 	f.heard.quiet = quiet{&f.doubt, &f.kept}
 	f.Core = New(f.now, Options{Self: self, Zone: 1, Epoch: 1, Weights: choose.Weights{OtherZone: 1, Warming: 1.6}},
--- a/balancer/packetfront/survey.go
+++ b/balancer/packetfront/survey.go
@@ -26,7 +26,7 @@
 // where it has heard of none within a moment of its start, nobody that it can reach knows
 // any yet.
 func (c *Core) NeedsTargets(now time.Time) bool {
-	if c.snapshots.searchedTargets || now.Sub(c.startedAt) < search.ParkPause {
+	if c.snapshots.searchedTargets || now.Sub(c.startedAt) < search.BufferRetryInterval {
 		return false
 	}
 	c.snapshots.searchedTargets = true
@@ -48,7 +48,7 @@
 // be asked for a reading before the store is: those of the zone that watch it, by one that
 // does so itself only those before it. So the first one of a zone reads for all.
 func (c *Core) SnapshotSources(now time.Time) (ask []flow.IPv4, due bool) {
-	if !c.proof.WantsSurvey(now) {
+	if !c.proof.WantsSnapshot(now) {
 		return nil, false
 	}
 	feeds := c.operator.Feeds(now)
@@ -69,14 +69,14 @@
 }
 
 // SnapshotPending notes that a balancer that was asked is reading the registry.
-func (c *Core) SnapshotPending() { c.proof.SurveyPending() }
+func (c *Core) SnapshotPending() { c.proof.SnapshotPending() }
 
 // TakeSnapshot takes a reading of the agents' registry. Flows that waited for it are looked at
 // again.
 func (c *Core) TakeSnapshot(now time.Time, s fleet.Survey) {
-	if !c.proof.Surveyed(now, s) {
+	if !c.proof.ApplySnapshot(now, s) {
 		return
 	}
-	c.AnnounceToUnknown(now, nil, fleet.Addresses(s.Agents))
-	c.finder.Wake(now)
+	c.Contact(now, nil, fleet.Addresses(s.Agents))
+	c.finder.RetryDenied(now)
 }
--- a/balancer/packetfront/survey_test.go
+++ b/balancer/packetfront/survey_test.go
@@ -94,7 +94,7 @@
 // TestTheRegistryIsReadOnceThatIsOfUse: in time for the first conclusion, and not at the start
 // of everybody, when nobody knows who reads for whom.
 func TestTheRegistryIsReadOnceThatIsOfUse(t *testing.T) {
-	const from = search.FreshTime - search.SurveyAhead
+	const from = search.FreshTime - search.SnapshotLead
 	f := newFixture()
 	f.started(f.now)
 	_, due := f.SnapshotSources(f.now.Add(from - 1))
@@ -117,7 +117,7 @@
 		f.Tick(f.now)
 		f.client(packet(false, 9))
 		f.answer(targetB, envelope.Searched, packet(false, 9))
-		require.Equal(t, search.DoubtFresh, f.doubt)
+		require.Equal(t, search.UncertainFresh, f.doubt)
 		f.now = settled.Add(-1)
 		f.Tick(f.now)
 		require.Empty(t, f.port.Resets)
@@ -140,7 +140,7 @@
 	f.TakeSnapshot(f.now, older)
 	f.client(packet(false, 9))
 	f.answer(targetB, envelope.Searched, packet(false, 9))
-	require.Equal(t, search.DoubtMissing, f.doubt)
+	require.Equal(t, search.UncertainMissing, f.doubt)
 }
 
 // TestFirstTargetsAreReadWhereNobodyKnowsAny: after a common start, not where a single
@@ -153,12 +153,12 @@
 	}
 	f := fresh()
 	require.False(t, f.NeedsTargets(f.now), "others may answer")
-	f.now = f.now.Add(search.ParkPause)
+	f.now = f.now.Add(search.BufferRetryInterval)
 	require.True(t, f.NeedsTargets(f.now))
 	require.False(t, f.NeedsTargets(f.now), "once")
 	f = fresh()
 	f.announce(targetA, fleet.Ready)
-	f.now = f.now.Add(search.ParkPause)
+	f.now = f.now.Add(search.BufferRetryInterval)
 	require.False(t, f.NeedsTargets(f.now))
 }
 
--- a/balancer/search/buffer.go
+++ b/balancer/search/buffer.go
@@ -23,9 +23,9 @@
 	// searchRetryInterval is the pause between searches for a flow that no target was found to
 	// hold.
 	searchRetryInterval = 150 * time.Millisecond
-	// ParkPause is the pause between checks whether this balancer has the configuration and
+	// BufferRetryInterval is the pause between checks whether this balancer has the configuration and
 	// the targets, which takes some 30 ms from its start.
-	ParkPause = 20 * time.Millisecond
+	BufferRetryInterval = 20 * time.Millisecond
 )
 
 // flowBuffer holds the packets of flows that cannot be forwarded yet: a search for the flow is
--- a/balancer/search/buffer_test.go
+++ b/balancer/search/buffer_test.go
@@ -18,13 +18,13 @@
 	for name, p := range map[string][]byte{"a new flow": packet(true, 0), "an open flow": packet(false, 9)} {
 		f := newFreshFixture()
 		f.client(p)
-		f.advance(2 * ParkPause)
+		f.advance(2 * BufferRetryInterval)
 		require.Empty(t, f.port.Delivered(), name)
 		f.SetConfig(f.now, config(5))
-		f.advance(2 * ParkPause)
+		f.advance(2 * BufferRetryInterval)
 		require.Empty(t, f.port.Delivered(), "%s: no target yet", name)
 		f.announce(targetA, fleet.Ready)
-		f.advance(ParkPause)
+		f.advance(BufferRetryInterval)
 		require.Len(t, f.port.Delivered(), 1, name)
 		f.advance(searchRetryInterval / 2)
 		require.Len(t, f.port.Delivered(), 1, "%s: sent once", name)
@@ -36,10 +36,10 @@
 func TestBufferedSYNIsReplacedByItsRetransmission(t *testing.T) {
 	f := newFreshFixture()
 	f.client(packet(true, 0))
-	f.advance(synBufferTTL + 2*ParkPause)
+	f.advance(synBufferTTL + 2*BufferRetryInterval)
 	f.SetConfig(f.now, config(5))
 	f.announce(targetA, fleet.Ready)
-	f.advance(2 * ParkPause)
+	f.advance(2 * BufferRetryInterval)
 	require.Empty(t, f.port.Delivered(), "its buffer time is over")
 
 	f = newFreshFixture()
@@ -47,7 +47,7 @@
 	f.SetConfig(f.now, config(5))
 	f.announce(targetA, fleet.Ready)
 	f.client(packet(true, 1))
-	f.advance(2 * ParkPause)
+	f.advance(2 * BufferRetryInterval)
 	require.Len(t, f.port.Delivered(), 1, "only the retransmission is sent")
 }
 
@@ -61,7 +61,7 @@
 	f.client(packet(false, 9))
 	f.announce(targetA, fleet.Ready)
 	f.client(packet(false, 9))
-	f.advance(2 * ParkPause)
+	f.advance(2 * BufferRetryInterval)
 	for _, s := range f.port.Delivered() {
 		h, err := platform.DecodePacket(s.Raw[len(s.Raw)-platform.HeadLen:])
 		require.NoError(t, err)
@@ -78,7 +78,7 @@
 		f.client(p)
 	}
 	require.Len(t, f.buffer.flows, maxBufferedFlows)
-	f.advance(bufferTTL + 2*ParkPause)
+	f.advance(bufferTTL + 2*BufferRetryInterval)
 	require.Empty(t, f.buffer.flows)
 	require.Zero(t, f.buffer.packets)
 }
@@ -89,7 +89,7 @@
 	f := newFreshFixture()
 	f.client(packet(false, 9))
 	f.SetConfig(f.now, &flow.Config{Version: 6})
-	f.advance(2 * ParkPause)
+	f.advance(2 * BufferRetryInterval)
 	require.Empty(t, f.buffer.flows)
 	require.Empty(t, f.port.Resets)
 }
--- a/balancer/search/events.go
+++ b/balancer/search/events.go
@@ -2,33 +2,33 @@
 
 import "github.com/poppywall/poppywall/flow"
 
-// Drop is why a packet was dropped.
-type Drop string
+// DropReason is why a packet was dropped.
+type DropReason string
 
 // Reasons for dropping a packet.
 const (
-	DropNoRoute     Drop = "no-route"
-	DropNoCandidate Drop = "no-candidate"
+	DropNoRoute     DropReason = "no-route"
+	DropNoCandidate DropReason = "no-candidate"
 	// DropExpired is a buffered packet whose target was not found in time.
-	DropExpired Drop = "kept too long"
+	DropExpired DropReason = "kept too long"
 	// DropLateAnswer is a returned packet whose search had already been repeated or had ended.
-	DropLateAnswer Drop = "late answer"
+	DropLateAnswer DropReason = "late answer"
 )
 
-// Keep is why a packet is buffered and tried again.
-type Keep string
+// BufferReason is why a packet is buffered and tried again.
+type BufferReason string
 
 // Reasons for buffering a packet.
 const (
-	// KeepNoConfig: the balancer has no configuration yet.
-	KeepNoConfig Keep = "no configuration"
-	// KeepUnsettled: the balancer has just started and knows no target that may serve the
+	// BufferNoConfig: the balancer has no configuration yet.
+	BufferNoConfig BufferReason = "no configuration"
+	// BufferNoTarget: the balancer has just started and knows no target that may serve the
 	// packet.
-	KeepUnsettled Keep = "no target yet"
+	BufferNoTarget BufferReason = "no target yet"
 )
 
-// Keeps lists all reasons for buffering.
-var Keeps = []Keep{KeepNoConfig, KeepUnsettled}
+// BufferReasons lists all reasons for buffering.
+var BufferReasons = []BufferReason{BufferNoConfig, BufferNoTarget}
 
 // Events receives the decisions of a finder.
 type Events interface {
@@ -37,8 +37,8 @@
 	// Lost reports a packet whose flow no candidate holds. uncertainty is why the flow is not
 	// reset, empty when it is; missing is the target behind that reason, zero if none is
 	// known.
-	Lost(key flow.Key, hops int, uncertainty Doubt, missing flow.IPv4)
-	Dropped(reason Drop)
-	// Kept reports a packet that is buffered until it can be routed.
-	Kept(key flow.Key, reason Keep)
+	Lost(key flow.Key, hops int, uncertainty Uncertainty, missing flow.IPv4)
+	Dropped(reason DropReason)
+	// Buffered reports a packet that is buffered until it can be routed.
+	Buffered(key flow.Key, reason BufferReason)
 }
--- a/balancer/search/fixture_test.go
+++ b/balancer/search/fixture_test.go
@@ -32,12 +32,12 @@
 )
 
 // uncertaintyRecorder implements Events and records only the last uncertainty.
-type uncertaintyRecorder struct{ last *Doubt }
+type uncertaintyRecorder struct{ last *Uncertainty }
 
-func (uncertaintyRecorder) Searching(flow.Key, int, int)                   {}
-func (r uncertaintyRecorder) Lost(_ flow.Key, _ int, u Doubt, _ flow.IPv4) { *r.last = u }
-func (uncertaintyRecorder) Kept(flow.Key, Keep)                            {}
-func (uncertaintyRecorder) Dropped(Drop)                                   {}
+func (uncertaintyRecorder) Searching(flow.Key, int, int)                         {}
+func (r uncertaintyRecorder) Lost(_ flow.Key, _ int, u Uncertainty, _ flow.IPv4) { *r.last = u }
+func (uncertaintyRecorder) Buffered(flow.Key, BufferReason)                      {}
+func (uncertaintyRecorder) Dropped(DropReason)                                   {}
 
 // fixture is a finder behind a minimal front, which sends SYNs to the first known target.
 type fixture struct {
@@ -49,7 +49,7 @@
 	inForce     *flow.Config
 	now         time.Time
 	seq         uint32
-	uncertainty Doubt
+	uncertainty Uncertainty
 	datagram    []byte
 }
 
@@ -61,7 +61,7 @@
 	f := &fixture{port: &envelopetest.Recorder{}, now: at, fleet: fleet.NewView(), flows: NewTable(MaxFlows)}
 	f.Proof = NewProof(at, self, nil, f.fleet)
 	config := func() *flow.Config { return f.inForce }
-	f.Finder = New(Options{Self: self, Epoch: incarnation, First: first}, config, f.fleet, f.flows, f.Proof, platform.Codec{}, testPort{f}, uncertaintyRecorder{&f.uncertainty})
+	f.Finder = New(Options{Self: self, Incarnation: incarnation, First: first}, config, f.fleet, f.flows, f.Proof, platform.Codec{}, testPort{f}, uncertaintyRecorder{&f.uncertainty})
 	return f
 }
 
@@ -100,8 +100,8 @@
 
 // Surveyed applies a snapshot of the registry and rechecks denied flows.
 func (f *fixture) Surveyed(now time.Time, s fleet.Survey) {
-	f.Proof.Surveyed(now, s)
-	f.Wake(now)
+	f.Proof.ApplySnapshot(now, s)
+	f.RetryDenied(now)
 }
 
 // testPort implements Port.
@@ -120,7 +120,7 @@
 
 func (f testPort) Route(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	if f.inForce == nil {
-		f.Park(now, key, h, packet, KeepNoConfig)
+		f.Buffer(now, key, h, packet, BufferNoConfig)
 		return
 	}
 	if h.IsOpening() {
@@ -129,21 +129,21 @@
 	}
 	if target, ok := f.Known(now, key); ok {
 		f.Forward(key, target, packet)
-		f.Release(key, target)
+		f.ForwardBuffered(key, target)
 		return
 	}
-	f.Seek(now, key, h, packet)
+	f.Search(now, key, h, packet)
 }
 
 // routeSYN sends a SYN to the first known target, or buffers it.
 func (f testPort) routeSYN(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	targets := f.fleet.Targets()
 	if len(targets) == 0 {
-		f.Park(now, key, h, packet, KeepUnsettled)
+		f.Buffer(now, key, h, packet, BufferNoTarget)
 		return
 	}
-	f.Forget(key)
-	f.flows.Opened(now, key, targets[0])
+	f.Discard(key)
+	f.flows.RecordSYN(now, key, targets[0])
 	f.Forward(key, targets[0], packet)
 }
 
@@ -156,7 +156,7 @@
 		names, err := fleet.DecodeNames(datagram)
 		check(err)
 		for _, ip := range names.Holders {
-			f.Named(now, ip)
+			f.AgentNamed(now, ip)
 		}
 	case envelope.Owner:
 		var env envelope.Envelope
@@ -171,7 +171,7 @@
 		check(err)
 		h, err := platform.DecodePacket(packet)
 		check(err)
-		f.Returned(now, from, h.FromClient(), env, &h, packet)
+		f.HandleReturned(now, from, h.FromClient(), env, &h, packet)
 	case envelope.Announce:
 		a, err := fleet.DecodeAnnouncement(datagram)
 		check(err)
@@ -191,7 +191,7 @@
 func (f *fixture) beaconFrom(ip flow.IPv4) {
 	m := fleet.Beacon{Identity: fleet.Identity{Epoch: uint64(ip), Seq: 1}}
 	if f.fleet.Beacon(f.now, ip, m) == fleet.Joined {
-		f.Joined(f.now, ip)
+		f.BalancerJoined(f.now, ip)
 	}
 }
 
@@ -249,7 +249,7 @@
 	if f.Settled(now) {
 		return tickPeriod
 	}
-	return ParkPause
+	return BufferRetryInterval
 }
 
 // advance advances the clock tick by tick.
--- a/balancer/search/proof.go
+++ b/balancer/search/proof.go
@@ -8,25 +8,25 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Doubt is the uncertainty because of which a flow that no candidate holds may still be alive.
+// Uncertainty is the uncertainty because of which a flow that no candidate holds may still be alive.
 // Only a flow that has certainly ended is reset.
-type Doubt string
+type Uncertainty string
 
 // Reasons for uncertainty.
 const (
-	// DoubtTarget: a probed target could not exclude that it holds the flow.
-	DoubtTarget Doubt = "a target is unsure"
-	// DoubtFresh: the balancer has just started; agents have not discovered it yet.
-	DoubtFresh Doubt = "just started"
-	// DoubtSurvey: the registry of agents was not read shortly before the packet came or
+	// UncertainTarget: a probed target could not exclude that it holds the flow.
+	UncertainTarget Uncertainty = "a target is unsure"
+	// UncertainFresh: the balancer has just started; agents have not discovered it yet.
+	UncertainFresh Uncertainty = "just started"
+	// UncertainSnapshot: the registry of agents was not read shortly before the packet came or
 	// since. An agent is registered before its target takes its first flow, so a snapshot
 	// begun later contains the flow's target.
-	DoubtSurvey Doubt = "registry not read"
-	// DoubtRegistry: an agent that was seen is not registered, so the registry may lack others
+	UncertainSnapshot Uncertainty = "registry not read"
+	// UncertainRegistry: an agent that was seen is not registered, so the registry may lack others
 	// as well: the store was unavailable when they started.
-	DoubtRegistry Doubt = "registry incomplete"
-	// DoubtMissing: an agent that the registry or another balancer names was not seen.
-	DoubtMissing Doubt = "a target was not asked"
+	UncertainRegistry Uncertainty = "registry incomplete"
+	// UncertainMissing: an agent that the registry or another balancer names was not seen.
+	UncertainMissing Uncertainty = "a target was not asked"
 )
 
 // Timing of the proof that a flow has ended.
@@ -40,9 +40,9 @@
 	// five times a second; an agent that the registry lacks announces itself to the seeds as
 	// often.
 	FreshTime = 500 * time.Millisecond
-	// SurveyAhead is how long before the end of FreshTime the registry is read for the first
+	// SnapshotLead is how long before the end of FreshTime the registry is read for the first
 	// time: the store answers each page in milliseconds.
-	SurveyAhead = 150 * time.Millisecond
+	SnapshotLead = 150 * time.Millisecond
 	// missingAgentTimeout is how long an agent that is registered but was not seen keeps flows
 	// uncertain: longer than a process takes to restart. After that its VM counts as gone.
 	missingAgentTimeout = 4 * time.Second
@@ -87,15 +87,15 @@
 // SetSeeds replaces the seeds, the balancers to join through.
 func (p *Proof) SetSeeds(seeds []flow.IPv4) { p.seeds = seeds }
 
-// Joined records that another balancer was seen for the first time.
-func (p *Proof) Joined(now time.Time, balancer flow.IPv4) {
+// BalancerJoined records that another balancer was seen for the first time.
+func (p *Proof) BalancerJoined(now time.Time, balancer flow.IPv4) {
 	if slices.Contains(p.seeds, balancer) {
 		p.lastSeedJoinedAt = now
 	}
 }
 
-// Named records that another balancer knows an agent.
-func (p *Proof) Named(now time.Time, agent flow.IPv4) {
+// AgentNamed records that another balancer knows an agent.
+func (p *Proof) AgentNamed(now time.Time, agent flow.IPv4) {
 	if !p.view.KnowsTarget(agent) {
 		p.namedAgents[agent] = now
 	}
@@ -106,30 +106,30 @@
 
 // checkSnapshotAge returns uncertainty and requests a snapshot if the registry was not read
 // shortly before a packet came or since.
-func (p *Proof) checkSnapshotAge(since time.Time) Doubt {
+func (p *Proof) checkSnapshotAge(since time.Time) Uncertainty {
 	if !p.snapshot.earliest.Before(since.Add(-snapshotMaxAge)) {
 		return ""
 	}
 	p.snapshot.refreshWanted = true
-	return DoubtSurvey
+	return UncertainSnapshot
 }
 
 // checkView returns why there may be targets that this balancer does not know, and one of them
 // if it is known.
-func (p *Proof) checkView(now time.Time) (Doubt, flow.IPv4) {
+func (p *Proof) checkView(now time.Time) (Uncertainty, flow.IPv4) {
 	switch {
 	case p.Fresh(now):
-		return DoubtFresh, 0
+		return UncertainFresh, 0
 	case p.snapshot.earliest.IsZero():
 		p.snapshot.refreshWanted = true
-		return DoubtSurvey, 0
+		return UncertainSnapshot, 0
 	}
 	if ip, missing := p.missingTarget(now); missing {
-		return DoubtMissing, ip
+		return UncertainMissing, ip
 	}
 	if ip, missing := p.unregisteredTarget(); missing {
 		p.snapshot.refreshWanted = true
-		return DoubtRegistry, ip
+		return UncertainRegistry, ip
 	}
 	return "", 0
 }
@@ -198,24 +198,24 @@
 	})
 }
 
-// WantsSurvey reports whether the registry of agents should be read: shortly before the
+// WantsSnapshot reports whether the registry of agents should be read: shortly before the
 // balancer stops being fresh, since nothing is decided earlier, and when a flow seems to have
 // ended.
-func (p *Proof) WantsSurvey(now time.Time) bool {
-	if now.Sub(p.startedAt) < FreshTime-SurveyAhead || (!p.snapshot.refreshWanted && !p.snapshot.earliest.IsZero()) {
+func (p *Proof) WantsSnapshot(now time.Time) bool {
+	if now.Sub(p.startedAt) < FreshTime-SnapshotLead || (!p.snapshot.refreshWanted && !p.snapshot.earliest.IsZero()) {
 		return false
 	}
 	return p.snapshot.schedule.Begin(now)
 }
 
-// SurveyPending records that another balancer is reading the registry, so that it is asked
+// SnapshotPending records that another balancer is reading the registry, so that it is asked
 // again soon.
-func (p *Proof) SurveyPending() { p.snapshot.schedule.Pending() }
+func (p *Proof) SnapshotPending() { p.snapshot.schedule.Pending() }
 
-// Surveyed applies a snapshot of the agents' registry and reports whether it was accepted. A
+// ApplySnapshot applies a snapshot of the agents' registry and reports whether it was accepted. A
 // snapshot older than the last one is rejected: an agent that has registered since must not
 // get lost.
-func (p *Proof) Surveyed(now time.Time, s fleet.Survey) bool {
+func (p *Proof) ApplySnapshot(now time.Time, s fleet.Survey) bool {
 	if s.Revision < p.snapshot.revision {
 		return false
 	}
@@ -232,8 +232,6 @@
 	return true
 }
 
-// Strike removes from the last snapshot the agents that were not seen for as long as nodes are
+// Purge removes from the last snapshot the agents that were not seen for as long as nodes are
 // remembered, and returns them.
-func (p *Proof) Strike(now time.Time) []fleet.Entry {
-	return p.snapshot.Strike(now, p.view.KnowsTarget)
-}
+func (p *Proof) Purge(now time.Time) []fleet.Entry { return p.snapshot.Purge(now, p.view.KnowsTarget) }
--- a/balancer/search/proof_test.go
+++ b/balancer/search/proof_test.go
@@ -17,17 +17,17 @@
 		prepare func(f *fixture)
 		during  func(f *fixture)
 		flags   envelope.Flags
-		want    Doubt
+		want    Uncertainty
 	}{
 		"all denied":     {want: ""},
-		"one was unsure": {flags: envelope.Unsure, want: DoubtTarget},
+		"one was unsure": {flags: envelope.Unsure, want: UncertainTarget},
 		"a target ended": {during: func(f *fixture) { f.announce(targetA, fleet.Gone) }, want: ""},
 		"no other balancer seen, seeds configured": {
 			prepare: func(f *fixture) {
 				f.SetSeeds([]flow.IPv4{self, peer})
 				f.startedAt = f.now.Add(-FreshTime)
 			},
-			want: DoubtFresh,
+			want: UncertainFresh,
 		},
 		"no other balancer seen for long": {
 			prepare: func(f *fixture) {
@@ -43,7 +43,7 @@
 				f.beaconFrom(peer)
 				f.now = f.now.Add(FreshTime - 1)
 			},
-			want: DoubtFresh,
+			want: UncertainFresh,
 		},
 		"a seed was first seen earlier": {
 			prepare: func(f *fixture) {
@@ -73,13 +73,13 @@
 			},
 			want: "",
 		},
-		"just started": {prepare: func(f *fixture) { f.startedAt = f.now }, want: DoubtFresh},
+		"just started": {prepare: func(f *fixture) { f.startedAt = f.now }, want: UncertainFresh},
 		"an agent was missing for a while": {
 			prepare: func(f *fixture) {
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
 				f.advanceAnnouncing(missingAgentTimeout - time.Millisecond)
 			},
-			want: DoubtMissing,
+			want: UncertainMissing,
 		},
 		"an agent was missing for long": {
 			prepare: func(f *fixture) {
@@ -103,7 +103,7 @@
 				f.advanceAnnouncing(fleet.Quiet + time.Second)
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
 			},
-			want: DoubtMissing,
+			want: UncertainMissing,
 		},
 		"a gone target is registered and becomes overdue": {
 			prepare: func(f *fixture) {
@@ -114,7 +114,7 @@
 				f.advanceAnnouncing(fleet.Quiet + 1)
 				f.snapshot.earliest = f.now
 			},
-			want: DoubtMissing,
+			want: UncertainMissing,
 		},
 		"one was registered after the snapshot": {
 			prepare: func(f *fixture) {
@@ -129,21 +129,21 @@
 				f.announceRegistered(other)
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
 			},
-			want: DoubtRegistry,
+			want: UncertainRegistry,
 		},
-		"registry not read":          {prepare: func(f *fixture) { f.snapshot.earliest = time.Time{} }, want: DoubtSurvey},
-		"registry read too early":    {prepare: func(f *fixture) { f.snapshot.earliest = f.now.Add(-snapshotMaxAge - 1) }, want: DoubtSurvey},
-		"an agent is missing":        {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: DoubtMissing},
-		"an agent is not registered": {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: DoubtRegistry},
+		"registry not read":          {prepare: func(f *fixture) { f.snapshot.earliest = time.Time{} }, want: UncertainSnapshot},
+		"registry read too early":    {prepare: func(f *fixture) { f.snapshot.earliest = f.now.Add(-snapshotMaxAge - 1) }, want: UncertainSnapshot},
+		"an agent is missing":        {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: UncertainMissing},
+		"an agent is not registered": {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: UncertainRegistry},
 		"another balancer names one": {
 			prepare: func(f *fixture) {
 				fleet.Names{Holders: []flow.IPv4{other}}.Append(nil, func(msg []byte) { f.HandleNode(f.now, peer, msg) })
 			},
-			want: DoubtMissing,
+			want: UncertainMissing,
 		},
 		"an agent is overdue": {
 			prepare: func(f *fixture) { f.now = f.now.Add(fleet.Quiet + time.Second); f.announce(targetA, fleet.Ready) },
-			want:    DoubtMissing,
+			want:    UncertainMissing,
 		},
 		"an overdue agent has no target": {
 			prepare: func(f *fixture) {
@@ -161,7 +161,7 @@
 				f.announce(targetA, fleet.Ready)
 				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
 			},
-			want: DoubtMissing,
+			want: UncertainMissing,
 		},
 		"an overdue agent without a target is registered, for long": {
 			prepare: func(f *fixture) {
@@ -196,7 +196,7 @@
 	f.startedAt = f.now
 	f.client(packet(false, 9))
 	f.returnLast(targetB, envelope.Searched, packet(false, 9))
-	require.Equal(t, DoubtFresh, f.uncertainty)
+	require.Equal(t, UncertainFresh, f.uncertainty)
 	f.client(packet(false, 9))
 	f.advance(FreshTime / 2)
 	require.Empty(t, f.port.Resets)
@@ -245,7 +245,7 @@
 			f.announce(other, fleet.Ready)
 		}
 		f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
-		f.advance(ParkPause)
+		f.advance(BufferRetryInterval)
 		asked := f.port.Delivered()
 		require.Len(t, asked, 2, name)
 		require.Equal(t, other, asked[1].To, name)
@@ -280,7 +280,7 @@
 	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
 	f.client(packet(false, 9))
 	f.returnLast(targetB, envelope.Searched, packet(false, 9))
-	require.Equal(t, DoubtMissing, f.uncertainty)
+	require.Equal(t, UncertainMissing, f.uncertainty)
 	f.advance(bufferTTL - searchRetryInterval)
 	require.Len(t, f.port.Delivered(), 1)
 	require.Empty(t, f.port.Resets)
@@ -316,14 +316,14 @@
 	for f.now.Sub(begin) < 10*time.Second {
 		f.now = f.now.Add(100 * time.Millisecond)
 		f.snapshot.refreshWanted = true
-		if f.WantsSurvey(f.now) {
+		if f.WantsSnapshot(f.now) {
 			reads = append(reads, f.now.Sub(begin))
 		}
 	}
 	require.Equal(t, []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 1300 * time.Millisecond}, reads[:3])
 	require.Len(t, reads, 8)
 	f.now = f.now.Add(2*mostSurveyPause + 1)
-	require.True(t, f.WantsSurvey(f.now))
+	require.True(t, f.WantsSnapshot(f.now))
 	f.now = f.now.Add(surveyPause)
-	require.True(t, f.WantsSurvey(f.now), "the pause is back to its minimum")
+	require.True(t, f.WantsSnapshot(f.now), "the pause is back to its minimum")
 }
--- a/balancer/search/search.go
+++ b/balancer/search/search.go
@@ -30,8 +30,8 @@
 	// Self and Zone are the balancer's address and zone.
 	Self flow.IPv4
 	Zone flow.Tag
-	// Epoch identifies the incarnation; it is random for each start.
-	Epoch uint64
+	// Incarnation identifies the incarnation; it is random for each start.
+	Incarnation uint64
 	// First is how many targets of a flow's ranking, in the local zone and in other zones
 	// each, are probed before all others: both together at most maxTargetsPerProbe.
 	First int
@@ -65,7 +65,7 @@
 func New(opts Options, config func() *flow.Config, view *fleet.View, table *Table, proof *Proof, codec flow.Codec, port Port, events Events) *Finder {
 	return &Finder{
 		opts: opts, config: config, view: view, table: table, proof: proof, codec: codec, port: port, events: events,
-		buffer: newFlowBuffer(), lastSearchID: uint32(opts.Epoch),
+		buffer: newFlowBuffer(), lastSearchID: uint32(opts.Incarnation),
 	}
 }
 
@@ -86,23 +86,23 @@
 // Found records which target holds a flow and forwards the buffered packets to it.
 func (f *Finder) Found(now time.Time, key flow.Key, target flow.IPv4) {
 	f.table.Put(now, key, target)
-	f.Release(key, target)
+	f.ForwardBuffered(key, target)
 }
 
-// Forget drops the buffered packets of a flow.
-func (f *Finder) Forget(key flow.Key) { f.buffer.remove(key) }
+// Discard drops the buffered packets of a flow.
+func (f *Finder) Discard(key flow.Key) { f.buffer.remove(key) }
 
-// Seek searches for the target of a packet's flow, or buffers the packet if a search for the
+// Search searches for the target of a packet's flow, or buffers the packet if a search for the
 // flow is under way or has ended without a target.
-func (f *Finder) Seek(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
+func (f *Finder) Search(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	if !f.buffer.addFollowing(key, packet) {
 		f.startSearch(now, key, h, packet)
 	}
 }
 
-// Wake checks again the flows that all targets have denied, because the view or the registry
+// RetryDenied checks again the flows that all targets have denied, because the view or the registry
 // snapshot has changed.
-func (f *Finder) Wake(now time.Time) {
+func (f *Finder) RetryDenied(now time.Time) {
 	f.buffer.retryDenied(now)
 	f.Retry(now)
 }
@@ -151,7 +151,7 @@
 		f.events.Dropped(DropNoCandidate)
 		return
 	}
-	f.Park(now, key, h, packet, KeepUnsettled)
+	f.Buffer(now, key, h, packet, BufferNoTarget)
 }
 
 // Limits of a search over many targets.
@@ -248,10 +248,10 @@
 	f.port.Send(targets[0].Target, &f.env, packet)
 }
 
-// Returned handles a packet that no target took, with the envelope that it came back in. If it
+// HandleReturned handles a packet that no target took, with the envelope that it came back in. If it
 // was sent to the recorded target of its flow, the flow is searched for; if it was a probe,
 // its search continues or ends.
-func (f *Finder) Returned(now time.Time, from flow.IPv4, key flow.Key, env envelope.Envelope, h *flow.Header, packet []byte) {
+func (f *Finder) HandleReturned(now time.Time, from flow.IPv4, key flow.Key, env envelope.Envelope, h *flow.Header, packet []byte) {
 	f.table.Drop(key, from)
 	if env.Flags&envelope.Search == 0 {
 		f.port.Route(now, key, h, packet)
@@ -279,7 +279,7 @@
 func (f *Finder) finishSearch(now time.Time, key flow.Key, b *bufferedFlow, h *flow.Header, hops int) {
 	b.searching = false
 	if b.unsure {
-		f.events.Lost(key, hops, DoubtTarget, 0)
+		f.events.Lost(key, hops, UncertainTarget, 0)
 		b.nextTryAt = now.Add(searchRetryInterval)
 		return
 	}
@@ -323,20 +323,20 @@
 	return false
 }
 
-// Park buffers a packet that cannot be routed yet.
-func (f *Finder) Park(now time.Time, key flow.Key, h *flow.Header, packet []byte, reason Keep) {
+// Buffer buffers a packet that cannot be routed yet.
+func (f *Finder) Buffer(now time.Time, key flow.Key, h *flow.Header, packet []byte, reason BufferReason) {
 	ttl := bufferTTL
 	if h.IsOpening() {
 		ttl = synBufferTTL
 	}
 	_, buffered := f.buffer.flows[key]
-	if f.buffer.add(now, key, h.IsOpening(), packet, now.Add(ParkPause), ttl) != nil && !buffered {
-		f.events.Kept(key, reason)
+	if f.buffer.add(now, key, h.IsOpening(), packet, now.Add(BufferRetryInterval), ttl) != nil && !buffered {
+		f.events.Buffered(key, reason)
 	}
 }
 
-// Release forwards the packets that waited for a flow's target.
-func (f *Finder) Release(key flow.Key, target flow.IPv4) {
+// ForwardBuffered forwards the packets that waited for a flow's target.
+func (f *Finder) ForwardBuffered(key flow.Key, target flow.IPv4) {
 	for _, packet := range f.buffer.remove(key) {
 		f.port.Forward(key, target, packet)
 	}
--- a/balancer/search/search_test.go
+++ b/balancer/search/search_test.go
@@ -145,7 +145,7 @@
 		}
 		f.returnProbe(s, flags)
 	}
-	require.Equal(t, DoubtTarget, f.uncertainty)
+	require.Equal(t, UncertainTarget, f.uncertainty)
 	require.Empty(t, f.port.Resets)
 }
 
--- a/balancer/search/table.go
+++ b/balancer/search/table.go
@@ -53,15 +53,15 @@
 	t.flows[key] = entry{target: target, usedAt: now, openedAt: t.flows[key].openedAt}
 }
 
-// Opened records where a SYN was sent when it first came.
-func (t *Table) Opened(now time.Time, key flow.Key, target flow.IPv4) {
+// RecordSYN records where a SYN was sent when it first came.
+func (t *Table) RecordSYN(now time.Time, key flow.Key, target flow.IPv4) {
 	t.Put(now, key, target)
 	t.flows[key] = entry{target: target, usedAt: now, openedAt: now}
 }
 
-// Opening returns where a flow was sent and when its SYN first came; the time is zero when it
+// SYNRecord returns where a flow was sent and when its SYN first came; the time is zero when it
 // did not come here.
-func (t *Table) Opening(key flow.Key) (flow.IPv4, time.Time) {
+func (t *Table) SYNRecord(key flow.Key) (flow.IPv4, time.Time) {
 	e := t.flows[key]
 	return e.target, e.openedAt
 }
--- a/change/change.go
+++ b/change/change.go
@@ -246,7 +246,7 @@
 		return result(id, Accepted, catalog.Revision(resp.Revision), ""), false
 	case err == nil:
 		return result(id, Rejected, 0, "changed meanwhile"), true
-	case verdict.Of(err) == verdict.NotRun:
+	case verdict.FromError(err) == verdict.NotRun:
 		return result(id, Rejected, 0, err.Error()), false
 	default:
 		return a.Resolve(ctx, id), false
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -18,12 +18,12 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// Verb is what to do with a datagram.
-type Verb uint8
+// Operation is what to do with a datagram.
+type Operation uint8
 
 const (
 	// Drop discards the datagram for the action's Reason.
-	Drop Verb = iota
+	Drop Operation = iota
 	// ToHost sends Header and the payload to Peer, an agent.
 	ToHost
 	// ToCaller sends the payload without a header to Peer, a caller, from the
@@ -57,9 +57,9 @@
 
 // Action is the decision for one datagram.
 type Action struct {
-	Verb   Verb
-	Reason Reason
-	Peer   netip.AddrPort
+	Operation Operation
+	Reason    Reason
+	Peer      netip.AddrPort
 	// Header precedes the payload when Verb is ToHost.
 	Header encap.Header
 	// NewFlow reports whether the host was selected for a new flow rather than
@@ -197,7 +197,7 @@
 	if r.Service != s.ID {
 		return Action{Reason: WrongService}
 	}
-	return Action{Verb: ToHost, Peer: r.Host, Header: s.forwardHeader(caller, 0), Payload: payload}
+	return Action{Operation: ToHost, Peer: r.Host, Header: s.forwardHeader(caller, 0), Payload: payload}
 }
 
 func (s *Service) forwardHeader(caller netip.AddrPort, hops uint8) encap.Header {
@@ -222,11 +222,11 @@
 		return Action{Reason: NoHost}
 	}
 	return Action{
-		Verb:    ToHost,
-		Peer:    host,
-		Header:  s.forwardHeader(caller, hops),
-		NewFlow: true,
-		Payload: payload,
+		Operation: ToHost,
+		Peer:      host,
+		Header:    s.forwardHeader(caller, hops),
+		NewFlow:   true,
+		Payload:   payload,
 	}
 }
 
@@ -246,7 +246,7 @@
 	switch h.Kind {
 	case encap.Return:
 		s.recordLoad(now, from, h)
-		return Action{Verb: ToCaller, Peer: h.Caller, Header: h, Payload: payload}
+		return Action{Operation: ToCaller, Peer: h.Caller, Header: h, Payload: payload}
 	case encap.Refused:
 		return s.reassignRefusedFlow(now, from, h, payload)
 	default:
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -133,7 +133,7 @@
 					require.Equal(t, Action{Reason: WrongService}, a)
 					return
 				}
-				require.Equal(t, ToHost, a.Verb)
+				require.Equal(t, ToHost, a.Operation)
 				require.Equal(t, hostAddr(f.host), a.Peer)
 				require.Equal(t, route.ServiceID(f.service), a.Header.ServiceID)
 				require.Equal(t, serviceAddr(f.service), a.Header.Service)
@@ -151,7 +151,7 @@
 			"a new flow": func(t *rapid.T) {
 				b, s := balancer(t), rapid.IntRange(1, services).Draw(t, "service")
 				a := b.FromCaller(t0, b.Service(serviceAddr(s)), caller, initialPacket(rapid.SliceOfN(rapid.Byte(), 8, 20).Draw(t, "id")))
-				if a.Verb == ToHost {
+				if a.Operation == ToHost {
 					require.True(t, a.NewFlow)
 					require.Equal(t, route.ServiceID(s), a.Header.ServiceID)
 					return
@@ -184,11 +184,11 @@
 		genuine := list[0].Number == secrets[0].Number && string(list[0].Bytes) == string(secrets[0].Bytes)
 		matches := h.Service == serviceAddr(int(h.ServiceID))
 		if genuine && matches && h.Kind == encap.Return {
-			require.Equal(t, ToCaller, a.Verb)
+			require.Equal(t, ToCaller, a.Operation)
 			require.Equal(t, caller, a.Peer)
 			return
 		}
-		require.Equal(t, Drop, a.Verb)
+		require.Equal(t, Drop, a.Operation)
 	})
 }
 
@@ -200,7 +200,7 @@
 	require.NoError(t, err)
 	table.SetHosts(t0, 1, []choose.Host{{Addr: hostAddr(1), Capacity: 1}, {Addr: hostAddr(2), Capacity: 1}})
 	first := table.FromCaller(t0, table.Service(serviceAddr(1)), caller, initialPacket(make([]byte, 8)))
-	require.Equal(t, ToHost, first.Verb)
+	require.Equal(t, ToHost, first.Operation)
 	h := first.Header
 	for hops := uint8(1); hops <= MaxHops; hops++ {
 		h.Kind, h.Hops = encap.Refused, hops
@@ -225,7 +225,7 @@
 	s := table.Service(serviceAddr(9))
 	forwarded := 0
 	for range 100 {
-		if table.FromCaller(t0, s, caller, initialPacket(make([]byte, 8))).Verb == ToHost {
+		if table.FromCaller(t0, s, caller, initialPacket(make([]byte, 8))).Operation == ToHost {
 			forwarded++
 		}
 	}
@@ -242,7 +242,7 @@
 	f.Add([]byte{0x40, 1, 2})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a := table.FromCaller(t0, s, caller, b)
-		if a.Verb == ToHost {
+		if a.Operation == ToHost {
 			require.Equal(t, hostAddr(1), a.Peer)
 		}
 		table.FromAgent(t0, hostAddr(1), b)
--- a/measure/packetbench.go
+++ b/measure/packetbench.go
@@ -80,13 +80,13 @@
 
 // packetSink stands for an agent: it counts what is delivered.
 type packetSink struct {
-	socket *relay.Datagrams
+	socket *relay.DatagramSocket
 	count  atomic.Int64
 	stop   func()
 }
 
 func newPacketSink() (*packetSink, error) {
-	socket, err := relay.OpenDatagrams(at(packetAgent, packetInternal))
+	socket, err := relay.OpenDatagramSocket(at(packetAgent, packetInternal))
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 	return s, nil
 }
 
-func serveDatagrams(socket *relay.Datagrams, handle func(netip.AddrPort, []byte)) (stop func()) {
+func serveDatagrams(socket *relay.DatagramSocket, handle func(netip.AddrPort, []byte)) (stop func()) {
 	return worker.Start(func(ctx context.Context) error { return socket.Serve(ctx, handle) })
 }
 
@@ -136,7 +136,7 @@
 }
 
 // announce keeps the balancer informed of the sink.
-func announce(ctx context.Context, socket *relay.Datagrams) error {
+func announce(ctx context.Context, socket *relay.DatagramSocket) error {
 	a := fleetnet.Announcement{Service: flow.TagOf("bench"), Zone: flow.TagOf("z1"), State: fleetnet.Ready, Slots: 8}
 	a.Epoch = 1
 	for ctx.Err() == nil {
@@ -150,7 +150,7 @@
 
 // startBareDatagrams forwards every datagram as it is, by the same socket calls.
 func startBareDatagrams(to netip.AddrPort) (*packetSink, error) {
-	in, err := relay.OpenDatagrams(netip.MustParseAddrPort(loopbackAny))
+	in, err := relay.OpenDatagramSocket(netip.MustParseAddrPort(loopbackAny))
 	if err != nil {
 		return nil, err
 	}
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -68,7 +68,7 @@
 func (b *Balancer) Start() {
 	w := b.w
 	opts := balancerfront.Options{
-		Self: b.IP, Zone: flow.TagOf(b.Zone), Seeds: w.Seeds, Epoch: w.Rnd.Uint64() | 1, Weights: Weights, RelayFrom: w.RelayFrom, FeedTime: feedTime,
+		Self: b.IP, Zone: flow.TagOf(b.Zone), Seeds: w.Seeds, Epoch: w.Rnd.Uint64() | 1, Weights: Weights, RelayFrom: w.RelayFrom, FollowTime: feedTime,
 	}
 	b.Core = balancerfront.New(w.Now, opts, b, platform.Codec{}, QuietBalancer{}, w.Rnd)
 	b.Core.SetConfig(w.Now, w.Config)
@@ -103,7 +103,7 @@
 func (b *Balancer) followStore() {
 	w := b.w
 	if !w.Now.Before(w.StoreBack) && b.Core.Feeds(w.Now) {
-		b.Core.Operator().Fed(w.Now)
+		b.Core.Operator().StoreAnswered(w.Now)
 		b.Core.SetEvacuations(w.Now, w.Evacuations)
 	}
 }
--- a/model/sim/quiet.go
+++ b/model/sim/quiet.go
@@ -16,24 +16,24 @@
 var _ balancerfront.Events = QuietBalancer{}
 
 // Forwarded implements balancerfront.Events, as do the methods below.
-func (QuietBalancer) Forwarded()                                         {}
-func (QuietBalancer) Opened(balancerfront.Decision)                      {}
-func (QuietBalancer) Refused(flow.Key, string, string)                   {}
-func (QuietBalancer) OverloadChanged(balancerfront.Overload)             {}
-func (QuietBalancer) Searching(flow.Key, int, int)                       {}
-func (QuietBalancer) OwnerFound(flow.Key, flow.IPv4, int)                {}
-func (QuietBalancer) Lost(flow.Key, int, balancerfront.Doubt, flow.IPv4) {}
-func (QuietBalancer) Kept(flow.Key, balancerfront.Keep)                  {}
-func (QuietBalancer) Dropped(balancerfront.Drop)                         {}
-func (QuietBalancer) TargetChanged(*fleet.Target, fleet.Change)          {}
-func (QuietBalancer) TargetForgotten(flow.IPv4)                          {}
-func (QuietBalancer) PeerChanged(flow.IPv4, string)                      {}
-func (QuietBalancer) ZoneSilenceChanged(fleet.Silence)                   {}
-func (QuietBalancer) ZoneRelayed(flow.Tag, int, bool)                    {}
-func (QuietBalancer) Relayed(int)                                        {}
-func (QuietBalancer) Probed(flow.IPv4, time.Duration)                    {}
-func (QuietBalancer) RotationChanged(bool, float64, float64, int)        {}
-func (QuietBalancer) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
+func (QuietBalancer) Forwarded()                                               {}
+func (QuietBalancer) Opened(balancerfront.Decision)                            {}
+func (QuietBalancer) Refused(flow.Key, string, string)                         {}
+func (QuietBalancer) OverloadChanged(balancerfront.Overload)                   {}
+func (QuietBalancer) Searching(flow.Key, int, int)                             {}
+func (QuietBalancer) OwnerFound(flow.Key, flow.IPv4, int)                      {}
+func (QuietBalancer) Lost(flow.Key, int, balancerfront.Uncertainty, flow.IPv4) {}
+func (QuietBalancer) Buffered(flow.Key, balancerfront.BufferReason)            {}
+func (QuietBalancer) Dropped(balancerfront.DropReason)                         {}
+func (QuietBalancer) TargetChanged(*fleet.Target, fleet.Change)                {}
+func (QuietBalancer) TargetForgotten(flow.IPv4)                                {}
+func (QuietBalancer) PeerChanged(flow.IPv4, string)                            {}
+func (QuietBalancer) ZoneSilenceChanged(fleet.Silence)                         {}
+func (QuietBalancer) ZoneRelayed(flow.Tag, int, bool)                          {}
+func (QuietBalancer) Relayed(int)                                              {}
+func (QuietBalancer) Probed(flow.IPv4, time.Duration)                          {}
+func (QuietBalancer) RotationChanged(bool, float64, float64, int)              {}
+func (QuietBalancer) EvacuationsChanged(_, _ flow.Evacuations, _ string)       {}
 
 // QuietAgent ignores what an agent decides.
 type QuietAgent struct{}
@@ -51,7 +51,7 @@
 func (QuietAgent) PassedOn(flow.Key, string, int)                     {}
 func (QuietAgent) Bounced(flow.Key, bool)                             {}
 func (QuietAgent) Reset(flow.Key, string)                             {}
-func (QuietAgent) Dropped(agentfront.Drop)                            {}
+func (QuietAgent) Dropped(agentfront.DropReason)                      {}
 func (QuietAgent) TargetReport(string, fleet.Heartbeat)               {}
 func (QuietAgent) Failed()                                            {}
 func (QuietAgent) Ejected(bool, int, int)                             {}
--- a/model/sim/survey.go
+++ b/model/sim/survey.go
@@ -38,8 +38,8 @@
 	for own < len(agents)-storePage && agents[own].IP < b.IP {
 		own++
 	}
-	b.Core.AnnounceToUnknown(w.Now, nil, fleet.Addresses(agents[:storePage]))
-	b.Core.AnnounceToUnknown(w.Now, nil, fleet.Addresses(agents[own:own+storePage]))
+	b.Core.Contact(w.Now, nil, fleet.Addresses(agents[:storePage]))
+	b.Core.Contact(w.Now, nil, fleet.Addresses(agents[own:own+storePage]))
 }
 
 // survey reads the registry when the core wants to know it, or asks another balancer for
--- a/relay/datagrams.go
+++ b/relay/datagrams.go
@@ -9,10 +9,10 @@
 	"github.com/go-faster/errors"
 )
 
-// Datagrams is a UDP socket that sends or receives one datagram per system call,
+// DatagramSocket is a UDP socket that sends or receives one datagram per system call,
 // for nodes whose packet rate takes a small share of a core. It is safe for
 // concurrent use.
-type Datagrams struct {
+type DatagramSocket struct {
 	conn *net.UDPConn
 
 	// mu guards sendBuffer, in which Send joins header and packet.
@@ -25,8 +25,8 @@
 // packet.
 const datagramBufferSize = 4096
 
-// OpenDatagrams binds a socket to the address.
-func OpenDatagrams(address netip.AddrPort) (*Datagrams, error) {
+// OpenDatagramSocket binds a socket to the address.
+func OpenDatagramSocket(address netip.AddrPort) (*DatagramSocket, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
@@ -35,16 +35,16 @@
 	// bursts but does not affect correctness.
 	_ = conn.SetReadBuffer(socketBufferSize)
 	_ = conn.SetWriteBuffer(socketBufferSize)
-	return &Datagrams{conn: conn, sendBuffer: make([]byte, 0, datagramBufferSize)}, nil
+	return &DatagramSocket{conn: conn, sendBuffer: make([]byte, 0, datagramBufferSize)}, nil
 }
 
 // Addr returns the bound address.
-func (d *Datagrams) Addr() netip.AddrPort { return d.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (d *DatagramSocket) Addr() netip.AddrPort { return d.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Send sends header and packet as one datagram. The caller may ignore the error
 // or count it: a datagram that the kernel rejects is lost like one dropped by the
 // network.
-func (d *Datagrams) Send(to netip.AddrPort, header, packet []byte) error {
+func (d *DatagramSocket) Send(to netip.AddrPort, header, packet []byte) error {
 	if len(header) == 0 {
 		_, err := d.conn.WriteToUDPAddrPort(packet, to)
 		return err
@@ -58,7 +58,7 @@
 
 // Serve calls handle for each received datagram until ctx is done. The slice is
 // valid only during the call.
-func (d *Datagrams) Serve(ctx context.Context, handle func(from netip.AddrPort, datagram []byte)) error {
+func (d *DatagramSocket) Serve(ctx context.Context, handle func(from netip.AddrPort, datagram []byte)) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.conn.Close() })
 	defer stop()
 	buf := make([]byte, datagramBufferSize)
--- a/returnpath/returnpath.go
+++ b/returnpath/returnpath.go
@@ -100,14 +100,14 @@
 	t.lastSeen[balancer] = now
 }
 
-// Leave removes a balancer that announced that it is stopping.
-func (t *Table) Leave(balancer netip.AddrPort) {
+// RemoveBalancer removes a balancer that announced that it is stopping.
+func (t *Table) RemoveBalancer(balancer netip.AddrPort) {
 	delete(t.lastSeen, balancer)
 	t.filterLive(func(b netip.AddrPort) bool { return b != balancer })
 }
 
-// SetKnown sets the balancers to use while none is live.
-func (t *Table) SetKnown(balancers []netip.AddrPort) { t.fallback = balancers }
+// SetFallback sets the balancers to use while none is live.
+func (t *Table) SetFallback(balancers []netip.AddrPort) { t.fallback = balancers }
 
 // Choose returns the balancer through which to send a datagram to the caller. It
 // returns false if there is none: the flow is unknown, no balancer is live and no
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -56,7 +56,7 @@
 				i := rapid.IntRange(1, 5).Draw(t, "balancer")
 				if len(live) > 1 && live[i] {
 					delete(live, i)
-					table.Leave(balancer(i))
+					table.RemoveBalancer(balancer(i))
 				}
 			},
 			"balancer joins": func(t *rapid.T) { live[rapid.IntRange(1, 5).Draw(t, "balancer")] = true },
@@ -118,7 +118,7 @@
 	require.Empty(t, table.live)
 	_, ok := table.Choose(t0, rand.New(rand.NewPCG(1, 1)), caller(1))
 	require.False(t, ok)
-	table.SetKnown([]netip.AddrPort{balancer(1)})
+	table.SetFallback([]netip.AddrPort{balancer(1)})
 	b, ok := table.Choose(t0, rand.New(rand.NewPCG(1, 1)), caller(1))
 	require.True(t, ok)
 	require.Equal(t, balancer(1), b)
--- a/route/route.go
+++ b/route/route.go
@@ -176,28 +176,28 @@
 	}
 }
 
-// Minter generates the connection IDs of one agent and service. It is safe for
+// IDGenerator generates the connection IDs of one agent and service. It is safe for
 // concurrent use.
-type Minter struct {
+type IDGenerator struct {
 	codec *Codec
 	base  Route
 	nonce atomic.Uint32
 }
 
-// NewMinter returns a Minter whose routes equal base except for the nonce, which
+// NewIDGenerator returns a Minter whose routes equal base except for the nonce, which
 // counts up from start and repeats after 2^24 IDs.
-func NewMinter(codec *Codec, base Route, start uint32) (*Minter, error) {
+func NewIDGenerator(codec *Codec, base Route, start uint32) (*IDGenerator, error) {
 	var scratch [Len]byte
 	if err := codec.Encode(base, &scratch); err != nil {
 		return nil, err
 	}
-	m := &Minter{codec: codec, base: base}
+	m := &IDGenerator{codec: codec, base: base}
 	m.nonce.Store(start)
 	return m, nil
 }
 
 // Next returns a new connection ID.
-func (m *Minter) Next() [Len]byte {
+func (m *IDGenerator) Next() [Len]byte {
 	r := m.base
 	r.Nonce = m.nonce.Add(1)
 	var id [Len]byte
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -84,13 +84,13 @@
 		_, err := NewCodec(secrets)
 		require.Error(t, err, name)
 	}
-	_, err := NewMinter(newCodec(t, testSecrets...), Route{Host: netip.MustParseAddrPort("[::1]:1")}, 0)
+	_, err := NewIDGenerator(newCodec(t, testSecrets...), Route{Host: netip.MustParseAddrPort("[::1]:1")}, 0)
 	require.Error(t, err)
 }
 
 // IDs stay distinct while the nonce wraps around, here after 50 of them.
 func TestNextReturnsDistinctIDs(t *testing.T) {
-	minter, err := NewMinter(newCodec(t, testSecrets...), Route{Host: netip.MustParseAddrPort("10.0.0.1:1")}, 1<<24-50)
+	minter, err := NewIDGenerator(newCodec(t, testSecrets...), Route{Host: netip.MustParseAddrPort("10.0.0.1:1")}, 1<<24-50)
 	require.NoError(t, err)
 	seen := map[[Len]byte]bool{}
 	for range 10000 {
--- a/store/jsoncall/jsoncall.go
+++ b/store/jsoncall/jsoncall.go
@@ -97,6 +97,6 @@
 	case errors.As(err, &part) && part.Began:
 		return &verdict.Error{Verdict: verdict.Unknown, Reason: reasonLost, Err: err}
 	default:
-		return &verdict.Error{Verdict: verdict.OfCall(err), Reason: reasonUnreachable, Err: err}
+		return &verdict.Error{Verdict: verdict.FromTransportError(err), Reason: reasonUnreachable, Err: err}
 	}
 }
--- a/store/storetest/contract.go
+++ b/store/storetest/contract.go
@@ -139,7 +139,7 @@
 	faults.LoseAnswer()
 	_, err := s.Txn(ctx, store.Txn{Puts: []store.Put{put("verdict/a", "1")}})
 	require.Error(t, err)
-	require.Equal(t, verdict.Unknown, verdict.Of(err), "the answer was lost")
+	require.Equal(t, verdict.Unknown, verdict.FromError(err), "the answer was lost")
 	_, ok := read(t, s, "verdict/a")
 	require.True(t, ok, "it had its effect all the same")
 	faults.Down(true)
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -91,9 +91,9 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the verdict of the *Error that err wraps, or Unknown if there is
+// FromError returns the verdict of the *Error that err wraps, or Unknown if there is
 // none.
-func Of(err error) Verdict {
+func FromError(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.Verdict
@@ -101,9 +101,9 @@
 	return Unknown
 }
 
-// OfCall returns the verdict of a failed HTTP call: NotRun if the connection could
+// FromTransportError returns the verdict of a failed HTTP call: NotRun if the connection could
 // not be established, otherwise Unknown, as the request may have arrived.
-func OfCall(err error) Verdict {
+func FromTransportError(err error) Verdict {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return NotRun
@@ -111,9 +111,9 @@
 	return Unknown
 }
 
-// WriteTo writes the failure as an HTTP response. The client is told when to retry
+// WriteResponse writes the failure as an HTTP response. The client is told when to retry
 // instead of being kept waiting.
-func (e *Error) WriteTo(w http.ResponseWriter) {
+func (e *Error) WriteResponse(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set(HeaderVerdict, e.Verdict.String())
 	h.Set(HeaderReason, e.Reason)
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -12,9 +12,9 @@
 // An error without a verdict and an unrecognised wire form must not be taken for
 // NotRun or Ran.
 func TestUnrecognisedVerdictsAreUnknown(t *testing.T) {
-	require.Equal(t, Unknown, Of(nil))
-	require.Equal(t, Unknown, Of(errors.New("plain")))
-	require.Equal(t, NotRun, Of(errors.Wrap(&Error{Verdict: NotRun}, "wrapped")))
+	require.Equal(t, Unknown, FromError(nil))
+	require.Equal(t, Unknown, FromError(errors.New("plain")))
+	require.Equal(t, NotRun, FromError(errors.Wrap(&Error{Verdict: NotRun}, "wrapped")))
 	for _, v := range []Verdict{Unknown, NotRun, Ran} {
 		require.Equal(t, v, Parse(v.String()))
 	}
@@ -25,7 +25,7 @@
 // early.
 func TestErrorResponseCarriesVerdictAndRetryAfter(t *testing.T) {
 	w := httptest.NewRecorder()
-	(&Error{Verdict: NotRun, Status: 503, Reason: "overloaded", RetryAfter: 1200 * time.Millisecond}).WriteTo(w)
+	(&Error{Verdict: NotRun, Status: 503, Reason: "overloaded", RetryAfter: 1200 * time.Millisecond}).WriteResponse(w)
 	require.Equal(t, 503, w.Code)
 	require.Equal(t, "2", w.Header().Get(HeaderRetryAfter))
 	require.Equal(t, "not-run", w.Header().Get(HeaderVerdict))
