--- a/backlog/coldstart/coldstart.go
+++ b/backlog/coldstart/coldstart.go
@@ -1,12 +1,12 @@
-// Package coldstart bounds the new flows that a cold target gets.
+// Package coldstart limits the rate of new flows to a cold target.
 //
-// A target that has just started bears only so many requests a second. Its agent
-// gives it every opening packet, so the agent alone can keep the bound exactly: a
-// sliding window over the opening packets given, those of warm times included. An
-// agent that has started beside a running target does not know what the process
-// before it gave, and takes the window for full until it has been there for as long.
+// A target that has just started sustains only a limited number of requests per second. Its
+// agent delivers every opening packet to it, so the agent alone can keep the limit exactly:
+// with a sliding window over the opening packets delivered, including those before the limit
+// applied. An agent that has started beside a running target does not know what its previous
+// incarnation delivered, and counts the window as full until one window has passed.
 //
-// Cost: amortised O(1) an opening packet; at most maxRemembered times are kept.
+// Cost: amortised O(1) per opening packet; at most maxRemembered times are kept.
 package coldstart
 
 import (
@@ -15,55 +15,57 @@
 )
 
 const (
-	// span is the window. It is a second, and what a packet may take longer than
-	// another one on its way to a target on the same VM: two that were given a
-	// second apart do not arrive closer than a second.
+	// span is the length of the window: one second, and the most by which the delays of two
+	// packets on their way to a target on the same VM differ, so that two packets delivered more
+	// than a window apart arrive at least a second apart.
 	span = time.Second + 20*time.Millisecond
-	// maxRemembered bounds the window's memory, 100 KB: 4,000 requests a second are
-	// beyond what a target takes when it is warm. Beyond it the window counts as full.
+	// maxRemembered limits the memory of the window to 100 KB: 4,000 requests per second are more
+	// than a warm target sustains. Beyond it the window counts as full.
 	maxRemembered = 4096
 )
 
-// Window remembers the opening packets that a target was given. The zero value is
-// that of an agent which has been there for long.
+// Window holds the times of the opening packets delivered to a target. The zero value is the
+// window of an agent that has been running for long and delivered none.
 type Window struct {
-	// given are the times of the last span, oldest first.
-	given []time.Time
-	// blindUntil is when everything of the last span is known.
-	blindUntil time.Time
+	// times are the deliveries within the last span, oldest first.
+	times []time.Time
+	// fullUntil is until when the window counts as full because deliveries within the last span
+	// are unknown.
+	fullUntil time.Time
 }
 
-// Blind tells the window that nothing is known of what was given before now.
-func (w *Window) Blind(now time.Time) { w.blindUntil = now.Add(span) }
+// Blind makes the window count as full for one span, because deliveries before now are
+// unknown.
+func (w *Window) Blind(now time.Time) { w.fullUntil = now.Add(span) }
 
-// Give notes an opening packet for the target.
+// Give records an opening packet delivered to the target.
 func (w *Window) Give(now time.Time) {
-	w.forget(now)
-	if len(w.given) >= maxRemembered {
+	w.prune(now)
+	if len(w.times) >= maxRemembered {
 		w.Blind(now)
-		w.given = w.given[:0]
+		w.times = w.times[:0]
 	}
-	w.given = append(w.given, now)
+	w.times = append(w.times, now)
 }
 
-// Room tells how many opening packets more the target may be given now, where it bears
-// rate requests a second. A target that bears any bears one.
+// Room returns how many more opening packets may be delivered now to a target that sustains
+// rate requests per second. Rates below one count as one.
 func (w *Window) Room(now time.Time, rate float64) int {
-	w.forget(now)
-	if now.Before(w.blindUntil) {
+	w.prune(now)
+	if now.Before(w.fullUntil) {
 		return 0
 	}
-	return max(Most(rate)-len(w.given), 0)
+	return max(Most(rate)-len(w.times), 0)
 }
 
-// Most is how many requests within a second a rate allows.
+// Most returns the number of requests per second that a rate allows, at least one.
 func Most(rate float64) int { return int(min(max(math.Floor(rate), 1), maxRemembered)) }
 
-// forget drops what is older than the window.
-func (w *Window) forget(now time.Time) {
+// prune removes times older than the window.
+func (w *Window) prune(now time.Time) {
 	old := 0
-	for old < len(w.given) && now.Sub(w.given[old]) > span {
+	for old < len(w.times) && now.Sub(w.times[old]) > span {
 		old++
 	}
-	w.given = w.given[old:]
+	w.times = w.times[old:]
 }
--- a/backlog/coldstart/coldstart_test.go
+++ b/backlog/coldstart/coldstart_test.go
@@ -14,10 +14,10 @@
 
 var t0 = time.Unix(1_700_000_000, 0)
 
-// oracle counts every opening packet that a target got, over all agents beside it.
+// oracle counts every opening packet that a target received, from all incarnations of its agent.
 type oracle struct{ arrivals []time.Time }
 
-// within counts those of the second up to now.
+// within returns the number of arrivals in the second up to now.
 func (o *oracle) within(now time.Time) (n int) {
 	for i := len(o.arrivals) - 1; i >= 0 && now.Sub(o.arrivals[i]) < time.Second; i-- {
 		n++
@@ -25,10 +25,10 @@
 	return n
 }
 
-// TestNoSecondHasMoreThanTheTargetBears, whenever agents restart: the agent before a
-// restart is forgotten, the target's arrivals are not. Each arrives up to 15 ms after it
-// was given.
-func TestNoSecondHasMoreThanTheTargetBears(t *testing.T) {
+// TestWindowNeverExceedsRatePerSecond: no second has more arrivals than the rate allows, whenever
+// the agent restarts. A restart loses the window, but not the arrivals at the target. Each
+// packet arrives up to 15 ms after its delivery by the agent.
+func TestWindowNeverExceedsRatePerSecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.1, 60).Draw(t, "rate")
 		now, latest := t0, t0
@@ -53,15 +53,15 @@
 				latest = arrives
 				o.arrivals = append(o.arrivals, arrives)
 				if got := o.within(arrives); got > Most(rate) {
-					t.Fatalf("%d requests within a second, %v borne", got, rate)
+					t.Fatalf("%d requests within a second, rate %v", got, rate)
 				}
 			}
 		}
 	})
 }
 
-// TestAWindowServesWhatTheTargetBears: the bound is reached, not only kept.
-func TestAWindowServesWhatTheTargetBears(t *testing.T) {
+// TestWindowReachesRate: the window not only keeps the limit, it also allows the full rate.
+func TestWindowReachesRate(t *testing.T) {
 	var w Window
 	given := 0
 	for ms := range 10_000 {
@@ -74,26 +74,27 @@
 	require.Equal(t, 200, given)
 }
 
-func TestABlindWindowIsFullForItsSpan(t *testing.T) {
+func TestWindowCountsAsFullAfterAgentStart(t *testing.T) {
 	var w Window
 	w.Blind(t0)
 	require.Zero(t, w.Room(t0.Add(span-1), 5))
 	require.Equal(t, 5, w.Room(t0.Add(span), 5))
 }
 
-func TestARateBelowOneBearsOne(t *testing.T) {
+func TestRateBelowOneAllowsOne(t *testing.T) {
 	for rate, want := range map[float64]int{0.1: 1, 1: 1, 2.9: 2, 1e9: maxRemembered} {
 		require.Equal(t, want, Most(rate))
 	}
 }
 
-// TestTheWindowIsBounded: a flood makes it full, not large.
-func TestTheWindowIsBounded(t *testing.T) {
+// TestWindowMemoryIsBounded: a flood of packets makes the window full, not larger than
+// maxRemembered.
+func TestWindowMemoryIsBounded(t *testing.T) {
 	var w Window
 	for range 3 * maxRemembered {
 		w.Give(t0)
 	}
-	require.LessOrEqual(t, len(w.given), maxRemembered)
+	require.LessOrEqual(t, len(w.times), maxRemembered)
 	require.Zero(t, w.Room(t0, 1e9))
 }
 
--- a/backlog/outage_test.go
+++ b/backlog/outage_test.go
@@ -7,22 +7,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCopiesTellUntilWhenNobodyWasThere(t *testing.T) {
+func TestOutageEndIsInferredFromRetransmissions(t *testing.T) {
 	var o Outage
 	o.Opened(at(0), 0)
-	require.Zero(t, o.Hidden(at(0)), "a first packet proves nothing")
-	// The second copy comes 0.4 s after the first one.
+	require.Zero(t, o.Hidden(at(0)), "a first opening packet is no sign of a loss")
+	// The second retransmission is sent 0.4 s after the first one.
 	o.Opened(at(time.Second), 2)
 	last := 600*time.Millisecond + TryTime - Age(2) + RetryPause
 	require.Equal(t, TryTime+RetryPause, o.Hidden(at(last)))
 	require.Zero(t, o.Hidden(at(last+time.Millisecond)))
 	o.Opened(at(900*time.Millisecond), 1)
-	require.Equal(t, TryTime+RetryPause, o.Hidden(at(last+100*time.Millisecond)), "the first copy comes after 0.2 s")
+	require.Equal(t, TryTime+RetryPause, o.Hidden(at(last+100*time.Millisecond)), "the first retransmission is sent after 0.2 s")
 	o.Opened(at(850*time.Millisecond), 2)
-	require.Equal(t, TryTime+RetryPause, o.Hidden(at(last+100*time.Millisecond)), "the latest one counts")
+	require.Equal(t, TryTime+RetryPause, o.Hidden(at(last+100*time.Millisecond)), "the latest loss counts")
 }
 
-func TestNextCopy(t *testing.T) {
+func TestNextRetransmission(t *testing.T) {
 	for copies, want := range []time.Duration{200 * time.Millisecond, 400 * time.Millisecond} {
 		next, more := NextCopy(uint32(copies))
 		require.True(t, more)
@@ -30,5 +30,5 @@
 	}
 	_, more := NextCopy(2)
 	require.False(t, more)
-	require.Equal(t, 600*time.Millisecond, Age(7), "a number that no caller writes")
+	require.Equal(t, 600*time.Millisecond, Age(7), "a number that no caller sends")
 }
--- a/backlog/overload.go
+++ b/backlog/overload.go
@@ -5,87 +5,89 @@
 	"time"
 )
 
-// Thresholds of an overload that stands.
+// Thresholds of overload detection.
 const (
-	// OverloadWindow is the time constant of what is observed: long enough for some
-	// ten requests of a target, short enough for an overload to be told within it.
+	// OverloadWindow is the time constant of the decaying counts: long enough for some ten
+	// requests of a target, short enough to detect an overload within it.
 	OverloadWindow = 300 * time.Millisecond
-	// backlogBegins and backlogEnds are the shares of time without a free slot at which a
-	// backlog begins and ends. A target of two slots at 0.85 of its capacity has none
-	// for 0.78 of the time, and is to count as free.
-	backlogBegins = 0.9
-	backlogEnds   = 0.8
-	// standsAfter and standsAnyhow are the shares of a deadline that a backlog lasts at
-	// least until it counts as standing: by the first it is no chance; by the second, after an
-	// outage of one deadline, all callers of that time are served or gone within the next, and
-	// a target at 0.7 of its capacity needs one more.
-	standsAfter  = 0.25
-	standsAnyhow = 2.0
-	// standsBehind is the share of a deadline that the target needs for what waits, or for
-	// what has arrived since the slots filled and is not answered: a target below its
-	// capacity is not that far behind by chance.
-	standsBehind = 1.0 / 3
-	// waitsAnyhow is the share of a deadline that requests wait at least, without a break,
-	// in a backlog that stands though it does not grow.
-	waitsAnyhow = 1.0 / 8
-	// lostShare is the share of opening packets that are copies of lost ones from which
-	// on an outage is taken for the cause of a backlog.
-	lostShare = 0.2
-	// idleFull is the share of time without a free slot below which a target was idle: its
-	// callers met nobody. One that was busy had its own, and gets those of others that are lost.
-	idleFull = 0.5
-	// outageEcho is how long after a sign of an outage its callers still come: those of
-	// its last moment try once more by then, and what arrives tells again a window later.
-	outageEcho = TryTime + RetryPause + OverloadWindow
+	// backlogBeginShare and backlogEndShare are the shares of time without a free slot at which
+	// a backlog begins and ends. A target of two slots at 0.85 of its capacity has no free slot
+	// for 0.78 of the time and must not count as having a backlog.
+	backlogBeginShare = 0.9
+	backlogEndShare   = 0.8
+	// minBacklogAge and persistentWaitTime are how long a backlog must last, as shares of a
+	// deadline, to count as an overload: minBacklogAge for a growing backlog, so that it is no
+	// chance; persistentWaitTime for one that does not grow. After an outage of one deadline all
+	// callers of that time are served or gone within the next deadline, and a target at 0.7 of
+	// its capacity needs one more.
+	minBacklogAge      = 0.25
+	persistentWaitTime = 2.0
+	// minLag is the share of a deadline that the target must need for the requests that wait,
+	// or that have arrived since the slots filled and are not answered. Chance does not take a
+	// target below its capacity that far behind.
+	minLag = 1.0 / 3
+	// persistentWait is the share of a deadline that requests must wait, without a break, for a
+	// backlog that does not grow to count as an overload.
+	persistentWait = 1.0 / 8
+	// outageLossShare is the share of flows whose first opening packet was lost from which on
+	// an outage counts as the cause of a backlog.
+	outageLossShare = 0.2
+	// idleFullShare is the share of time without a free slot below which a target was idle.
+	// Lost packets are a sign of an outage only at an idle target: a busy one was reachable,
+	// and receives the callers of other targets that are lost.
+	idleFullShare = 0.5
+	// outageRetryTime is how long after a sign of an outage its callers still arrive: those of
+	// its last moment have retried by then, and the counts reflect it one window later.
+	outageRetryTime = TryTime + RetryPause + OverloadWindow
 )
 
-// Overload tells from what arrives at a target and what it answers whether its
-// backlog passes: one that an outage left does as soon as fewer requests come than are
-// answered, one that grows does not. The zero value has seen nothing.
+// Overload detects from the arrivals and answers of a target whether its backlog is an
+// overload. The backlog of an outage shrinks as soon as fewer requests arrive than are
+// answered; that of an overload does not. The zero value has seen no request.
 type Overload struct {
-	// at is when the rest was brought up to date.
-	at time.Time
-	// arrived, opened, lost and answered are counts that decay with OverloadWindow: of
-	// requests, of flows, of those that met nobody first, and of answers; full is the
-	// share of time without a free slot, over the same.
-	arrived, opened, lost, answered, full float64
-	// noSlot tells whether there is no free slot at the moment, noSlotAt since when.
-	noSlot   bool
-	noSlotAt time.Time
-	// since is when the backlog began, zero without one, and behind the requests that
-	// arrived since the slots filled and were not answered.
-	since  time.Time
-	behind float64
-	// waitsSince is when requests last waited for less than waitsAnyhow.
-	waitsSince time.Time
-	// outageAt is when there was a sign of an outage last.
+	// updatedAt is when the state was last brought up to date.
+	updatedAt time.Time
+	// arrived, opened, lost and answered are counts that decay with OverloadWindow: of requests,
+	// of flows, of flows whose first opening packet was lost, and of answers. fullShare is the
+	// share of time without a free slot, with the same decay.
+	arrived, opened, lost, answered, fullShare float64
+	// slotsFull reports whether there is no free slot now, slotsFullSince since when.
+	slotsFull      bool
+	slotsFullSince time.Time
+	// backlogSince is when the backlog began, zero without one. unanswered counts the requests
+	// that arrived since the slots filled and were not answered.
+	backlogSince time.Time
+	unanswered   float64
+	// longWaitsSince is when requests last waited for less than persistentWait.
+	longWaitsSince time.Time
+	// outageAt is when the last sign of an outage was seen.
 	outageAt time.Time
-	// deadline is the shortest one of the requests that arrived in this window or the
-	// last one, zero before the first.
+	// deadline is the shortest one of the requests that arrived in this window or the last
+	// one, zero before the first; nextDeadline is the shortest of this window.
 	deadline, nextDeadline time.Duration
-	deadlineAt             time.Time
-	stands                 bool
+	deadlineWindowAt       time.Time
+	active                 bool
 }
 
-// Arrived notes a new flow that this target takes or is the last to refuse, and the
-// deadline of its requests, zero where none is stated. lost tells that its first
-// opening packet met nobody: a sign of an outage at a target that was idle until now.
+// Arrived records a new flow that this target takes or is the last one to refuse, and the
+// deadline of its requests, zero where the route states none. lost reports that the flow's
+// first opening packet was lost: a sign of an outage at a target that was idle until now.
 func (o *Overload) Arrived(now time.Time, deadline time.Duration, lost bool) {
 	o.ArrivedLater(now, deadline)
 	o.opened++
 	if lost {
 		o.lost++
 	}
-	if o.lost >= max(lostShare*o.opened, 1) && o.full < idleFull {
+	if o.lost >= max(outageLossShare*o.opened, 1) && o.fullShare < idleFullShare {
 		o.Outage(now)
 	}
 }
 
-// ArrivedLater notes a later request of a flow that is open.
+// ArrivedLater records a later request of an open flow.
 func (o *Overload) ArrivedLater(now time.Time, deadline time.Duration) {
 	o.advance(now)
 	o.arrived++
-	o.behind++
+	o.unanswered++
 	if deadline > 0 && (o.nextDeadline == 0 || deadline < o.nextDeadline) {
 		o.nextDeadline = deadline
 	}
@@ -94,116 +96,118 @@
 	}
 }
 
-// Answered notes an answer of the target.
+// Answered records an answer of the target.
 func (o *Overload) Answered(now time.Time) {
 	o.advance(now)
 	o.answered++
-	o.behind = max(o.behind-1, 0)
+	o.unanswered = max(o.unanswered-1, 0)
 }
 
-// Slots notes whether the target has a free slot from now on.
+// Slots records whether the target has a free slot from now on.
 func (o *Overload) Slots(now time.Time, free bool) {
 	o.advance(now)
-	if !free && !o.noSlot {
-		o.noSlotAt = now
+	if !free && !o.slotsFull {
+		o.slotsFullSince = now
 	}
-	o.noSlot = !free
+	o.slotsFull = !free
 }
 
-// Outage notes a sign that an outage may have left what arrives: the target or its agent
-// has just started, or callers met nobody.
+// Outage records a sign of an outage that may be the cause of the present arrivals: the
+// target or its agent has just started, or opening packets of callers were lost.
 func (o *Overload) Outage(now time.Time) { o.outageAt = now }
 
-// Stands tells whether there is more to do than the target can answer, and that does
-// not pass. wait is how long a request that comes now would wait for a slot.
+// Stands reports whether an overload is active: the target has more to do than it can
+// answer, and the backlog does not pass. wait is how long a request that arrives now would
+// wait for a slot.
 func (o *Overload) Stands(now time.Time, wait time.Duration) bool {
 	o.advance(now)
-	outage := now.Sub(o.outageAt) <= outageEcho
+	outage := now.Sub(o.outageAt) <= outageRetryTime
 	if outage {
-		o.behind = 0
+		o.unanswered = 0
 	}
-	if o.since.IsZero() || wait < scale(o.deadline, waitsAnyhow) {
-		o.waitsSince = now
+	if o.backlogSince.IsZero() || wait < scale(o.deadline, persistentWait) {
+		o.longWaitsSince = now
 	}
 	switch {
-	case o.since.IsZero():
-		o.stands = false
-	case o.stands || o.deadline == 0:
-	case now.Sub(o.waitsSince) > scale(o.deadline, standsAnyhow):
-		o.stands = true
+	case o.backlogSince.IsZero():
+		o.active = false
+	case o.active || o.deadline == 0:
+	case now.Sub(o.longWaitsSince) > scale(o.deadline, persistentWaitTime):
+		o.active = true
 	default:
-		lasts := now.Sub(o.since) > scale(o.deadline, standsAfter)
-		behind := max(o.behindTime(), wait) > scale(o.deadline, standsBehind)
-		o.stands = lasts && behind && !outage
+		oldEnough := now.Sub(o.backlogSince) > scale(o.deadline, minBacklogAge)
+		lagging := max(o.lag(), wait) > scale(o.deadline, minLag)
+		o.active = oldEnough && lagging && !outage
 	}
-	return o.stands
+	return o.active
 }
 
-// behindTime is how long the target needs for what has arrived since the slots filled and is
-// not answered. It tells what wait does not: flows that are left to their next packets.
-func (o *Overload) behindTime() time.Duration {
-	return scale(OverloadWindow, o.behind/max(o.answered, 1))
+// lag returns how long the target needs for the requests that arrived since the slots filled
+// and are not answered. Unlike the wait it includes flows that were postponed to their next
+// opening packet.
+func (o *Overload) lag() time.Duration {
+	return scale(OverloadWindow, o.unanswered/max(o.answered, 1))
 }
 
-// Load says what the judgement rests on, for logs.
+// Load returns the figures that detection is based on, for logs.
 func (o *Overload) Load(now time.Time) Load {
 	o.advance(now)
 	l := Load{
-		Arrived: o.arrived / OverloadWindow.Seconds(), Answered: o.answered / OverloadWindow.Seconds(), Full: o.full, Behind: o.behindTime(),
+		Arrived: o.arrived / OverloadWindow.Seconds(), Answered: o.answered / OverloadWindow.Seconds(), Full: o.fullShare, Behind: o.lag(),
 	}
-	if !o.since.IsZero() {
-		l.Lasted = now.Sub(o.since)
+	if !o.backlogSince.IsZero() {
+		l.Lasted = now.Sub(o.backlogSince)
 	}
 	return l
 }
 
-// Load is what an overload is told from.
+// Load holds the figures that an overload is detected from.
 type Load struct {
-	// Arrived and Answered are rates, a second.
+	// Arrived and Answered are rates per second.
 	Arrived, Answered float64
-	// Full is the share of time without a free slot, up to 1.
+	// Full is the share of time without a free slot, from 0 to 1.
 	Full float64
-	// Behind is how long the target needs for what arrived since the slots filled and is
-	// not answered.
+	// Behind is how long the target needs for the requests that arrived since the slots filled
+	// and are not answered.
 	Behind time.Duration
-	// Lasted is how long the backlog lasts, zero without one.
+	// Lasted is the age of the backlog, zero without one.
 	Lasted time.Duration
 }
 
-// advance lets what was observed decay up to now.
+// advance brings the decaying counts and the backlog state up to now.
 func (o *Overload) advance(now time.Time) {
-	if o.at.IsZero() {
-		o.at, o.deadlineAt = now, now
+	if o.updatedAt.IsZero() {
+		o.updatedAt, o.deadlineWindowAt = now, now
 	}
-	elapsed := now.Sub(o.at)
+	elapsed := now.Sub(o.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
-	o.at = now
-	keep := math.Exp(-float64(elapsed) / float64(OverloadWindow))
-	o.arrived *= keep
-	o.opened *= keep
-	o.lost *= keep
-	o.answered *= keep
-	o.full *= keep
-	if o.noSlot {
-		o.full += 1 - keep
-	}
-	if now.Sub(o.deadlineAt) >= OverloadWindow {
-		o.deadlineAt = now
+	o.updatedAt = now
+	decay := math.Exp(-float64(elapsed) / float64(OverloadWindow))
+	o.arrived *= decay
+	o.opened *= decay
+	o.lost *= decay
+	o.answered *= decay
+	o.fullShare *= decay
+	if o.slotsFull {
+		o.fullShare += 1 - decay
+	}
+	if now.Sub(o.deadlineWindowAt) >= OverloadWindow {
+		o.deadlineWindowAt = now
 		if o.nextDeadline > 0 {
 			o.deadline = o.nextDeadline
 		}
 		o.nextDeadline = 0
 	}
-	if o.full < backlogEnds {
-		o.behind = 0
+	if o.fullShare < backlogEndShare {
+		o.unanswered = 0
 	}
 	switch {
-	case o.since.IsZero() && o.full > backlogBegins:
-		// It began when the last slot was taken.
-		o.since = o.noSlotAt
-	case !o.since.IsZero() && o.full < backlogEnds:
-		o.since = time.Time{}
+	case o.backlogSince.IsZero() && o.fullShare > backlogBeginShare:
+		// The backlog began when the last slot was taken.
+		o.backlogSince = o.slotsFullSince
+	case !o.backlogSince.IsZero() && o.fullShare < backlogEndShare:
+		o.backlogSince = time.Time{}
 	}
 }
--- a/backlog/pace.go
+++ b/backlog/pace.go
@@ -2,87 +2,89 @@
 
 import "time"
 
-// leastWeight is the weight of a new observation: the mean covers some 32 requests,
-// so that the spread of their work (half of the mean) leaves an error of a tenth,
-// and a target that has started cold is seen to warm up within half a second.
-const leastWeight = 1.0 / 32
+// minWeight is the least weight of a new observation: the mean covers some 32 requests. A
+// spread of service times of half their mean then leaves an error of a tenth, and the warm-up
+// of a target that started cold shows within half a second.
+const minWeight = 1.0 / 32
 
-// The mean covers the answers of paceMemory at most, and few at the least, where few come:
-// a target that was slow gets little to do, and has to show by that little that it is not
-// any more.
+// A single answer weighs more where answers are sparse: the mean covers at most the answers
+// of averagingTime, and at least some four of them (maxWeight). A target that was slow gets
+// few requests, and these few must be enough to show that it has become faster.
 const (
-	paceMemory = time.Second
-	mostWeight = 1.0 / 4
+	averagingTime = time.Second
+	maxWeight     = 1.0 / 4
 )
 
-// Pace is how a target works, from what was observed of its requests.
+// Pace estimates the service rate of a target and the times that its requests take, from
+// the answers observed.
 type Pace struct {
-	// each is the mean time between two answers of a target that is fully used, in
-	// nanoseconds, took that from a request's delivery to its answer, and work the part
-	// of it in which the target had the request whole.
-	each, took, work float64
-	observed         int
+	// answerInterval is the mean time between two answers of a fully used target, responseTime
+	// that from the delivery of a request to its answer, and serviceTime the part of it after
+	// the whole request was delivered; all in nanoseconds.
+	answerInterval, responseTime, serviceTime float64
+	observations                              int
 }
 
-// NewPace returns the pace of a target that is assumed to take work for a request,
-// and to work on slots of them at once, until something is observed.
-func NewPace(work time.Duration, slots int) Pace {
-	return Pace{each: float64(work) / float64(max(slots, 1)), took: float64(work), work: float64(work)}
+// NewPace returns the initial estimate, used until answers are observed, for a target that
+// works on slots requests at once, each for serviceTime.
+func NewPace(serviceTime time.Duration, slots int) Pace {
+	return Pace{answerInterval: float64(serviceTime) / float64(max(slots, 1)), responseTime: float64(serviceTime), serviceTime: float64(serviceTime)}
 }
 
-// Served is what was seen of an answered request.
+// Served describes one answered request.
 type Served struct {
-	// Took is the time from the delivery of its first packet to its answer, Work that
-	// from its last packet on.
+	// Took is the time from the delivery of the first packet of the request to its answer, Work
+	// that from the delivery of its last packet.
 	Took, Work time.Duration
-	// Gap is the time since the answer before, zero for the first one.
+	// Gap is the time since the previous answer, zero for the first one.
 	Gap time.Duration
-	// Among is how many requests the target had when this one came, itself included.
+	// Among is how many requests the target had when this one was delivered, itself included.
 	Among int
 }
 
-// Done takes note of an answer of a target of so many slots. By Little's law a target
-// that works on n requests, each for t, answers one each t/n; one that has fewer than its
-// slots could take more meanwhile.
+// Done records an answer of a target with the given number of slots. By Little's law a target
+// that works on n requests at a time, each for t, sends an answer every t/n. A target with
+// fewer requests than slots counts as working on as many as it has slots, as it could.
 func (p *Pace) Done(s Served, slots int) {
 	working := max(float64(s.Among)*p.Share(), float64(slots), 1)
-	p.observed++
-	sparse := min(s.Gap.Seconds()/paceMemory.Seconds(), mostWeight)
-	weight := max(1/float64(p.observed), leastWeight, sparse)
-	p.each += weight * (float64(s.Work)/working - p.each)
-	p.took += weight * (float64(s.Took) - p.took)
-	p.work += weight * (float64(s.Work) - p.work)
+	p.observations++
+	sparse := min(s.Gap.Seconds()/averagingTime.Seconds(), maxWeight)
+	weight := max(1/float64(p.observations), minWeight, sparse)
+	p.answerInterval += weight * (float64(s.Work)/working - p.answerInterval)
+	p.responseTime += weight * (float64(s.Took) - p.responseTime)
+	p.serviceTime += weight * (float64(s.Work) - p.serviceTime)
 }
 
-// Observed tells whether enough answers were seen for others to rely on: the work on one
-// request is spread by as much as its mean, on so many together by a third of it.
-func (p Pace) Observed() bool { return p.observed >= leastObserved }
+// Observed reports whether enough answers were observed to rely on the estimate: the spread
+// of a single request's service time equals its mean, that of the mean of minObservations is
+// a third of it.
+func (p Pace) Observed() bool { return p.observations >= minObservations }
 
-// leastObserved is how many answers make an observation.
-const leastObserved = 8
+// minObservations is the least number of answers that make an estimate reliable.
+const minObservations = 8
 
-// Doubt lets the next answers count as the first ones: nothing was seen for so long that
-// the target may work otherwise by now. Until then the pace is what it was.
-func (p *Pace) Doubt() { p.observed = 0 }
+// Doubt makes the next answers count as the first ones, because the target was idle for so
+// long that its service time may have changed. Until then the estimate stays.
+func (p *Pace) Doubt() { p.observations = 0 }
 
-// Each returns the mean time between two answers of a target that is fully used.
-func (p Pace) Each() time.Duration { return time.Duration(p.each) }
+// Each returns the mean time between two answers of a fully used target.
+func (p Pace) Each() time.Duration { return time.Duration(p.answerInterval) }
 
-// Took returns the mean time from a request's delivery to its answer.
-func (p Pace) Took() time.Duration { return time.Duration(p.took) }
+// Took returns the mean response time, from the delivery of a request to its answer.
+func (p Pace) Took() time.Duration { return time.Duration(p.responseTime) }
 
-// Share returns the part of a request's time, above 0 and up to 1, in which the target
-// may work on it: before, its body was on its way. By Little's law it is also the part of
-// the requests delivered that the target may work on at any moment, whatever slows the
-// bodies down.
+// Share returns the share of a request's response time, above 0 and up to 1, in which the
+// target may work on it; before that its body is still in transfer. By Little's law it is
+// also the share of the delivered requests that the target may work on at any moment,
+// whatever slows the bodies down.
 func (p Pace) Share() float64 {
-	if p.took <= 0 {
+	if p.responseTime <= 0 {
 		return 1
 	}
-	return min(max(p.work/p.took, leastShare), 1)
+	return min(max(p.serviceTime/p.responseTime, minWorkShare), 1)
 }
 
-// leastShare bounds what one target is given at a time to 16 times what it works on:
-// uploads of 30 ms with 5 ms of work have 0.14, and a target that hangs should not draw in
-// whatever comes.
-const leastShare = 1.0 / 16
+// minWorkShare limits the requests delivered to a target to 16 times those it works on.
+// Uploads of 30 ms with 5 ms of work have a share of 0.14; without the limit a target that
+// hangs would draw in every request.
+const minWorkShare = 1.0 / 16
--- a/backlog/pace_test.go
+++ b/backlog/pace_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPaceFollowsTheTarget(t *testing.T) {
+func TestServiceEstimateFollowsTarget(t *testing.T) {
 	p := NewPace(50*time.Millisecond, 4)
 	require.Equal(t, 12500*time.Microsecond, p.Each())
 	whole := func(took time.Duration, among int) { p.Done(Served{Took: took, Work: took, Among: among}, 4) }
 	whole(60*time.Millisecond, 6)
-	require.Equal(t, 10*time.Millisecond, p.Each(), "the first observation replaces what was assumed")
+	require.Equal(t, 10*time.Millisecond, p.Each(), "the first observation replaces the assumed value")
 	require.Equal(t, 60*time.Millisecond, p.Took())
 	for range 40 {
 		whole(30*time.Millisecond, 2)
@@ -22,22 +22,22 @@
 	require.Equal(t, 1.0, p.Share())
 }
 
-// TestBodiesOnTheirWayAreNoWork: of 20 uploads that a target has, each 5 ms of work after
-// 95 ms on its way, it works on one.
-func TestBodiesOnTheirWayAreNoWork(t *testing.T) {
+// TestUploadTimeIsNotServiceTime: of 20 uploads at a target, each with 95 ms of transfer and 5 ms
+// of work, the target works on one at a time.
+func TestUploadTimeIsNotServiceTime(t *testing.T) {
 	p := NewPace(50*time.Millisecond, 4)
 	for range 400 {
 		p.Done(Served{Took: 100 * time.Millisecond, Work: 5 * time.Millisecond, Among: 20}, 4)
 	}
-	require.InDelta(t, leastShare, p.Share(), 0.001, "a twentieth, but for the bound")
-	require.InDelta(t, 1.25e6, float64(p.Each()), 1e4, "its slots bound it")
+	require.InDelta(t, minWorkShare, p.Share(), 0.001, "a twentieth, raised to the lower limit")
+	require.InDelta(t, 1.25e6, float64(p.Each()), 1e4, "limited by its slots")
 	require.InDelta(t, 100e6, float64(p.Took()), 1e5)
 	require.Equal(t, 1.0, Pace{}.Share())
 }
 
-// TestFewAnswersAreBelievedSooner: a target that gets little to do shows by that little that it
-// works otherwise, at its full rate a single answer moves little.
-func TestFewAnswersAreBelievedSooner(t *testing.T) {
+// TestSparseAnswersWeighMore: a target that gets few requests shows by these few that its service
+// time has changed; at its full rate a single answer changes the estimate little.
+func TestSparseAnswersWeighMore(t *testing.T) {
 	settled := func() Pace {
 		p := NewPace(50*time.Millisecond, 4)
 		for range 100 {
@@ -54,11 +54,12 @@
 	}
 }
 
-// TestAnObservationTakesSomeAnswers, at first and after a doubt; meanwhile the pace is what it was.
-func TestAnObservationTakesSomeAnswers(t *testing.T) {
+// TestObservedNeedsMinimumAnswers: at first and after Doubt the estimate is not reliable until
+// minObservations answers; meanwhile it keeps its value.
+func TestObservedNeedsMinimumAnswers(t *testing.T) {
 	p := NewPace(50*time.Millisecond, 4)
 	done := func(took time.Duration) { p.Done(Served{Took: took, Work: took, Among: 1}, 4) }
-	for range leastObserved {
+	for range minObservations {
 		require.False(t, p.Observed())
 		done(200 * time.Millisecond)
 	}
@@ -67,5 +68,5 @@
 	require.False(t, p.Observed())
 	require.Equal(t, 200*time.Millisecond, p.Took())
 	done(20 * time.Millisecond)
-	require.Equal(t, 20*time.Millisecond, p.Took(), "what was seen before the doubt weighs nothing")
+	require.Equal(t, 20*time.Millisecond, p.Took(), "observations before Doubt have no weight")
 }
--- a/backlog/queue.go
+++ b/backlog/queue.go
@@ -5,64 +5,63 @@
 	"time"
 )
 
-// Request is what is known of a request that waits.
+// Request describes a waiting request.
 type Request struct {
-	// Priority orders requests; 0 is the highest.
+	// Priority of the request; 0 is the highest.
 	Priority uint8
-	// Began is when its caller sent the first packet of the present try.
+	// Began is when the caller sent the first packet of its present try.
 	Began time.Time
-	// Hidden is how much earlier the caller may have begun, with a try that
-	// nobody saw.
+	// Hidden is how much earlier the caller may have begun, by a try whose packets were all lost.
 	Hidden time.Duration
-	// Objective is the route's latency objective, Deadline when callers give up;
-	// zero when unstated.
+	// Objective is the route's latency objective, Deadline the time after which callers give up;
+	// zero where the route states none.
 	Objective, Deadline time.Duration
 }
 
-// unstatedDeadline stands for the deadline of a route that states none.
-const unstatedDeadline = 10 * time.Second
+// defaultDeadline applies to routes that state no deadline.
+const defaultDeadline = 10 * time.Second
 
-// expires is when the caller has certainly gone.
+// expires returns when the caller has certainly given up.
 func (r Request) expires() time.Time {
 	if r.Deadline == 0 {
-		return r.Began.Add(unstatedDeadline)
+		return r.Began.Add(defaultDeadline)
 	}
 	return r.Began.Add(r.Deadline)
 }
 
-// due is until when an answer has to be sent. A caller that was here before is
-// assumed while that leaves time for an answer.
-func (r Request) due(now time.Time, took time.Duration) time.Time {
+// due returns the time by which an answer has to be sent. An earlier unseen try is assumed
+// as long as that leaves time for an answer.
+func (r Request) due(now time.Time, responseTime time.Duration) time.Time {
 	last := r.expires()
-	if early := last.Add(-r.Hidden); !early.Before(now.Add(took)) {
+	if early := last.Add(-r.Hidden); !early.Before(now.Add(responseTime)) {
 		return early
 	}
 	return last
 }
 
-// aim is until when an answer meets the objective.
-func (r Request) aim() time.Time { return r.Began.Add(r.Objective) }
+// softDue returns the latest time at which an answer meets the objective.
+func (r Request) softDue() time.Time { return r.Began.Add(r.Objective) }
 
-// fresh tells whether an answer sent by a time meets the objective.
-func (r Request) fresh(by time.Time) bool { return r.Objective > 0 && !by.After(r.aim()) }
+// meetsObjective reports whether an answer sent at t meets the objective.
+func (r Request) meetsObjective(t time.Time) bool { return r.Objective > 0 && !t.After(r.softDue()) }
 
-// inTime tells whether a request goes before the others while an overload stands: it leaves
-// time for more than the mean work before its objective.
-func (r Request) inTime(now time.Time, pace Pace) bool {
-	return r.fresh(now.Add(scale(pace.Took(), spareInTime)))
+// inTime reports whether a request is served before the others during an overload: the time
+// left until the end of its objective exceeds the mean response time by overloadMargin.
+func (r Request) inTime(now time.Time, est Pace) bool {
+	return r.meetsObjective(now.Add(scale(est.Took(), overloadMargin)))
 }
 
-// Queue holds requests in no order; Next chooses. K names them.
+// Queue holds waiting requests in no particular order; Next selects one. K identifies them.
 type Queue[K comparable] struct {
 	items []item[K]
-	// order is scratch of Next: indices of items.
+	// order is scratch space of Next: indices of items.
 	order []int
 }
 
 type item[K comparable] struct {
 	key K
 	Request
-	// dueAt is scratch of Next.
+	// dueAt is scratch space of Next.
 	dueAt time.Time
 }
 
@@ -74,19 +73,19 @@
 	q.items = append(q.items, item[K]{key: key, Request: r})
 }
 
-// Remove takes a request out and tells whether it was there.
+// Remove removes a request and reports whether it was in the queue.
 func (q *Queue[K]) Remove(key K) bool {
 	for i := range q.items {
 		if q.items[i].key == key {
-			q.take(i)
+			q.removeAt(i)
 			return true
 		}
 	}
 	return false
 }
 
-// take removes the i-th item.
-func (q *Queue[K]) take(i int) K {
+// removeAt removes the i-th item and returns its key.
+func (q *Queue[K]) removeAt(i int) K {
 	key := q.items[i].key
 	last := len(q.items) - 1
 	q.items[i] = q.items[last]
@@ -94,14 +93,14 @@
 	return key
 }
 
-// Clear forgets all requests.
+// Clear removes all requests.
 func (q *Queue[K]) Clear() { q.items = nil }
 
-// Expire takes out the requests whose callers have certainly gone.
+// Expire removes and returns the requests whose callers have certainly given up.
 func (q *Queue[K]) Expire(now time.Time) (gone []K) {
 	for i := 0; i < len(q.items); {
 		if now.After(q.items[i].expires()) {
-			gone = append(gone, q.take(i))
+			gone = append(gone, q.removeAt(i))
 			continue
 		}
 		i++
@@ -109,112 +108,114 @@
 	return gone
 }
 
-// Factors on the target's pace in looking ahead.
+// Safety factors on the observed response time and answer interval in feasibility checks.
 const (
-	// spareFresh is for the question whether everybody can wait while a fresh request
-	// goes first: more fresh ones will come and ask the same.
-	spareFresh = 2.0
-	// spareDue is for the question who can be served before the deadlines.
-	spareDue = 1.0
-	// spareInTime is for the question who gets a slot while an overload stands.
-	spareInTime = 1.4
+	// objectiveMargin applies when a request that meets its objective would go first and all
+	// others must be able to wait: more such requests will arrive and go first as well.
+	objectiveMargin = 2.0
+	// deadlineMargin applies when selecting the requests that can meet their deadlines.
+	deadlineMargin = 1.0
+	// overloadMargin applies when selecting the requests to serve during an overload.
+	overloadMargin = 1.4
 )
 
-// Next takes out the request to be served now. pace is how the target works.
-func (q *Queue[K]) Next(now time.Time, pace Pace) (K, bool) {
+// Next removes and returns the request to be served now; est describes the target.
+func (q *Queue[K]) Next(now time.Time, est Pace) (K, bool) {
 	if len(q.items) == 0 {
 		var none K
 		return none, false
 	}
-	done := now.Add(pace.Took())
-	q.byDue(now, pace.Took())
-	if at, ok := q.bestFresh(done); ok && q.canWait(at, done, scale(pace.Each(), spareFresh)) {
-		return q.take(at), true
+	done := now.Add(est.Took())
+	q.sortByDue(now, est.Took())
+	if at, ok := q.bestWithinObjective(done); ok && q.othersCanWait(at, done, scale(est.Each(), objectiveMargin)) {
+		return q.removeAt(at), true
 	}
-	q.sacrifice(done, scale(pace.Each(), spareDue))
+	q.keepFeasible(done, scale(est.Each(), deadlineMargin))
 	if len(q.order) > 0 {
-		return q.take(q.order[0]), true
+		return q.removeAt(q.order[0]), true
 	}
-	return q.take(q.lastExpiring()), true
+	return q.removeAt(q.lastExpiring()), true
 }
 
-// NextInTime is Next while an overload stands: the request whose objective ends first, of
-// those that are in time. The others wait: in an overload the
-// oldest first makes everybody late, and one that only the mean work is left to is often
-// late, in a slot that another could have been answered in.
-func (q *Queue[K]) NextInTime(now time.Time, pace Pace) (K, bool) {
-	best := nobody
+// NextInTime is Next during an overload: of the requests that are in time it returns the one
+// whose objective ends first. The others wait: in an overload, serving the oldest first makes
+// all requests late, and a request left with only the mean response time is often late, in a
+// slot that could have answered another one in time.
+func (q *Queue[K]) NextInTime(now time.Time, est Pace) (K, bool) {
+	best := noItem
 	for i := range q.items {
-		if q.items[i].inTime(now, pace) && (best == nobody || q.items[i].aim().Before(q.items[best].aim())) {
+		if q.items[i].inTime(now, est) && (best == noItem || q.items[i].softDue().Before(q.items[best].softDue())) {
 			best = i
 		}
 	}
-	if best == nobody {
-		return q.Next(now, pace)
+	if best == noItem {
+		return q.Next(now, est)
 	}
-	return q.take(best), true
+	return q.removeAt(best), true
 }
 
-// InTime returns how many requests go before one that comes now while an overload stands.
-func (q *Queue[K]) InTime(now time.Time, pace Pace) int {
+// InTime returns how many requests are served before a request that arrives now during an
+// overload.
+func (q *Queue[K]) InTime(now time.Time, est Pace) int {
 	count := 0
 	for i := range q.items {
-		if q.items[i].inTime(now, pace) {
+		if q.items[i].inTime(now, est) {
 			count++
 		}
 	}
 	return count
 }
 
-// GoesFirst tells whether a request that is not in the queue yet would be served as
-// soon as the target has a slot: it can meet its objective, and all others can wait.
-func (q *Queue[K]) GoesFirst(now time.Time, r Request, pace Pace) bool {
-	done := now.Add(pace.Took())
-	if !r.fresh(done) {
+// GoesFirst reports whether a request that is not in the queue yet would get the next free
+// slot of the target: it can meet its objective, and all others can wait.
+func (q *Queue[K]) GoesFirst(now time.Time, r Request, est Pace) bool {
+	done := now.Add(est.Took())
+	if !r.meetsObjective(done) {
 		return false
 	}
-	q.byDue(now, pace.Took())
-	return q.canWait(nobody, done, scale(pace.Each(), spareFresh))
+	q.sortByDue(now, est.Took())
+	return q.othersCanWait(noItem, done, scale(est.Each(), objectiveMargin))
 }
 
-// nobody is the index of no item.
-const nobody = -1
+// noItem is the index of no item.
+const noItem = -1
 
 func scale(d time.Duration, factor float64) time.Duration { return time.Duration(factor * float64(d)) }
 
-// byDue puts the items in order of their deadlines.
-func (q *Queue[K]) byDue(now time.Time, took time.Duration) {
+// sortByDue fills q.order with the items in order of their deadlines.
+func (q *Queue[K]) sortByDue(now time.Time, responseTime time.Duration) {
 	q.order = q.order[:0]
 	for i := range q.items {
-		q.items[i].dueAt = q.items[i].due(now, took)
+		q.items[i].dueAt = q.items[i].due(now, responseTime)
 		q.order = append(q.order, i)
 	}
 	slices.SortFunc(q.order, func(a, b int) int { return q.items[a].dueAt.Compare(q.items[b].dueAt) })
 }
 
-// bestFresh returns the item that can meet its objective and has the highest
-// priority, of those the newest.
-func (q *Queue[K]) bestFresh(done time.Time) (int, bool) {
+// bestWithinObjective returns the item that can meet its objective and has the highest
+// priority, and of those the newest.
+func (q *Queue[K]) bestWithinObjective(done time.Time) (int, bool) {
 	best := -1
 	for i := range q.items {
-		if q.items[i].fresh(done) && (best < 0 || q.items[i].before(&q.items[best])) {
+		if q.items[i].meetsObjective(done) && (best < 0 || q.items[i].servedBefore(&q.items[best])) {
 			best = i
 		}
 	}
 	return best, best >= 0
 }
 
-func (i *item[K]) before(other *item[K]) bool {
+// servedBefore reports whether an item is preferred to another one that can meet its
+// objective too: a higher priority first, then the newer one.
+func (i *item[K]) servedBefore(other *item[K]) bool {
 	if i.Priority != other.Priority {
 		return i.Priority < other.Priority
 	}
 	return i.Began.After(other.Began)
 }
 
-// canWait tells whether every other item can be answered in time, in order of their
-// deadlines, after one that goes first. Those that cannot be answered at all do not
-// count.
-func (q *Queue[K]) canWait(first int, done time.Time, step time.Duration) bool {
+// othersCanWait reports whether all other items can be answered in time, in order of their
+// deadlines, after the item first. Items that cannot be answered in time at all are ignored.
+func (q *Queue[K]) othersCanWait(first int, done time.Time, step time.Duration) bool {
 	earliest := done
 	for _, at := range q.order {
 		if at == first || q.items[at].dueAt.Before(earliest) {
@@ -228,10 +229,10 @@
 	return true
 }
 
-// sacrifice leaves in order those that can be answered in time one after the other
-// (Moore, 1968): whenever one comes too late, the one of those up to it is given up
-// whose loss would be the least.
-func (q *Queue[K]) sacrifice(done time.Time, step time.Duration) {
+// keepFeasible reduces q.order to items that can all be answered in time one after the other
+// (Moore, 1968): whenever an item would be late, the one of those up to it whose loss costs
+// least is dropped.
+func (q *Queue[K]) keepFeasible(done time.Time, step time.Duration) {
 	kept := q.order[:0]
 	for _, at := range q.order {
 		kept = append(kept, at)
@@ -241,7 +242,7 @@
 		}
 		least := 0
 		for i := range kept {
-			if q.items[kept[i]].lessThan(&q.items[kept[least]]) {
+			if q.items[kept[i]].givenUpBefore(&q.items[kept[least]]) {
 				least = i
 			}
 		}
@@ -250,11 +251,11 @@
 	q.order = kept
 }
 
-// lessThan tells whether the loss of an item is less than that of another one: that
-// of a lower priority, then of one whose deadline is only guessed. Of those the
-// earlier one: the earlier it began, the longer the outage must have been for it to
-// be a caller that was here before.
-func (i *item[K]) lessThan(other *item[K]) bool {
+// givenUpBefore reports whether the loss of an item costs less than that of another one: the
+// lower priority first, then the one whose deadline is only inferred from an unseen try. Of
+// two such items the earlier one: the earlier it began, the longer the outage must have been
+// for its caller to have tried before.
+func (i *item[K]) givenUpBefore(other *item[K]) bool {
 	switch {
 	case i.Priority != other.Priority:
 		return i.Priority > other.Priority
@@ -265,7 +266,7 @@
 	}
 }
 
-// lastExpiring returns the item whose caller waits longest.
+// lastExpiring returns the index of the item whose caller gives up last.
 func (q *Queue[K]) lastExpiring() int {
 	best := 0
 	for i := range q.items {
--- a/backlog/queue_test.go
+++ b/backlog/queue_test.go
@@ -12,16 +12,16 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// steady is the pace of a target that answers a request each 10 ms, 40 ms after it
-// was given to it.
-func steady() Pace { return NewPace(40*time.Millisecond, 4) }
+// steadyEstimate describes a target that answers a request every 10 ms, each 40 ms after its
+// delivery.
+func steadyEstimate() Pace { return NewPace(40*time.Millisecond, 4) }
 
 func read(began time.Duration) Request {
 	return Request{Priority: 2, Began: at(began), Objective: 150 * time.Millisecond, Deadline: 2500 * time.Millisecond}
 }
 
-// hidden is a read whose caller may have begun one try earlier.
-func hidden(began time.Duration) Request {
+// withUnseenTry is a read whose caller may have begun one try earlier.
+func withUnseenTry(began time.Duration) Request {
 	r := read(began)
 	r.Hidden = TryTime + RetryPause
 	return r
@@ -39,48 +39,48 @@
 		waiting map[string]Request
 		want    string
 	}{
-		"the newest that meets its objective while the older can wait": {
+		"the newest within its objective while older ones can wait": {
 			map[string]Request{"old": read(time.Second), "new": read(1990 * time.Millisecond), "newer": read(1995 * time.Millisecond)}, "newer"},
-		"of two priorities the higher": {
+		"the higher of two priorities": {
 			map[string]Request{"write": write(1950 * time.Millisecond), "read": read(1990 * time.Millisecond)}, "write"},
-		"the one that would be lost otherwise, before a fresh one of a higher priority": {
+		"one that would be lost otherwise, before one of a higher priority within its objective": {
 			map[string]Request{"old": read(-445 * time.Millisecond), "write": write(1990 * time.Millisecond)}, "old"},
-		"the higher priority where one of both would be lost": {
+		"the higher priority where one of two is lost": {
 			map[string]Request{"read": read(-460 * time.Millisecond), "write": write(-455 * time.Millisecond)}, "write"},
-		"of two whose deadlines are guesses the one that began later, where one is lost": {
-			map[string]Request{"early": hidden(1140 * time.Millisecond), "later": hidden(1141 * time.Millisecond)}, "later"},
-		"a known deadline before a guessed one, where one is lost": {
-			map[string]Request{"known": read(-455 * time.Millisecond), "guessed": hidden(1142 * time.Millisecond)}, "known"},
-		"the earliest deadline where none is fresh": {
+		"the later of two with inferred deadlines, where one is lost": {
+			map[string]Request{"early": withUnseenTry(1140 * time.Millisecond), "later": withUnseenTry(1141 * time.Millisecond)}, "later"},
+		"a known deadline before an inferred one, where one is lost": {
+			map[string]Request{"known": read(-455 * time.Millisecond), "guessed": withUnseenTry(1142 * time.Millisecond)}, "known"},
+		"the earliest deadline where none is within its objective": {
 			map[string]Request{"b": read(600 * time.Millisecond), "a": read(500 * time.Millisecond)}, "a"},
-		"what can be answered before what cannot": {
+		"one that can be answered in time before one that cannot": {
 			map[string]Request{"too late": read(-490 * time.Millisecond), "old": read(time.Second)}, "old"},
-		"the least late where nothing can": {
+		"the least late where none can be answered in time": {
 			map[string]Request{"b": read(-480 * time.Millisecond), "a": read(-490 * time.Millisecond)}, "b"},
 		"a caller that may have begun earlier first": {
-			map[string]Request{"known": read(1200 * time.Millisecond), "unsure": hidden(1300 * time.Millisecond)}, "unsure"},
-		"a route without objective or deadline in order": {
+			map[string]Request{"known": read(1200 * time.Millisecond), "unsure": withUnseenTry(1300 * time.Millisecond)}, "unsure"},
+		"in order of arrival without objective and deadline": {
 			map[string]Request{"b": {Began: at(1900 * time.Millisecond)}, "a": {Began: at(1800 * time.Millisecond)}}, "a"},
 	} {
 		q := Queue[string]{}
 		for key, r := range c.waiting {
 			q.Push(key, r)
 		}
-		got, ok := q.Next(at(now), steady())
+		got, ok := q.Next(at(now), steadyEstimate())
 		require.True(t, ok, name)
 		require.Equal(t, c.want, got, name)
 		require.Equal(t, len(c.waiting)-1, q.Len(), name)
 	}
 }
 
-func TestAnEarlierTryIsAssumedWhileItMayStillBeAnswered(t *testing.T) {
+func TestUnseenTryIsAssumedWhileAnswerCanArriveInTime(t *testing.T) {
 	r := read(0)
 	r.Hidden = TryTime + RetryPause
 	require.Equal(t, at(900*time.Millisecond), r.due(at(500*time.Millisecond), 40*time.Millisecond))
-	require.Equal(t, at(2500*time.Millisecond), r.due(at(870*time.Millisecond), 40*time.Millisecond), "such a caller has gone: this is another")
+	require.Equal(t, at(2500*time.Millisecond), r.due(at(870*time.Millisecond), 40*time.Millisecond), "a caller of an earlier try has given up by now")
 }
 
-func TestExpireTakesOutThoseWhoseCallersHaveGone(t *testing.T) {
+func TestExpireRemovesRequestsPastDeadline(t *testing.T) {
 	q := Queue[int]{}
 	q.Push(1, read(0))
 	q.Push(2, read(time.Second))
@@ -89,22 +89,22 @@
 	require.Equal(t, []int{1}, q.Expire(at(2501*time.Millisecond)))
 	require.True(t, q.Remove(2))
 	require.False(t, q.Remove(2))
-	require.Equal(t, []int{3}, q.Expire(at(unstatedDeadline+time.Millisecond)))
-	_, ok := q.Next(start, steady())
+	require.Equal(t, []int{3}, q.Expire(at(defaultDeadline+time.Millisecond)))
+	_, ok := q.Next(start, steadyEstimate())
 	require.False(t, ok)
 }
 
-// TestNextNeverLosesWhatADeadlineOrderWouldServe: where serving in order of the
-// deadlines would answer everybody with some time to spare, nobody is lost.
-func TestNextNeverLosesWhatADeadlineOrderWouldServe(t *testing.T) {
+// TestNextLosesNoRequestThatDeadlineOrderServes: where serving in order of deadlines would
+// answer every request with some time to spare, Next loses none.
+func TestNextLosesNoRequestThatDeadlineOrderServes(t *testing.T) {
 	const each = 10 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		q := Queue[int]{}
 		due := map[int]time.Duration{}
 		n := rapid.IntRange(1, 60).Draw(t, "n")
 		for i := range n {
-			// The i-th has time for twice the work of those before it, and its own.
-			least := time.Duration(spareFresh*float64(i)*float64(each)) + 2*steady().Took()
+			// The i-th request has time for twice the work of those before it, and its own.
+			least := time.Duration(objectiveMargin*float64(i)*float64(each)) + 2*steadyEstimate().Took()
 			left := least + time.Duration(rapid.IntRange(0, 300).Draw(t, "ms"))*time.Millisecond
 			r := Request{Priority: uint8(rapid.IntRange(0, 2).Draw(t, "priority")), Began: start, Objective: 100 * time.Millisecond, Deadline: left}
 			if rapid.Bool().Draw(t, "fresh") {
@@ -116,31 +116,30 @@
 		}
 		now := time.Duration(0)
 		for range n {
-			i, ok := q.Next(at(now), steady())
+			i, ok := q.Next(at(now), steadyEstimate())
 			require.True(t, ok)
-			require.LessOrEqual(t, now+steady().Took(), due[i], "request %d of %d", i, n)
+			require.LessOrEqual(t, now+steadyEstimate().Took(), due[i], "request %d of %d", i, n)
 			now += each
 		}
 		require.Zero(t, q.Len())
 	})
 }
 
-// TestReturnOfEverybody is the load that the order is for: after an outage of 1.9 s
-// the callers of that time, whose age is known here, are back at once, and the target
-// has a third of its capacity to spare. In order of arrival everybody is late,
-// newest first some are lost; here nobody is lost, and fewer are late than in order
-// of arrival.
-func TestReturnOfEverybody(t *testing.T) {
-	fifo, newest, ours := returnOfEverybody(oldestFirst), returnOfEverybody(newestFirst), returnOfEverybody(nil)
-	t.Logf("oldest first %+v, newest first %+v, least laxity %+v", fifo, newest, ours)
-	require.Zero(t, ours.lost)
+// TestReturnOfAllCallersAfterOutage: after an outage of 1.9 s all callers of that time, of known
+// age, return at once to a target with a third of its capacity to spare. In order of arrival
+// all requests are late, newest first some are lost. Next must lose none, and fewer may be late
+// than in order of arrival.
+func TestReturnOfAllCallersAfterOutage(t *testing.T) {
+	fifo, newest, laxity := simulateReturn(oldestFirst), simulateReturn(newestFirst), simulateReturn(nil)
+	t.Logf("oldest first %+v, newest first %+v, least laxity %+v", fifo, newest, laxity)
+	require.Zero(t, laxity.lost)
 	require.NotZero(t, newest.lost)
-	require.Less(t, ours.late, fifo.late)
+	require.Less(t, laxity.late, fifo.late)
 }
 
-type served struct{ late, lost int }
+type outcome struct{ late, lost int }
 
-type order func(waiting []Request) int
+type pickFunc func(waiting []Request) int
 
 func oldestFirst(waiting []Request) int {
 	best := 0
@@ -162,16 +161,16 @@
 	return best
 }
 
-// returnOfEverybody plays the load on a target that answers each 10 ms, by this
-// package's order where none is given.
-func returnOfEverybody(by order) served {
+// simulateReturn runs the load against a target that answers a request every 10 ms, in the
+// order of Queue.Next if by is nil.
+func simulateReturn(by pickFunc) outcome {
 	const (
 		each   = 10 * time.Millisecond
 		gap    = 15 * time.Millisecond
 		outage = 1900 * time.Millisecond
 		length = 6 * time.Second
 	)
-	out := served{}
+	out := outcome{}
 	q := Queue[time.Duration]{}
 	var waiting []Request
 	began := -outage
@@ -185,7 +184,7 @@
 			for range q.Expire(at(now)) {
 				out.lost++
 			}
-			key, ok := q.Next(at(now), steady())
+			key, ok := q.Next(at(now), steadyEstimate())
 			if !ok {
 				continue
 			}
@@ -207,11 +206,11 @@
 			r = waiting[i]
 			waiting = append(waiting[:i], waiting[i+1:]...)
 		}
-		done := at(now).Add(steady().Took())
+		done := at(now).Add(steadyEstimate().Took())
 		switch {
 		case done.After(r.expires()):
 			out.lost++
-		case !r.fresh(done):
+		case !r.meetsObjective(done):
 			out.late++
 		}
 	}
@@ -225,7 +224,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		key, _ := q.Next(start, steady())
+		key, _ := q.Next(start, steadyEstimate())
 		q.Push(key, read(-time.Duration(key)*time.Millisecond))
 	}
 }
