--- a/choose/choose.go
+++ b/choose/choose.go
@@ -7,36 +7,33 @@
 	"time"
 )
 
-// Options are the limits of the policy.
+// Options are the parameters of the policy.
 type Options struct {
 	// Choices is d, the number of hosts compared.
 	Choices int
-	// SlowStart is the time over which a new host's share of offers rises
-	// from nothing to all.
+	// SlowStart is the time over which a new host's share of draws rises from none to all.
 	SlowStart time.Duration
-	// SkipRefused is how long a host that refused a flow gets none.
+	// SkipRefused is how long a host that refused a flow gets no new ones.
 	SkipRefused time.Duration
-	// OtherZonePenalty multiplies the cost of hosts in other zones; 1 ignores
-	// zones.
-	OtherZonePenalty float64
-	// StaleAfter is the age from which a reading loses weight: over the same
-	// span again the cost moves to the mean, so that a host whose flows ended
-	// unseen is tried again.
+	// CrossZonePenalty multiplies the cost of hosts in other zones; 1 ignores zones.
+	CrossZonePenalty float64
+	// StaleAfter is the age from which a load report loses weight: over the same time again the
+	// cost moves to the mean, so that a host whose flows ended unseen is tried again.
 	StaleAfter time.Duration
-	// Silence is how long a host may stay silent after a send before it is
-	// taken for frozen.
-	Silence time.Duration
+	// AnswerTimeout is how long a host may send nothing after a flow was sent to it before it
+	// counts as frozen.
+	AnswerTimeout time.Duration
 }
 
-// Defaults returns the options measured in docs/DESIGN.md.
+// Defaults returns the options in use; docs/DESIGN.md has the measurements.
 func Defaults() Options {
 	return Options{
 		Choices:          2,
 		SlowStart:        10 * time.Second,
 		SkipRefused:      2 * time.Second,
-		OtherZonePenalty: 1,
+		CrossZonePenalty: 1,
 		StaleAfter:       10 * time.Second,
-		Silence:          1500 * time.Millisecond,
+		AnswerTimeout:    1500 * time.Millisecond,
 	}
 }
 
@@ -47,65 +44,65 @@
 	Capacity int
 }
 
-// Reading is what a host says of itself, possibly late and misleading.
+// Reading is the load report of a host, possibly late and misleading.
 type Reading struct {
 	Open int
-	// Busy is the load in thousandths of the host's limit; over BusyFull the
-	// host is at its limit.
+	// Busy is the load in thousandths of the host's limit; over BusyFull the host is beyond its
+	// limit.
 	Busy int
 }
 
 // BusyFull is the Busy value of a host at its limit.
 const BusyFull = 1000
 
-type state struct {
+type hostState struct {
 	Host
-	reading   Reading
-	readingAt time.Time
-	// own counts flows sent here since the reading.
-	own      int
-	joinedAt time.Time
-	skipTill time.Time
-	// unanswered is when the oldest send without any sign of life was made.
-	unanswered time.Time
+	report   Reading
+	reportAt time.Time
+	// sentSince counts the flows sent to the host since the report.
+	sentSince int
+	joinedAt  time.Time
+	skipUntil time.Time
+	// unansweredSince is when the oldest flow without any later packet from the host was sent.
+	unansweredSince time.Time
 }
 
-// Set is the candidates of one service at one balancer. It is not safe for
-// concurrent use; its owner holds a lock.
+// Set holds the candidates of one service at one balancer. It is not safe for concurrent use;
+// its owner holds a lock.
 type Set struct {
 	opts  Options
 	zone  string
-	hosts []*state
-	index map[netip.AddrPort]*state
-	// since is when the first hosts became known.
-	since time.Time
+	hosts []*hostState
+	index map[netip.AddrPort]*hostState
+	// firstHostsAt is when the first hosts became known.
+	firstHostsAt time.Time
 	// scan is scratch space of Pick.
-	scan []*state
+	scan []*hostState
 }
 
 // NewSet returns an empty set for a balancer in the given zone.
 func NewSet(opts Options, zone string) *Set {
-	return &Set{opts: opts, zone: zone, index: map[netip.AddrPort]*state{}}
+	return &Set{opts: opts, zone: zone, index: map[netip.AddrPort]*hostState{}}
 }
 
 // Len returns the number of candidates.
 func (s *Set) Len() int { return len(s.hosts) }
 
-// Replace sets the candidates. A host that stays keeps what is known of it.
-// What a fresh balancer learns within the slow-start period of its first hosts
-// counts as long known: its own start is no cold start of the hosts.
+// Replace sets the candidates. A host that stays keeps its state. Hosts that a new balancer
+// learns of within the slow-start period of its first hosts skip the slow start: the balancer
+// is new, the hosts are not.
 func (s *Set) Replace(now time.Time, hosts []Host) {
-	if s.since.IsZero() && len(hosts) > 0 {
-		s.since = now
+	if s.firstHostsAt.IsZero() && len(hosts) > 0 {
+		s.firstHostsAt = now
 	}
-	fresh := now.Sub(s.since) < s.opts.SlowStart
-	next := make([]*state, 0, len(hosts))
-	index := make(map[netip.AddrPort]*state, len(hosts))
+	startingUp := now.Sub(s.firstHostsAt) < s.opts.SlowStart
+	next := make([]*hostState, 0, len(hosts))
+	index := make(map[netip.AddrPort]*hostState, len(hosts))
 	for _, h := range hosts {
 		st, ok := s.index[h.Addr]
 		if !ok {
-			st = &state{joinedAt: now}
-			if fresh {
+			st = &hostState{joinedAt: now}
+			if startingUp {
 				st.joinedAt = now.Add(-s.opts.SlowStart)
 			}
 		}
@@ -116,32 +113,33 @@
 	s.hosts, s.index = next, index
 }
 
-// Observe takes a host's reading from the data path; it also is a sign of life.
+// Observe records a load report of a host from the data path; it also shows that the host is
+// alive.
 func (s *Set) Observe(now time.Time, addr netip.AddrPort, r Reading) {
 	st, ok := s.index[addr]
 	if !ok {
 		return
 	}
-	st.reading, st.readingAt, st.own = r, now, 0
-	st.unanswered = time.Time{}
+	st.report, st.reportAt, st.sentSince = r, now, 0
+	st.unansweredSince = time.Time{}
 }
 
-// Refuse notes that a host handed a flow back.
+// Refuse records that a host refused a flow.
 func (s *Set) Refuse(now time.Time, addr netip.AddrPort) {
 	st, ok := s.index[addr]
 	if !ok {
 		return
 	}
-	st.skipTill = now.Add(s.opts.SkipRefused)
-	st.unanswered = time.Time{}
-	if st.own > 0 {
-		st.own--
+	st.skipUntil = now.Add(s.opts.SkipRefused)
+	st.unansweredSince = time.Time{}
+	if st.sentSince > 0 {
+		st.sentSince--
 	}
 }
 
-// Pick returns the host for a new flow and counts it as sent. It prefers hosts
-// without a mark against them and falls back to any: a guess that a host is
-// frozen must not refuse a caller when it is the only one.
+// Pick returns the host for a new flow and counts the flow as sent. It prefers hosts that are
+// usable and falls back to any: a host that only seems frozen must not be skipped when it is
+// the only one.
 func (s *Set) Pick(now time.Time, rnd *rand.Rand) (netip.AddrPort, bool) {
 	if len(s.hosts) == 0 {
 		return netip.AddrPort{}, false
@@ -155,13 +153,13 @@
 }
 
 // sample compares d random hosts and returns the cheapest usable one.
-func (s *Set) sample(now time.Time, rnd *rand.Rand, from []*state) *state {
+func (s *Set) sample(now time.Time, rnd *rand.Rand, from []*hostState) *hostState {
 	mean := s.meanCost(now, rnd)
-	var best *state
+	var best *hostState
 	bestCost := math.Inf(1)
 	for range s.opts.Choices {
 		st := from[rnd.IntN(len(from))]
-		if !s.usable(now, st) || rnd.Float64() < s.youth(now, st) {
+		if !s.usable(now, st) || rnd.Float64() < s.slowStartSkip(now, st) {
 			continue
 		}
 		cost := s.cost(now, st, mean)
@@ -172,8 +170,8 @@
 	return best
 }
 
-// fallback is the slow path: scan for usable hosts, then take any.
-func (s *Set) fallback(now time.Time, rnd *rand.Rand) *state {
+// fallback is the slow path: it samples the usable hosts, or picks any host if there is none.
+func (s *Set) fallback(now time.Time, rnd *rand.Rand) *hostState {
 	s.scan = s.scan[:0]
 	for _, st := range s.hosts {
 		if s.usable(now, st) {
@@ -189,63 +187,63 @@
 	return s.scan[rnd.IntN(len(s.scan))]
 }
 
-func (s *Set) usable(now time.Time, st *state) bool {
-	if now.Before(st.skipTill) || st.Capacity <= 0 {
+func (s *Set) usable(now time.Time, st *hostState) bool {
+	if now.Before(st.skipUntil) || st.Capacity <= 0 {
 		return false
 	}
-	return st.unanswered.IsZero() || now.Sub(st.unanswered) < s.opts.Silence
+	return st.unansweredSince.IsZero() || now.Sub(st.unansweredSince) < s.opts.AnswerTimeout
 }
 
-func (s *Set) sent(now time.Time, st *state) {
-	st.own++
-	if st.unanswered.IsZero() {
-		st.unanswered = now
+func (s *Set) sent(now time.Time, st *hostState) {
+	st.sentSince++
+	if st.unansweredSince.IsZero() {
+		st.unansweredSince = now
 		return
 	}
-	// A silent host is tried again once per silence period, so that one that
-	// recovers gets work again without a probe of its own.
-	if now.Sub(st.unanswered) >= s.opts.Silence {
-		st.unanswered = now
+	// A host that does not answer is tried again once per AnswerTimeout, so that it gets
+	// flows again after it recovers, without separate probes.
+	if now.Sub(st.unansweredSince) >= s.opts.AnswerTimeout {
+		st.unansweredSince = now
 	}
 }
 
-// cost is the expected flows per slot; lower is better.
-func (s *Set) cost(now time.Time, st *state, mean float64) float64 {
-	cost := st.perSlot()
-	if st.reading.Busy > BusyFull {
-		cost *= float64(st.reading.Busy) / BusyFull
+// cost returns the expected flows per slot; lower is better.
+func (s *Set) cost(now time.Time, st *hostState, mean float64) float64 {
+	cost := st.flowsPerSlot()
+	if st.report.Busy > BusyFull {
+		cost *= float64(st.report.Busy) / BusyFull
 	}
-	cost = blend(cost, mean, s.doubt(now, st))
+	cost = blend(cost, mean, s.staleness(now, st))
 	if st.Zone != s.zone {
-		cost *= s.opts.OtherZonePenalty
+		cost *= s.opts.CrossZonePenalty
 	}
 	return cost
 }
 
-// perSlot is the flows per ready slot that this balancer knows of.
-func (st *state) perSlot() float64 {
-	return float64(st.reading.Open+st.own+1) / float64(max(st.Capacity, 1))
+// flowsPerSlot returns the flows per ready slot that this balancer knows of, with one more.
+func (st *hostState) flowsPerSlot() float64 {
+	return float64(st.report.Open+st.sentSince+1) / float64(max(st.Capacity, 1))
 }
 
-// doubt is the weight, 0 to 1, of the mean against a reading of this age.
-func (s *Set) doubt(now time.Time, st *state) float64 {
-	if st.readingAt.IsZero() {
+// staleness returns the weight, 0 to 1, of the mean cost against a load report of this age.
+func (s *Set) staleness(now time.Time, st *hostState) float64 {
+	if st.reportAt.IsZero() {
 		return 0
 	}
-	over := now.Sub(st.readingAt) - s.opts.StaleAfter
+	over := now.Sub(st.reportAt) - s.opts.StaleAfter
 	return min(max(float64(over)/float64(s.opts.StaleAfter), 0), 1)
 }
 
 func blend(own, mean, weight float64) float64 { return own*(1-weight) + mean*weight }
 
-// youth is the share, 0 to 1, of offers that a host passes up because it joined
-// a short time ago.
-func (s *Set) youth(now time.Time, st *state) float64 {
+// slowStartSkip returns the probability with which a draw skips a host because it joined a
+// short time ago.
+func (s *Set) slowStartSkip(now time.Time, st *hostState) float64 {
 	age := now.Sub(st.joinedAt)
 	return max(1-float64(age)/float64(s.opts.SlowStart), 0)
 }
 
-// meanSample is how many hosts estimate the mean cost.
+// meanSample is the number of random hosts from which the mean cost is estimated.
 const meanSample = 4
 
 // meanCost estimates the mean cost from a few random hosts.
@@ -253,7 +251,7 @@
 	sum := 0.0
 	for range meanSample {
 		st := s.hosts[rnd.IntN(len(s.hosts))]
-		sum += st.perSlot()
+		sum += st.flowsPerSlot()
 	}
 	return sum / meanSample
 }
--- a/choose/choose_test.go
+++ b/choose/choose_test.go
@@ -25,11 +25,10 @@
 	return out
 }
 
-// oracle remembers, for each host, why it must not be picked.
+// oracle records, for each host, why it must not be picked.
 type oracle struct {
 	refusedAt map[netip.AddrPort]time.Time
-	// unanswered is the first send since the last sign of life, or since the
-	// last retry.
+	// unanswered is the first send since the last packet from the host, or since the last retry.
 	unanswered map[netip.AddrPort]time.Time
 }
 
@@ -37,14 +36,14 @@
 	if at, ok := o.refusedAt[h.Addr]; ok && now.Sub(at) < opts.SkipRefused {
 		return true
 	}
-	if at, ok := o.unanswered[h.Addr]; ok && now.Sub(at) >= opts.Silence {
+	if at, ok := o.unanswered[h.Addr]; ok && now.Sub(at) >= opts.AnswerTimeout {
 		return true
 	}
 	return h.Capacity <= 0
 }
 
-// TestPickNeverTakesABlockedHostWhileAnotherIsFree drives a set by random
-// steps: frozen hosts (no answer), refusals, drains (capacity 0), replacements.
+// TestPickNeverTakesABlockedHostWhileAnotherIsFree drives a set by random steps: frozen hosts
+// (no answer), refusals, drains (capacity 0) and replacements.
 func TestPickNeverTakesABlockedHostWhileAnotherIsFree(t *testing.T) {
 	opts := Defaults()
 	rapid.Check(t, func(t *rapid.T) {
@@ -104,7 +103,7 @@
 				if free > 0 {
 					require.False(t, o.blocked(opts, now, h), "picked a blocked host while %d were free", free)
 				}
-				if at, ok := o.unanswered[a]; !ok || now.Sub(at) >= opts.Silence {
+				if at, ok := o.unanswered[a]; !ok || now.Sub(at) >= opts.AnswerTimeout {
 					o.unanswered[a] = now
 				}
 			},
@@ -133,17 +132,17 @@
 			taken[ms/1000]++
 		}
 		for i := range 10 {
-			set.index[addr(i)].unanswered = time.Time{}
+			set.index[addr(i)].unansweredSince = time.Time{}
 		}
 	}
 	share := func(s int) float64 { return float64(taken[s]) / float64(picks[s]) }
 	require.Less(t, share(0), 0.2, "no herding in the first second")
-	require.Greater(t, share(11), 0.12, "it gets its share in the end")
+	require.Greater(t, share(11), 0.12, "it gets its share after the slow start")
 }
 
-// TestFreshBalancerTakesHostsAsTheyAre: a balancer that learns its hosts one by
-// one in its first seconds must not call the later ones cold.
-func TestFreshBalancerTakesHostsAsTheyAre(t *testing.T) {
+// TestNewBalancerSkipsSlowStart: a balancer that learns of its hosts one by one in its first
+// seconds must not treat the later ones as cold.
+func TestNewBalancerSkipsSlowStart(t *testing.T) {
 	set := NewSet(Defaults(), "a")
 	rnd := rand.New(rand.NewPCG(1, 1))
 	now := t0
@@ -155,17 +154,17 @@
 	for range 400 {
 		a, _ := set.Pick(now, rnd)
 		taken[a]++
-		set.index[a].unanswered = time.Time{}
+		set.index[a].unansweredSince = time.Time{}
 	}
 	for i := range 4 {
 		require.InDelta(t, 100, taken[addr(i)], 15)
 	}
 }
 
-// TestStaleReadingIsTriedAgain: a host whose flows ended unseen must not keep its
-// old reading for ever where new flows are few, as each of many balancers sees
-// them. Without doubt only the chance of drawing it twice, 1 in 400, finds out.
-func TestStaleReadingIsTriedAgain(t *testing.T) {
+// TestStaleLoadReportLosesWeight: a host whose flows ended unseen must not keep its old load
+// report for ever where new flows are few, as each of many balancers sees them. If the report
+// kept its weight, the host would be picked only when drawn twice, a chance of 1 in 400.
+func TestStaleLoadReportLosesWeight(t *testing.T) {
 	const balancers, picks = 100, 80
 	tried := 0
 	for b := range balancers {
--- a/choose/doc.go
+++ b/choose/doc.go
@@ -1,20 +1,19 @@
-// Package choose picks the host for a new flow.
+// Package choose selects the host or target of a new flow.
 //
-// Balancers do not agree with each other and see late load readings. The
-// policy is power of d choices (Mitzenmacher, 2001) with d = 2 over the
-// eligible hosts of a service. The cost of a host is its last reading plus what this balancer
-// itself sent since that reading, per ready slot; the second term prevents
-// herding on a stale reading. A host that joins empty starts slowly: at first
-// it passes up most offers, and the share it takes rises over the slow-start
-// period. (Holding its cost at the mean was tried and does not do it: of two
-// hosts the slightly cheaper one wins every time.)
+// Balancers do not agree with each other and see late load reports. The policy is power of d
+// choices (Mitzenmacher, 2001) with d = 2 over the eligible hosts of a service. The cost of a
+// host is the open flows of its last load report plus the flows that this balancer has sent
+// since, per ready slot; the second term prevents herding on a stale report. A host that
+// joins empty starts slowly: at first it is skipped in most draws, and its share rises over
+// the slow-start period. (Holding its cost at the mean instead does not work: of two hosts
+// the slightly cheaper one is chosen every time.)
 //
-// Offers are for fronts where balancers hear of single targets and their pace: of two
-// random targets of the own zone and two of others the one with the shortest expected
-// delay, load by observed pace and a price for crossing zones. With every target alike
-// that is the order of requests per slot.
+// Offers are for the packet front, where balancers receive the load and the service time of
+// single targets: of two random targets of the local zone and two of other zones the one with
+// the shortest expected delay is chosen, by load, observed service time and a cost for
+// crossing zones. If all targets are equal, that is the order of requests per slot.
 //
-// Everything is pure: time and randomness are arguments.
+// All functions are pure: time and randomness are arguments.
 //
 // Cost: O(d) per pick, no allocation (BenchmarkPick); 0.5 microseconds for one of eight
 // offers (BenchmarkCheapest).
--- a/choose/offer.go
+++ b/choose/offer.go
@@ -9,75 +9,76 @@
 
 // Offer is a target that may take a new flow, as one balancer sees it.
 type Offer struct {
-	// Busy is the target's own last word on the requests that it works on or has
-	// queued; Sent is what this balancer sent since.
+	// Busy is the number of requests that the target works on or has queued, from its last load
+	// report; Sent is how many flows this balancer has sent to it since.
 	Busy, Sent int
-	// Slots is what the target works on at once.
+	// Slots is the number of requests that the target works on at once.
 	Slots int
-	// Each is the mean time between two answers of the target when it is fully used, as
-	// its agent observed it; zero while nothing was observed.
+	// Each is the mean time between two answers of the target when it is fully used, as observed
+	// by its agent; zero before the first observation.
 	Each time.Duration
-	// OtherZone targets cost bytes between zones.
+	// OtherZone marks targets in another zone: traffic between zones has a cost.
 	OtherZone bool
-	// Warming targets are slow after their start.
+	// Warming marks targets that are still slow after their start.
 	Warming bool
-	// Avoid marks targets that are unheard or refused lately: last resort.
+	// Avoid marks targets that are overdue or refused a flow lately: the last resort.
 	Avoid bool
 }
 
 // Weights are the policy's parameters.
 type Weights struct {
-	// OtherZone is added for a target in another zone, in services of the typical target:
-	// at 1.0 an idle target elsewhere equals one as fast in the own zone whose slots are
-	// all taken.
+	// OtherZone is the cost of crossing zones, in service times of the typical target: at 1.0 an
+	// idle target in another zone equals an equally fast one in the local zone whose slots are all
+	// taken.
 	OtherZone float64
-	// OtherZonePrice is added instead of OtherZone unless it is zero.
+	// OtherZonePrice replaces OtherZone as the cost of crossing zones unless it is zero.
 	OtherZonePrice time.Duration
-	// Warming is the factor on the delay at a warming target.
+	// Warming multiplies the expected delay at a warming target.
 	Warming float64
 }
 
-// assumedService is the time of service of the typical target where none was observed. It
-// matters beside OtherZonePrice alone.
-const assumedService = 50 * time.Millisecond
+// defaultServiceTime is the service time of the typical target where none was observed. It
+// matters only in comparison with OtherZonePrice.
+const defaultServiceTime = 50 * time.Millisecond
 
-// TypicalService is the median of the targets' observed times of service, by which those
-// that were not observed are judged. Of two it is the higher one: the price of crossing
-// zones follows it, and where half of the targets are fast a low one sends zones with room
-// abroad.
+// TypicalService returns the median of the observed service times, which is assumed for
+// targets without an observation. Of an even number it is the higher of the middle two: the
+// cost of crossing zones is proportional to it, and if half of the targets are fast, a low
+// value makes zones with headroom send flows to other zones.
 func TypicalService(offers []Offer) time.Duration {
-	var seen [maxSeen]time.Duration
+	var seen [maxObserved]time.Duration
 	n := 0
 	for _, o := range offers {
-		if o.Each > 0 && n < maxSeen {
-			seen[n] = o.service(0)
+		if o.Each > 0 && n < maxObserved {
+			seen[n] = o.serviceTime(0)
 			n++
 		}
 	}
 	if n == 0 {
-		return assumedService
+		return defaultServiceTime
 	}
 	slices.Sort(seen[:n])
 	return seen[n/2]
 }
 
-// maxSeen bounds the offers that a typical one is looked for among.
-const maxSeen = 16
+// maxObserved is the largest number of observed service times that the median is taken of.
+const maxObserved = 16
 
-// service is how long a request takes the target, whose slots all work alike.
-func (o Offer) service(typical time.Duration) time.Duration {
+// serviceTime returns how long the target works on a request, if all its slots are equally
+// fast.
+func (o Offer) serviceTime(typical time.Duration) time.Duration {
 	if o.Each > 0 {
 		return o.Each * time.Duration(max(o.Slots, 1))
 	}
 	return typical
 }
 
-// Delay is how long a target is expected to take, fully used, for all that it has and one
-// more flow; what is typical is assumed of one that was not observed. A crossing of zones
-// costs as stated. Lower is better.
+// Delay returns how long the target is expected to take, fully used, for all its requests and
+// one more flow, plus the cost of crossing zones. typical is the service time assumed of a
+// target without an observation. Lower is better.
 func (w Weights) Delay(o Offer, typical time.Duration) time.Duration {
 	if o.Avoid {
-		// Behind all others, in their order.
+		// After all other targets, in the same order among themselves.
 		o.Avoid = false
 		return math.MaxInt64/2 + w.Delay(o, typical)/2
 	}
@@ -85,11 +86,11 @@
 	if o.Warming {
 		load *= w.Warming
 	}
-	return time.Duration(load*float64(o.service(typical))) + w.crossing(o, typical)
+	return time.Duration(load*float64(o.serviceTime(typical))) + w.crossZoneCost(o, typical)
 }
 
-// crossing is the price of the way to a target.
-func (w Weights) crossing(o Offer, typical time.Duration) time.Duration {
+// crossZoneCost returns the cost of crossing zones to reach the target.
+func (w Weights) crossZoneCost(o Offer, typical time.Duration) time.Duration {
 	switch {
 	case !o.OtherZone:
 		return 0
@@ -100,10 +101,10 @@
 	}
 }
 
-// Cheapest returns the index of the offer for a new flow, or -1 without any. Two
-// random offers of the own zone and two of the other zones are compared (power of
-// two choices), so that balancers with the same stale readings do not all send to
-// the same target. typical is the TypicalService of all that could be chosen.
+// Cheapest returns the index of the offer for a new flow, or -1 if there is none. Two random
+// offers of the local zone and two of other zones are compared (power of two choices), so that
+// balancers with the same stale load reports do not all choose the same target. typical is the
+// TypicalService of all candidates.
 func (w Weights) Cheapest(offers []Offer, typical time.Duration, rnd *rand.Rand) int {
 	if len(offers) == 0 {
 		return -1
@@ -116,8 +117,8 @@
 	return best
 }
 
-// sampleZone compares two distinct random offers of the own or of other zones,
-// passing over those to be avoided while there are others.
+// sampleZone returns the better of two distinct random offers of the local or of other zones.
+// Offers with Avoid are considered only if there are no others.
 func (w Weights) sampleZone(offers []Offer, typical time.Duration, otherZone bool, rnd *rand.Rand) int {
 	first, second := -1, -1
 	seen := 0
--- a/choose/offer_test.go
+++ b/choose/offer_test.go
@@ -29,15 +29,15 @@
 	}
 }
 
-func TestCheapestPrefersTheOwnZoneUntilItsSlotsAreTaken(t *testing.T) {
+func TestCheapestPrefersLocalZoneUntilSlotsAreTaken(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	near, far := Offer{Slots: 4, Busy: 3}, Offer{Slots: 4, OtherZone: true}
-	require.Equal(t, 0, weights.Cheapest([]Offer{near, far}, typical, rnd))
-	near.Busy = 5
-	require.Equal(t, 1, weights.Cheapest([]Offer{near, far}, typical, rnd))
+	local, remote := Offer{Slots: 4, Busy: 3}, Offer{Slots: 4, OtherZone: true}
+	require.Equal(t, 0, weights.Cheapest([]Offer{local, remote}, typical, rnd))
+	local.Busy = 5
+	require.Equal(t, 1, weights.Cheapest([]Offer{local, remote}, typical, rnd))
 }
 
-func TestCheapestAvoidsWhileThereAreOthers(t *testing.T) {
+func TestCheapestSkipsAvoidedOffersWhileOthersExist(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var offers []Offer
@@ -60,9 +60,9 @@
 	require.Equal(t, -1, weights.Cheapest(nil, typical, rand.New(rand.NewPCG(1, 1))))
 }
 
-// TestStaleReadingsDoNotHerd: balancers with the same old readings spread their
+// TestStaleLoadReportsDoNotCauseHerding: balancers with the same old load reports spread their
 // flows over the idle targets.
-func TestStaleReadingsDoNotHerd(t *testing.T) {
+func TestStaleLoadReportsDoNotCauseHerding(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	count := make([]int, 6)
 	for range 4 {
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestPaceDecidesAmongUnlikeTargets: what a target has counts by how fast it works it off; one
-// that was not observed is taken for typical.
-func TestPaceDecidesAmongUnlikeTargets(t *testing.T) {
+// TestServiceTimeDecidesBetweenUnequalTargets: the requests at a target are weighted with its
+// service time; a target without an observation counts as typical.
+func TestServiceTimeDecidesBetweenUnequalTargets(t *testing.T) {
 	const fast, slow = 7 * time.Millisecond, 20 * time.Millisecond
 	for name, c := range map[string]struct {
 		better, worse Offer
@@ -99,13 +99,13 @@
 	}
 }
 
-// TestAlikeTargetsAreChosenByLoad: where all are as fast, or none was observed, the order is
-// that of requests per slot, whatever the pace.
+// TestAlikeTargetsAreChosenByLoad: if all targets are equally fast, or none was observed, the
+// order is that of requests per slot, whatever the service time.
 func TestAlikeTargetsAreChosenByLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		each := time.Duration(rapid.IntRange(0, 1000).Draw(t, "each")) * 100 * time.Microsecond
 		offer := func(name string) Offer {
-			return Offer{Slots: 4, Busy: rapid.IntRange(0, 100).Draw(t, name), Each: each, OtherZone: rapid.Bool().Draw(t, name+" far")}
+			return Offer{Slots: 4, Busy: rapid.IntRange(0, 100).Draw(t, name), Each: each, OtherZone: rapid.Bool().Draw(t, name+" other zone")}
 		}
 		a, b := offer("a"), offer("b")
 		at := TypicalService([]Offer{a, b})
@@ -120,19 +120,20 @@
 }
 
 func TestTypicalService(t *testing.T) {
-	require.Equal(t, assumedService, TypicalService(nil))
-	require.Equal(t, assumedService, TypicalService([]Offer{{Slots: 4}}))
+	require.Equal(t, defaultServiceTime, TypicalService(nil))
+	require.Equal(t, defaultServiceTime, TypicalService([]Offer{{Slots: 4}}))
 	offers := []Offer{{Slots: 4}, {Slots: 4, Each: time.Millisecond}, {Slots: 2, Each: 30 * time.Millisecond}, {Slots: 4, Each: 10 * time.Millisecond}}
 	require.Equal(t, 40*time.Millisecond, TypicalService(offers))
 	require.Equal(t, 60*time.Millisecond, TypicalService(offers[:3]), "the higher one of two")
-	require.NotPanics(t, func() { TypicalService(make([]Offer, 3*maxSeen)) })
+	require.NotPanics(t, func() { TypicalService(make([]Offer, 3*maxObserved)) })
 }
 
-// TestAvoidedTargetsKeepTheirOrder: behind all others, however long those take.
+// TestAvoidedTargetsKeepTheirOrder: avoided targets come after all others, however slow those
+// are, and are ordered by delay.
 func TestAvoidedTargetsKeepTheirOrder(t *testing.T) {
-	far := Offer{Slots: 1, Busy: 1 << 15, Each: 6 * time.Second, OtherZone: true}
+	remote := Offer{Slots: 1, Busy: 1 << 15, Each: 6 * time.Second, OtherZone: true}
 	idle, busy := Offer{Slots: 4, Avoid: true}, Offer{Slots: 4, Busy: 9, Avoid: true}
-	require.Less(t, weights.Delay(far, typical), weights.Delay(idle, typical))
+	require.Less(t, weights.Delay(remote, typical), weights.Delay(idle, typical))
 	require.Less(t, weights.Delay(idle, typical), weights.Delay(busy, typical))
 }
 
