--- a/admission/admission.go
+++ b/admission/admission.go
@@ -18,7 +18,7 @@
 	removed  bool
 }
 
-// running is a request at a target.
+// running is a request in progress at a target.
 type running struct {
 	target    *target
 	service   route.ServiceID
@@ -29,8 +29,8 @@
 	charged   float64
 }
 
-// Controller is the admission state of one host. It is not safe for
-// concurrent use; its owner holds a lock.
+// Controller is the admission state of one host. It is not safe for concurrent use; its owner
+// holds a lock.
 type Controller struct {
 	opts     Options
 	rnd      *rand.Rand
@@ -51,7 +51,7 @@
 	}
 }
 
-// SetTarget adds or changes a target and returns what may run now.
+// SetTarget adds or changes a target and returns the decisions that follow.
 func (c *Controller) SetTarget(now time.Time, name string, spec TargetSpec) []Decision {
 	t, ok := c.targets[name]
 	if !ok {
@@ -64,8 +64,7 @@
 	return c.dispatchAll(now)
 }
 
-// RemoveTarget takes a target out for good; what runs there is still counted
-// until it ends.
+// RemoveTarget removes a target; requests in progress there are counted until they end.
 func (c *Controller) RemoveTarget(now time.Time, name string) []Decision {
 	t, ok := c.targets[name]
 	if !ok {
@@ -73,18 +72,19 @@
 	}
 	t.spec.Ready = false
 	t.removed = true
-	c.forgetIdle(t)
+	c.deleteIfIdle(t)
 	return c.dispatchAll(now)
 }
 
-func (c *Controller) forgetIdle(t *target) {
+// deleteIfIdle deletes a removed target once nothing is in progress there.
+func (c *Controller) deleteIfIdle(t *target) {
 	if t.removed && t.requests == 0 && t.streams == 0 {
 		delete(c.targets, t.name)
 	}
 }
 
-// SetService sets the targets of a service. When none is left, what waits is
-// refused at once.
+// SetService sets the targets of a service. If none is ready, the waiting requests are refused
+// at once.
 func (c *Controller) SetService(now time.Time, id route.ServiceID, targets []string) []Decision {
 	s, ok := c.services[id]
 	if !ok {
@@ -95,8 +95,7 @@
 	return c.dispatchAll(now)
 }
 
-// Slots returns the ready slots of a service and its load in thousandths of
-// the limit.
+// Slots returns the ready slots of a service and its load in thousandths of the limit.
 func (c *Controller) Slots(id route.ServiceID) (slots, busy int) {
 	s, ok := c.services[id]
 	if !ok {
@@ -114,7 +113,7 @@
 	return slots, used * 1000 / allowed
 }
 
-// InProgress returns the requests and streams at a target.
+// InProgress returns the numbers of requests and streams in progress at a target.
 func (c *Controller) InProgress(name string) (requests, streams int) {
 	t, ok := c.targets[name]
 	if !ok {
@@ -123,8 +122,8 @@
 	return t.requests, t.streams
 }
 
-// Offer asks for a request to run. Other tickets may have to give way, so
-// several decisions can come back; the first is the offer's own.
+// Offer submits a request. It may cause other waiting requests to be refused, so several
+// decisions can be returned; the first is that on the offer itself.
 func (c *Controller) Offer(now time.Time, o Offer) []Decision {
 	c.next++
 	ticket := c.next
@@ -174,7 +173,7 @@
 	return out
 }
 
-// dispatch hands out free room of a service's targets in fair order.
+// dispatch assigns waiting requests to the targets of a service with headroom, in fair order.
 func (c *Controller) dispatch(now time.Time, id route.ServiceID, s *service) []Decision {
 	var out []Decision
 	for s.waiting > 0 {
@@ -186,30 +185,30 @@
 		if t == nil {
 			return out
 		}
-		w, m := s.dequeue()
+		w, ws := s.dequeue()
 		if expired(now, w.offer.Deadline) {
 			out = append(out, c.refusal(w.ticket, Deadline, 0))
 			continue
 		}
-		c.start(now, id, s, t, w, m)
+		c.start(now, id, s, t, w, ws)
 		out = append(out, Decision{Ticket: w.ticket, Verb: Run, Target: t.name})
 	}
 	return out
 }
 
-func (c *Controller) start(now time.Time, id route.ServiceID, s *service, t *target, w waiter, m *workspace) {
+func (c *Controller) start(now time.Time, id route.ServiceID, s *service, t *target, w waiter, ws *workspace) {
 	t.requests++
 	c.running[w.ticket] = &running{
 		target:    t,
 		service:   id,
-		workspace: m,
+		workspace: ws,
 		weight:    w.offer.Weight,
 		since:     now,
-		charged:   s.charge(m, w.offer.Weight),
+		charged:   s.charge(ws, w.offer.Weight),
 	}
 }
 
-// Done ends a running request and returns what may run now.
+// Done ends a request in progress and returns the decisions that follow.
 func (c *Controller) Done(now time.Time, ticket Ticket, res Result) []Decision {
 	r, ok := c.running[ticket]
 	if !ok {
@@ -218,19 +217,19 @@
 	delete(c.running, ticket)
 	if r.class == Stream {
 		r.target.streams--
-		c.forgetIdle(r.target)
+		c.deleteIfIdle(r.target)
 		return nil
 	}
 	r.target.requests--
-	held := now.Sub(r.since)
-	r.target.limit.done(now, res, held)
-	r.workspace.settle(held, r.charged, r.weight)
-	c.forgetIdle(r.target)
+	slotTime := now.Sub(r.since)
+	r.target.limit.observe(now, res, slotTime)
+	r.workspace.correctCharge(slotTime, r.charged, r.weight)
+	c.deleteIfIdle(r.target)
 	return c.dispatchAll(now)
 }
 
-// Promote turns a running request into a stream: its answer proved to be one.
-// It frees room for waiting requests.
+// Promote turns a request in progress into a stream because its answer is one. That frees its
+// slot for waiting requests.
 func (c *Controller) Promote(now time.Time, ticket Ticket) []Decision {
 	r, ok := c.running[ticket]
 	if !ok || r.class == Stream {
@@ -242,7 +241,7 @@
 	return c.dispatchAll(now)
 }
 
-// Cancel removes a waiting ticket; a running one ends by Done.
+// Cancel removes a waiting ticket; one in progress ends by Done.
 func (c *Controller) Cancel(ticket Ticket) {
 	for _, s := range c.services {
 		if s.remove(ticket) {
@@ -251,11 +250,11 @@
 	}
 }
 
-// Expire refuses what waited too long or passed its deadline.
+// Expire refuses the requests that have waited too long or passed their deadline.
 func (c *Controller) Expire(now time.Time) []Decision {
 	var out []Decision
 	for _, s := range c.services {
-		late := s.takeLate(func(w *waiter) bool {
+		late := s.removeMatching(func(w *waiter) bool {
 			return now.Sub(w.since) >= c.opts.MaxWait || expired(now, w.offer.Deadline)
 		})
 		for _, w := range late {
@@ -271,15 +270,15 @@
 
 func (c *Controller) dispatchAll(now time.Time) []Decision {
 	var out []Decision
-	for _, id := range c.inTurn() {
+	for _, id := range c.byLongestWait() {
 		out = append(out, c.dispatch(now, id, c.services[id])...)
 	}
 	return out
 }
 
-// inTurn returns services with waiting requests, the longest wait first, so
-// that services that share a target take turns.
-func (c *Controller) inTurn() []route.ServiceID {
+// byLongestWait returns the services with waiting requests, the longest wait first, so that
+// services that share a target take turns.
+func (c *Controller) byLongestWait() []route.ServiceID {
 	var ids []route.ServiceID
 	for id, s := range c.services {
 		if s.waiting > 0 {
@@ -294,14 +293,14 @@
 
 func (c *Controller) refuseAll(s *service) []Decision {
 	var out []Decision
-	for _, w := range s.takeLate(func(*waiter) bool { return true }) {
+	for _, w := range s.removeMatching(func(*waiter) bool { return true }) {
 		out = append(out, c.refusal(w.ticket, NoTarget, 0))
 	}
 	return out
 }
 
-// refusal tells when to come back: later when more wait, jittered so that the
-// refused do not return together.
+// refusal returns a refusal with a time after which to retry: longer when more requests wait,
+// with jitter so that refused callers do not all return at once.
 func (c *Controller) refusal(t Ticket, reason Reason, waiting int) Decision {
 	pressure := 1 + float64(waiting)/float64(max(c.opts.MaxQueue, 1))
 	after := time.Duration(float64(c.opts.RetryAfter) * pressure * (1 + 2*c.rnd.Float64()))
@@ -318,7 +317,8 @@
 	return out
 }
 
-// leastLoaded returns the target with the smallest used share that has room.
+// leastLoaded returns the target with headroom and the smallest used share, nil if there is
+// none.
 func leastLoaded(targets []*target, load func(*target) (used, allowed int)) *target {
 	var best *target
 	bestShare := 0.0
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,8 +12,7 @@
 
 var t0 = time.Unix(1_700_000_000, 0)
 
-// model is the oracle: the state of every ticket, told apart by what the
-// controller decided.
+// model is the oracle: the state of every ticket, derived from the decisions of the controller.
 type model struct {
 	state    map[Ticket]string // "waiting", "running", "over"
 	offer    map[Ticket]Offer
@@ -24,10 +23,9 @@
 	requests map[string]int
 }
 
-// TestEveryTicketIsDecidedOnce drives a controller by random offers, ends,
-// cancellations, drains and time. Every ticket runs at most once, waits no
-// longer than it may, and nothing new reaches a target that drains. Points 4,
-// 6 and 9.
+// TestEveryTicketIsDecidedOnce drives a controller by random offers, completions,
+// cancellations, drains and time. Every ticket runs at most once and waits no longer than
+// MaxWait, and no new request reaches a target that drains. Points 4, 6 and 9.
 func TestEveryTicketIsDecidedOnce(t *testing.T) {
 	opts := Defaults()
 	opts.MaxQueue = 6
@@ -45,10 +43,10 @@
 					m.state[d.Ticket] = "waiting"
 				case Refuse:
 					m.state[d.Ticket] = "over"
-					require.GreaterOrEqual(t, d.RetryAfter, opts.RetryAfter, "told when to come back")
+					require.GreaterOrEqual(t, d.RetryAfter, opts.RetryAfter, "a refusal carries a time to retry after")
 				case Run:
 					m.state[d.Ticket], m.target[d.Ticket] = "running", d.Target
-					require.True(t, m.ready[d.Target], "new work for a target that takes none")
+					require.True(t, m.ready[d.Target], "new request at a target that is not ready")
 					if o := m.offer[d.Ticket]; !o.Deadline.IsZero() {
 						require.True(t, now.Before(o.Deadline), "ran past its deadline")
 					}
@@ -70,7 +68,7 @@
 			m.ready[name] = rapid.Bool().Draw(t, "ready")
 			m.slots[name] = rapid.IntRange(1, 3).Draw(t, "slots")
 			if n := m.requests[name]; n > 4*m.slots[name] {
-				m.slots[name] = 3 // the bound may fall below what runs
+				m.slots[name] = 3 // the limit may fall below the requests in progress
 			}
 			take(c.SetTarget(now, name, TargetSpec{Slots: m.slots[name], Requests: 4 * m.slots[name], Streams: 2, Ready: m.ready[name]}))
 		}
@@ -107,20 +105,20 @@
 				}
 			},
 			"freeze": func(t *rapid.T) {
-				// The process stands still: time passes and nothing is looked at.
+				// The process is frozen: time passes and Expire is not called.
 				now = now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
 				take(c.Expire(now))
 				for _, ticket := range inState("waiting") {
-					require.Less(t, now.Sub(m.since[ticket]), opts.MaxWait, "held back")
+					require.Less(t, now.Sub(m.since[ticket]), opts.MaxWait, "waited for MaxWait or longer")
 				}
 			},
 			"": func(t *rapid.T) {
 				require.LessOrEqual(t, len(inState("waiting")), opts.MaxQueue)
 				if !m.ready["a"] && !m.ready["b"] {
-					require.Empty(t, inState("waiting"), "nobody waits for nothing")
+					require.Empty(t, inState("waiting"), "no request waits without a ready target")
 				}
 			},
 		})
@@ -175,7 +173,7 @@
 	require.LessOrEqual(t, len(c.services[1].workspaces), opts.MaxWorkspaces+1)
 }
 
-func TestShedLowersTheLimitAndSuccessRaisesIt(t *testing.T) {
+func TestLimitFollowsShedRequestsAndLatency(t *testing.T) {
 	l := newLimit(DefaultLimit())
 	l.setBounds(2, 20)
 	require.Equal(t, 2, l.allowed())
@@ -183,7 +181,7 @@
 	run := func(windows int, latency time.Duration) {
 		for range windows * 20 {
 			now = now.Add(10 * time.Millisecond)
-			l.done(now, Result{Outcome: Succeeded, Comparable: true}, latency)
+			l.observe(now, Result{Outcome: Succeeded, Comparable: true}, latency)
 		}
 	}
 	run(40, 10*time.Millisecond)
@@ -192,7 +190,7 @@
 	require.Equal(t, 2, l.allowed(), "never below the slots")
 	run(40, 10*time.Millisecond)
 	require.Equal(t, 20, l.allowed())
-	l.done(now, Result{Outcome: Shed}, 0)
-	l.done(now, Result{Outcome: Shed}, 0)
+	l.observe(now, Result{Outcome: Shed}, 0)
+	l.observe(now, Result{Outcome: Shed}, 0)
 	require.Equal(t, 16, l.allowed(), "refusals of one moment count once")
 }
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,15 +1,15 @@
-// Package admission decides, at the agent, which request runs next and where.
+// Package admission decides, at the agent, which request runs next and at which target.
 //
-// Each target has a concurrency limit that adapts to what it bears (additive
-// increase, multiplicative decrease; Chiu and Jain, 1989). When no target of a
-// service has room, requests wait in short queues, one for each workspace, served
-// by start-time fair queueing (Goyal, Vin and Cheng, 1996) with the workspaces'
-// weights; what one workspace leaves unused the others get. A request is charged
-// the time it held a slot, so that slow requests do not win share.
+// Each target has an adaptive concurrency limit (additive increase, multiplicative decrease;
+// Chiu and Jain, 1989). When no target of a service has headroom, requests wait in short
+// queues, one for each workspace, served by start-time fair queueing (Goyal, Vin and Cheng,
+// 1996) with the weights of the workspaces; the share that one workspace leaves unused goes
+// to the others. A request is charged for the time that it held a slot, so that a workspace
+// gains no share by slow requests.
 //
-// A full queue drops from the workspace with the most waiting per weight, and
-// what is given up on is refused at once with a time to come back.
+// A full queue drops a request of the workspace with the most waiting requests per weight.
+// Dropped requests are refused at once, with a time after which to retry.
 //
-// Everything is pure: time and randomness are arguments, waiting is the
-// caller's business.
+// All functions are pure: time and randomness are arguments, and the caller implements the
+// waiting.
 package admission
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -2,64 +2,62 @@
 
 import "time"
 
-// LimitOptions are the bounds of an adaptive limit.
+// LimitOptions are the parameters of an adaptive limit.
 type LimitOptions struct {
 	// Backoff is the factor of a decrease.
 	Backoff float64
-	// Window is the least span, and WindowRequests the least number, of
-	// requests whose mean latency is judged.
+	// Window is the least time, and WindowRequests the least number of requests, over which a mean
+	// latency is evaluated.
 	Window         time.Duration
 	WindowRequests int
-	// Tolerance is how many times its base latency a target may take before
-	// it counts as overloaded.
+	// Tolerance is the multiple of its base latency from which on a target counts as overloaded.
 	Tolerance float64
-	// BaseLife is how long a base latency is believed; then it is measured
-	// anew with the limit halved for a moment.
-	BaseLife time.Duration
+	// BaseLatencyMaxAge is how long a base latency is valid; then it is measured again, with the
+	// limit halved meanwhile.
+	BaseLatencyMaxAge time.Duration
 }
 
 // DefaultLimit returns the options in use.
 func DefaultLimit() LimitOptions {
 	return LimitOptions{
-		Backoff:        0.8,
-		Window:         100 * time.Millisecond,
-		WindowRequests: 20,
-		Tolerance:      2,
-		BaseLife:       30 * time.Second,
+		Backoff:           0.8,
+		Window:            100 * time.Millisecond,
+		WindowRequests:    20,
+		Tolerance:         2,
+		BaseLatencyMaxAge: 30 * time.Second,
 	}
 }
 
-// minBase is the least base latency compared with: below it jitter of the
-// machine dominates.
-const minBase = 5 * time.Millisecond
+// minBaseLatency is the least base latency used in the comparison; below it scheduling jitter
+// of the machine dominates.
+const minBaseLatency = 5 * time.Millisecond
 
-// growth is the share by which a limit rises after a good window.
-const growth = 0.1
+// growthShare is the share by which a limit rises after a window within the tolerance.
+const growthShare = 0.1
 
-// probe is the state of measuring the base latency anew.
-type probe uint8
+// probeState is the state of a new measurement of the base latency.
+type probeState uint8
 
 const (
-	notProbing probe = iota
-	// settling lets the requests from before the halving end.
+	notProbing probeState = iota
+	// settling waits for the requests from before the halving to end.
 	settling
-	// measuring takes the next window's mean as the base.
+	// measuring takes the mean of the next window as the base latency.
 	measuring
 )
 
-// limit is one target's adaptive concurrency limit. It compares the mean
-// latency of a window with the lowest such mean, not single requests: a
-// service mixes quick and slow work. The limit never falls below the slots
-// that the target announced.
+// limit is the adaptive concurrency limit of one target. It compares the mean latency of a window
+// with the lowest such mean, not single requests, because a service mixes quick and slow
+// requests. The limit never falls below the slots that the target announced.
 type limit struct {
 	opts     LimitOptions
 	min, max float64
-	cur      float64
+	current  float64
 
-	base   time.Duration
-	baseAt time.Time
-	probe  probe
-	// restore is the limit to go back to after a probe.
+	baseLatency time.Duration
+	baseAt      time.Time
+	probe       probeState
+	// restore is the limit to return to after a probe.
 	restore float64
 
 	sum         time.Duration
@@ -68,23 +66,23 @@
 	decreasedAt time.Time
 }
 
-// newLimit starts at the slots: a base latency learnt under overload would
-// take overload for normal.
+// newLimit returns a limit that starts at the slots of the target: a base latency measured
+// under overload would make overload the normal state.
 func newLimit(opts LimitOptions) limit { return limit{opts: opts} }
 
 // allowed returns the number of requests that may be in progress.
-func (l *limit) allowed() int { return int(l.cur) }
+func (l *limit) allowed() int { return int(l.current) }
 
 func (l *limit) setBounds(minimum, maximum int) {
 	l.max = float64(maximum)
 	l.min = min(float64(minimum), l.max)
-	l.cur = min(max(l.cur, l.min), l.max)
+	l.current = min(max(l.current, l.min), l.max)
 }
 
-// done learns from one finished request.
-func (l *limit) done(now time.Time, r Result, latency time.Duration) {
+// observe updates the limit after a request.
+func (l *limit) observe(now time.Time, r Result, latency time.Duration) {
 	if r.Outcome == Shed {
-		l.shed(now)
+		l.observeShed(now)
 		return
 	}
 	if r.Outcome != Succeeded || !r.Comparable {
@@ -96,13 +94,14 @@
 	l.sum += latency
 	l.count++
 	if l.count >= l.opts.WindowRequests && now.Sub(l.windowAt) >= l.opts.Window {
-		l.judge(now, l.sum/time.Duration(l.count))
+		l.evaluate(now, l.sum/time.Duration(l.count))
 		l.sum, l.count = 0, 0
 	}
 }
 
-// shed answers a refusal by the target; those of one window count once.
-func (l *limit) shed(now time.Time) {
+// observeShed lowers the limit after a refusal by the target; refusals within one window count
+// once.
+func (l *limit) observeShed(now time.Time) {
 	if now.Sub(l.decreasedAt) < l.opts.Window {
 		return
 	}
@@ -110,23 +109,24 @@
 	l.decrease()
 }
 
-func (l *limit) judge(now time.Time, mean time.Duration) {
+// evaluate adjusts the limit, the base latency or the probe after a window.
+func (l *limit) evaluate(now time.Time, mean time.Duration) {
 	switch {
 	case l.probe == settling:
 		l.probe = measuring
 	case l.probe == measuring:
-		l.probe, l.cur = notProbing, l.restore
-		l.base, l.baseAt = mean, now
-	case l.base == 0 || mean < l.base:
-		l.base, l.baseAt = mean, now
-	case now.Sub(l.baseAt) > l.opts.BaseLife:
-		l.probe, l.restore = settling, l.cur
-		l.cur = max(l.cur/2, l.min)
-	case float64(mean) > l.opts.Tolerance*float64(max(l.base, minBase)):
+		l.probe, l.current = notProbing, l.restore
+		l.baseLatency, l.baseAt = mean, now
+	case l.baseLatency == 0 || mean < l.baseLatency:
+		l.baseLatency, l.baseAt = mean, now
+	case now.Sub(l.baseAt) > l.opts.BaseLatencyMaxAge:
+		l.probe, l.restore = settling, l.current
+		l.current = max(l.current/2, l.min)
+	case float64(mean) > l.opts.Tolerance*float64(max(l.baseLatency, minBaseLatency)):
 		l.decrease()
 	default:
-		l.cur = min(l.cur+max(1, l.cur*growth), l.max)
+		l.current = min(l.current+max(1, l.current*growthShare), l.max)
 	}
 }
 
-func (l *limit) decrease() { l.cur = max(l.cur*l.opts.Backoff, l.min) }
+func (l *limit) decrease() { l.current = max(l.current*l.opts.Backoff, l.min) }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// overflowWorkspace stands for all workspaces past MaxWorkspaces.
+// overflowWorkspace stands for all workspaces beyond MaxWorkspaces.
 const overflowWorkspace = ""
 
 // waiter is a request in a queue.
@@ -16,53 +16,53 @@
 	since  time.Time
 }
 
-// workspace is one workspace's queue and its account of virtual time.
+// workspace is the queue of one workspace and its virtual time.
 type workspace struct {
 	queue []waiter
-	// finish is the virtual time up to which the workspace has been served.
-	finish float64
-	// cost is the mean time in seconds that its requests hold a slot.
+	// virtualFinish is the virtual time up to which the workspace has been served.
+	virtualFinish float64
+	// cost is the mean time that its requests hold a slot, in seconds.
 	cost float64
-	// inProgress keeps the account while requests run.
+	// inProgress counts running requests; the workspace is not evicted meanwhile.
 	inProgress int
 }
 
 const (
-	// initialCost is assumed of a workspace's first request, in seconds.
+	// initialCost is the assumed cost of a workspace's first request, in seconds.
 	initialCost = 0.01
 	// costGain is the weight of a new observation in the mean cost.
 	costGain = 0.2
 )
 
-// settle corrects the charge of a finished request to the time it took.
-func (m *workspace) settle(held time.Duration, charged float64, weight int) {
-	m.inProgress--
-	took := held.Seconds()
-	m.finish += (took - charged) / float64(max(weight, 1))
-	m.cost += costGain * (took - m.cost)
+// correctCharge replaces the charge of a finished request by the time that it held its slot.
+func (ws *workspace) correctCharge(slotTime time.Duration, charged float64, weight int) {
+	ws.inProgress--
+	took := slotTime.Seconds()
+	ws.virtualFinish += (took - charged) / float64(max(weight, 1))
+	ws.cost += costGain * (took - ws.cost)
 }
 
-// service is the queues of one service.
+// service holds the queues of one service.
 type service struct {
 	opts       Options
 	targets    []string
 	workspaces map[string]*workspace
 	waiting    int
-	// virtual is the start tag of the request last served.
-	virtual float64
+	// virtualTime is the start tag of the request served last.
+	virtualTime float64
 }
 
 func newService(opts Options) *service {
 	return &service{opts: opts, workspaces: map[string]*workspace{}}
 }
 
-// enqueue adds a request and returns those that must give way.
+// enqueue adds a request and returns those dropped because the queue is full.
 func (s *service) enqueue(w waiter) []waiter {
-	m := s.workspace(w.offer.Workspace)
-	if len(m.queue) == 0 {
-		m.finish = max(m.finish, s.virtual)
+	ws := s.workspace(w.offer.Workspace)
+	if len(ws.queue) == 0 {
+		ws.virtualFinish = max(ws.virtualFinish, s.virtualTime)
 	}
-	m.queue = append(m.queue, w)
+	ws.queue = append(ws.queue, w)
 	s.waiting++
 	var dropped []waiter
 	for s.waiting > s.opts.MaxQueue {
@@ -72,46 +72,46 @@
 }
 
 func (s *service) workspace(name string) *workspace {
-	if m, ok := s.workspaces[name]; ok {
-		return m
+	if ws, ok := s.workspaces[name]; ok {
+		return ws
 	}
 	if len(s.workspaces) >= s.opts.MaxWorkspaces {
-		s.forgetIdle()
+		s.evictIdle()
 	}
 	if len(s.workspaces) >= s.opts.MaxWorkspaces {
 		name = overflowWorkspace
 	}
-	if m, ok := s.workspaces[name]; ok {
-		return m
+	if ws, ok := s.workspaces[name]; ok {
+		return ws
 	}
-	m := &workspace{cost: initialCost, finish: s.virtual}
-	s.workspaces[name] = m
-	return m
+	ws := &workspace{cost: initialCost, virtualFinish: s.virtualTime}
+	s.workspaces[name] = ws
+	return ws
 }
 
-// forgetIdle drops workspaces without work whose account is behind: they would
-// start at the present anyhow.
-func (s *service) forgetIdle() {
-	for name, m := range s.workspaces {
-		if len(m.queue) == 0 && m.inProgress == 0 && m.finish <= s.virtual {
+// evictIdle deletes workspaces without requests whose virtual time is in the past: on their
+// return they would start at the present in any case.
+func (s *service) evictIdle() {
+	for name, ws := range s.workspaces {
+		if len(ws.queue) == 0 && ws.inProgress == 0 && ws.virtualFinish <= s.virtualTime {
 			delete(s.workspaces, name)
 		}
 	}
 }
 
-// dropLongest removes the latest request of the workspace with the most waiting
-// per weight.
+// dropLongest removes the latest request of the workspace with the most waiting requests per
+// weight.
 func (s *service) dropLongest() waiter {
 	var longest *workspace
 	most := -1.0
-	for _, m := range s.workspaces {
-		if len(m.queue) == 0 {
+	for _, ws := range s.workspaces {
+		if len(ws.queue) == 0 {
 			continue
 		}
-		last := m.queue[len(m.queue)-1]
-		length := float64(len(m.queue)) / float64(max(last.offer.Weight, 1))
+		last := ws.queue[len(ws.queue)-1]
+		length := float64(len(ws.queue)) / float64(max(last.offer.Weight, 1))
 		if length > most || (length == most && last.ticket > longest.queue[len(longest.queue)-1].ticket) {
-			longest, most = m, length
+			longest, most = ws, length
 		}
 	}
 	w := longest.queue[len(longest.queue)-1]
@@ -120,48 +120,48 @@
 	return w
 }
 
-// dequeue takes the next request in fair order; something must wait.
+// dequeue removes and returns the next request in fair order; at least one must be waiting.
 func (s *service) dequeue() (waiter, *workspace) {
 	var next *workspace
-	for _, m := range s.workspaces {
-		if len(m.queue) == 0 {
+	for _, ws := range s.workspaces {
+		if len(ws.queue) == 0 {
 			continue
 		}
-		if next == nil || earlier(m, next) {
-			next = m
+		if next == nil || earlier(ws, next) {
+			next = ws
 		}
 	}
 	w := next.queue[0]
 	next.queue = next.queue[1:]
 	s.waiting--
-	s.virtual = max(s.virtual, next.finish)
+	s.virtualTime = max(s.virtualTime, next.virtualFinish)
 	return w, next
 }
 
-// earlier orders workspaces by start tag, ties by the older request.
+// earlier reports whether workspace a is served before b: by start tag, then by the older request.
 func earlier(a, b *workspace) bool {
-	if a.finish != b.finish {
-		return a.finish < b.finish
+	if a.virtualFinish != b.virtualFinish {
+		return a.virtualFinish < b.virtualFinish
 	}
 	return a.queue[0].ticket < b.queue[0].ticket
 }
 
-// charge books the expected cost of a request that starts and returns it.
-func (s *service) charge(m *workspace, weight int) float64 {
-	m.inProgress++
-	m.finish += m.cost / float64(max(weight, 1))
-	return m.cost
+// charge adds the expected cost of a request that starts to its workspace and returns it.
+func (s *service) charge(ws *workspace, weight int) float64 {
+	ws.inProgress++
+	ws.virtualFinish += ws.cost / float64(max(weight, 1))
+	return ws.cost
 }
 
 func (s *service) remove(t Ticket) bool {
-	return len(s.takeLate(func(w *waiter) bool { return w.ticket == t })) > 0
+	return len(s.removeMatching(func(w *waiter) bool { return w.ticket == t })) > 0
 }
 
-// takeLate removes and returns the waiting requests that match, oldest first.
-func (s *service) takeLate(match func(*waiter) bool) []waiter {
+// removeMatching removes and returns the waiting requests that match, oldest first.
+func (s *service) removeMatching(match func(*waiter) bool) []waiter {
 	var out []waiter
-	for _, m := range s.workspaces {
-		m.queue = slices.DeleteFunc(m.queue, func(w waiter) bool {
+	for _, ws := range s.workspaces {
+		ws.queue = slices.DeleteFunc(ws.queue, func(w waiter) bool {
 			if !match(&w) {
 				return false
 			}
@@ -174,12 +174,12 @@
 	return out
 }
 
-// oldest returns when the longest waiting request came.
+// oldest returns the arrival time of the request that has waited longest.
 func (s *service) oldest() time.Time {
 	first := time.Unix(math.MaxInt32, 0)
-	for _, m := range s.workspaces {
-		if len(m.queue) > 0 && m.queue[0].since.Before(first) {
-			first = m.queue[0].since
+	for _, ws := range s.workspaces {
+		if len(ws.queue) > 0 && ws.queue[0].since.Before(first) {
+			first = ws.queue[0].since
 		}
 	}
 	return first
--- a/admission/types.go
+++ b/admission/types.go
@@ -6,14 +6,14 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// Class tells how a request uses a target.
+// Class is the way in which a request uses a target.
 type Class uint8
 
 const (
-	// Request is short work that takes part in the adaptive limit.
+	// Request is a short request, subject to the adaptive limit.
 	Request Class = iota
-	// Stream is a long answer such as a board stream; it has a limit of its
-	// own and never waits.
+	// Stream is a request with a long answer, such as a board stream; streams have a limit of
+	// their own and never wait.
 	Stream
 )
 
@@ -27,15 +27,15 @@
 	Failed
 	// Shed means that the target refused for load.
 	Shed
-	// Cancelled means that the caller gave up; it says nothing of the target.
+	// Cancelled means that the caller gave up; it implies nothing about the target.
 	Cancelled
 )
 
-// Result is an Outcome with what it says of the target's speed.
+// Result is an Outcome and whether its latency is that of the target.
 type Result struct {
 	Outcome Outcome
-	// Comparable tells that the time taken is the target's own: no long body
-	// in either direction, whose time is the caller's.
+	// Comparable reports that the latency is the target's own: there was no long body in either
+	// direction, whose transfer time depends on the caller.
 	Comparable bool
 }
 
@@ -52,13 +52,13 @@
 // Options are the limits of a controller.
 type Options struct {
 	Limit LimitOptions
-	// MaxQueue bounds the waiting requests of one service.
+	// MaxQueue is the most waiting requests of one service.
 	MaxQueue int
 	// MaxWait is the longest time in the queue.
 	MaxWait time.Duration
-	// MaxWorkspaces bounds the workspaces told apart in one service.
+	// MaxWorkspaces is the most workspaces with queues of their own in one service.
 	MaxWorkspaces int
-	// RetryAfter is the least time that a refused caller is told to wait.
+	// RetryAfter is the least time after which a refused caller is asked to retry.
 	RetryAfter time.Duration
 }
 
@@ -73,33 +73,33 @@
 	}
 }
 
-// Offer is a request that asks to run.
+// Offer is a request submitted for admission.
 type Offer struct {
 	Service   route.ServiceID
 	Workspace string
 	// Weight is the workspace's share; at least 1.
 	Weight int
 	Class  Class
-	// Deadline is when the caller gives up; zero is never.
+	// Deadline is when the caller gives up; zero means never.
 	Deadline time.Time
 }
 
-// Ticket names a request inside a controller.
+// Ticket identifies a request in a controller.
 type Ticket uint64
 
-// Verb tells what to do with an offer.
+// Verb is the action that a Decision asks for.
 type Verb uint8
 
 const (
-	// Refuse answers at once; nothing ran.
+	// Refuse means that the request is refused and has not run.
 	Refuse Verb = iota
-	// Run hands the request to Target.
+	// Run means that the request is to be dispatched to Target.
 	Run
-	// Wait keeps the ticket until a Decision for it comes.
+	// Wait means that the request is queued until another Decision for its ticket.
 	Wait
 )
 
-// Decision is the controller's word on one ticket.
+// Decision is the decision of a controller on one ticket.
 type Decision struct {
 	Ticket     Ticket
 	Verb       Verb
@@ -108,12 +108,12 @@
 	RetryAfter time.Duration
 }
 
-// TargetSpec describes what a target may bear.
+// TargetSpec describes the capacity and state of a target.
 type TargetSpec struct {
 	Slots int
 	// Requests and Streams are the limits of the whole target.
 	Requests, Streams int
-	// Ready is false while the target drains or is ejected: it gets nothing
-	// new, what runs goes on.
+	// Ready is false while the target drains or is ejected: it gets no new requests, and
+	// those in progress continue.
 	Ready bool
 }
