--- a/outlier/doc.go
+++ b/outlier/doc.go
@@ -1,11 +1,11 @@
-// Package outlier tells a target that fails more than its peers from noise.
+// Package outlier detects targets that fail significantly more often than their peers.
 //
-// Two judges are here, compared on the same traces by `make ejection`: a plain
-// threshold on the failure rate, and the conditional binomial test of one
-// group's failure rate against the rest's, as discussed in "Breaking
-// Hypothesis Testing for Failure Rates": given the failures of both together,
-// the target's own are Binomial(total failures, own share of the trials) when
-// the rates are equal. docs/DESIGN.md has the figures and which one is used.
+// It has two detection policies, compared on the same traces by `make ejection`: a plain
+// threshold on the failure rate, and the conditional binomial test of the failure rate of one
+// group against that of the rest, as discussed in "Breaking Hypothesis Testing for Failure
+// Rates": given the failures of both together, those of the target are Binomial(total
+// failures, its share of the trials) if the rates are equal. docs/DESIGN.md has the figures
+// and the policy in use.
 //
-// Everything is pure: time is an argument.
+// All functions are pure: time is an argument.
 package outlier
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Counts are outcomes over a window.
+// Counts holds the outcomes over a window.
 type Counts struct {
 	Trials, Failures float64
 }
@@ -16,7 +16,7 @@
 	return Counts{c.Trials + o.Trials, c.Failures + o.Failures}
 }
 
-// Rate returns the failures per trial.
+// Rate returns the failures per trial, zero without trials.
 func (c Counts) Rate() float64 {
 	if c.Trials == 0 {
 		return 0
@@ -24,13 +24,12 @@
 	return c.Failures / c.Trials
 }
 
-// Judge decides whether a target with the given counts is to be ejected,
-// compared with its peers.
+// Judge decides whether a target with the given counts is ejected, compared with its peers.
 type Judge interface {
 	Eject(own, peers Counts) bool
 }
 
-// Threshold ejects above a failure rate once there are enough trials.
+// Threshold ejects a target whose failure rate is at least Rate, once there are MinTrials trials.
 type Threshold struct {
 	MinTrials float64
 	Rate      float64
@@ -41,15 +40,15 @@
 	return own.Trials >= t.MinTrials && own.Rate() >= t.Rate
 }
 
-// Binomial ejects when so many failures would be rarer than Alpha if the
-// target were like its peers.
+// Binomial ejects a target if the probability of so many failures, assuming the failure rate of
+// its peers, is below Alpha.
 type Binomial struct {
 	Alpha float64
-	// Prior stands in for peers with few trials: what a healthy service shows,
-	// so that a target without peers can be judged too.
+	// Prior stands in for peers with few trials, with the outcomes of a healthy service, so that a
+	// target without peers can be evaluated too.
 	Prior Counts
-	// MinRate spares a target whose rate is low in itself, however
-	// significant the difference.
+	// MinRate is the failure rate below which a target is never ejected, however significant the
+	// difference.
 	MinRate float64
 }
 
@@ -66,20 +65,20 @@
 	return 1-dist.CDF(own.Failures-1) < b.Alpha
 }
 
-// prior fades as peers speak for themselves: when all targets fail, none is an
-// outlier.
+// prior returns the prior with a weight that decreases with the trials of the peers: when all
+// targets fail, none is an outlier.
 func (b Binomial) prior(peers Counts) Counts {
 	weight := max(0, 1-peers.Trials/b.Prior.Trials)
 	return Counts{b.Prior.Trials * weight, b.Prior.Failures * weight}
 }
 
-// Options are the periods of a detector.
+// Options are the periods of a Detector.
 type Options struct {
-	// Bucket is the width of one count; Buckets of them make the window.
+	// Bucket is the duration of one bucket of counts; Buckets of them make the window.
 	Bucket  time.Duration
 	Buckets int
-	// BaseEjection is how long a first ejection lasts; each further one in a
-	// row doubles it up to MaxEjection.
+	// BaseEjection is the duration of the first ejection; each further one in a row doubles it, up
+	// to MaxEjection.
 	BaseEjection, MaxEjection time.Duration
 }
 
@@ -93,22 +92,22 @@
 	}
 }
 
-// DefaultJudge returns the judge in use (see docs/DESIGN.md for the figures).
+// DefaultJudge returns the policy in use; docs/DESIGN.md has the figures.
 func DefaultJudge() Judge {
 	return Binomial{Alpha: 1e-5, Prior: Counts{Trials: 200, Failures: 4}, MinRate: 0.2}
 }
 
 type window struct {
 	counts []Counts
-	// at is the index of the bucket in counts[0].
-	at int64
+	// newest is the index of the bucket in counts[0].
+	newest int64
 
-	ejectedTill time.Time
-	streak      int
+	ejectedUntil time.Time
+	streak       int
 }
 
-// Detector keeps the windows of the targets of one host. It is not safe for
-// concurrent use; its owner holds a lock.
+// Detector holds the windows of the targets of one host. It is not safe for concurrent use; its
+// owner holds a lock.
 type Detector struct {
 	opts    Options
 	judge   Judge
@@ -120,37 +119,37 @@
 	return &Detector{opts: opts, judge: judge, targets: map[string]*window{}}
 }
 
-// Remove forgets a target.
+// Remove removes a target.
 func (d *Detector) Remove(target string) { delete(d.targets, target) }
 
-// Report takes one outcome and tells whether the target is ejected by it.
+// Report records one outcome and reports whether the target is ejected because of it.
 func (d *Detector) Report(now time.Time, target string, failed bool) bool {
 	w, ok := d.targets[target]
 	if !ok {
 		w = &window{}
 		d.targets[target] = w
 	}
-	w.add(d.bucket(now), d.opts.Buckets, failed)
-	if now.Before(w.ejectedTill) {
+	w.add(d.bucketAt(now), d.opts.Buckets, failed)
+	if now.Before(w.ejectedUntil) {
 		return false
 	}
 	if !failed {
-		d.calm(now, w)
+		d.resetStreak(now, w)
 		return false
 	}
-	if !d.fails(now, target, w) {
+	if !d.isOutlier(now, target, w) {
 		return false
 	}
 	d.eject(now, w)
 	return true
 }
 
-// fails tells whether a target is an outlier over any span up to now: one that has
-// begun to fail a moment ago is not spared for having done well before. Its peers
-// speak for the whole window, for in a short span they say little.
-func (d *Detector) fails(now time.Time, target string, w *window) bool {
+// isOutlier reports whether a target is an outlier over any time span up to now, so that earlier
+// successes don't delay the ejection of a target that has just begun to fail. The peers are
+// counted over the whole window, because a short span has too few of their trials.
+func (d *Detector) isOutlier(now time.Time, target string, w *window) bool {
 	var own Counts
-	peers := d.peers(now, target)
+	peers := d.peerCounts(now, target)
 	for _, bucket := range w.counts {
 		own = own.Add(bucket)
 		if bucket.Failures > 0 && d.judge.Eject(own, peers) {
@@ -160,21 +159,22 @@
 	return false
 }
 
-func (d *Detector) bucket(now time.Time) int64 { return now.UnixNano() / int64(d.opts.Bucket) }
+func (d *Detector) bucketAt(now time.Time) int64 { return now.UnixNano() / int64(d.opts.Bucket) }
 
-// calm ends a streak once a target has done well for a whole window.
-func (d *Detector) calm(now time.Time, w *window) {
+// resetStreak ends a streak of ejections when a target succeeds more than a whole window after
+// the last one ended.
+func (d *Detector) resetStreak(now time.Time, w *window) {
 	span := d.opts.Bucket * time.Duration(d.opts.Buckets)
-	if w.streak > 0 && now.Sub(w.ejectedTill) > span {
+	if w.streak > 0 && now.Sub(w.ejectedUntil) > span {
 		w.streak = 0
 	}
 }
 
 func (d *Detector) eject(now time.Time, w *window) {
 	length := min(d.opts.BaseEjection<<w.streak, d.opts.MaxEjection)
-	w.ejectedTill = now.Add(length)
+	w.ejectedUntil = now.Add(length)
 	w.streak = min(w.streak+1, 8)
-	// The window restarts: old failures must not eject again at once.
+	// The window starts empty: old failures must not cause another ejection at once.
 	w.counts = nil
 }
 
@@ -184,19 +184,19 @@
 	if !ok {
 		return Counts{}
 	}
-	w.advance(d.bucket(now), d.opts.Buckets)
+	w.advance(d.bucketAt(now), d.opts.Buckets)
 	return w.sum()
 }
 
-// Ejected tells whether the target gets no new work.
+// Ejected reports whether the target is ejected: it gets no new requests.
 func (d *Detector) Ejected(now time.Time, target string) bool {
 	w, ok := d.targets[target]
-	return ok && now.Before(w.ejectedTill)
+	return ok && now.Before(w.ejectedUntil)
 }
 
-func (d *Detector) peers(now time.Time, except string) Counts {
+func (d *Detector) peerCounts(now time.Time, except string) Counts {
 	var sum Counts
-	at := d.bucket(now)
+	at := d.bucketAt(now)
 	for name, w := range d.targets {
 		if name != except {
 			w.advance(at, d.opts.Buckets)
@@ -216,11 +216,11 @@
 
 // advance moves the window so that counts[0] is the bucket at.
 func (w *window) advance(at int64, n int) {
-	if w.counts == nil || at-w.at >= int64(n) {
-		w.counts, w.at = make([]Counts, n), at
+	if w.counts == nil || at-w.newest >= int64(n) {
+		w.counts, w.newest = make([]Counts, n), at
 		return
 	}
-	for ; w.at < at; w.at++ {
+	for ; w.newest < at; w.newest++ {
 		copy(w.counts[1:], w.counts)
 		w.counts[0] = Counts{}
 	}
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -10,8 +10,8 @@
 
 var t0 = time.Unix(1_700_000_000, 0)
 
-// TestWindowCountsWhatItShould compares the ring of buckets with a list.
-func TestWindowCountsWhatItShould(t *testing.T) {
+// TestWindowCountsMatchFullHistory compares the ring of buckets with a list of all outcomes.
+func TestWindowCountsMatchFullHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(Defaults(), Threshold{MinTrials: 1e9})
 		type outcome struct {
@@ -22,7 +22,7 @@
 		now := t0
 		t.Repeat(map[string]func(*rapid.T){
 			"report": func(t *rapid.T) {
-				o := outcome{d.bucket(now), rapid.Bool().Draw(t, "failed")}
+				o := outcome{d.bucketAt(now), rapid.Bool().Draw(t, "failed")}
 				all = append(all, o)
 				d.Report(now, "a", o.failed)
 				var want Counts
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestEjectionGrowsAndHeals(t *testing.T) {
+func TestEjectionTimeDoublesAndResets(t *testing.T) {
 	d := New(Defaults(), DefaultJudge())
 	now := t0
 	fail := func() time.Duration {
@@ -65,14 +65,14 @@
 		now = now.Add(100 * time.Millisecond)
 		d.Report(now, "a", false)
 	}
-	require.Equal(t, first, fail(), "a target that did well starts over")
+	require.Equal(t, first, fail(), "the streak ends after a window of successes")
 }
 
-func TestJudges(t *testing.T) {
+func TestBinomialPolicy(t *testing.T) {
 	b := DefaultJudge()
 	require.False(t, b.Eject(Counts{100, 0}, Counts{}))
-	require.True(t, b.Eject(Counts{20, 20}, Counts{}), "alone and dead")
-	require.False(t, b.Eject(Counts{100, 50}, Counts{400, 200}), "all fail alike")
+	require.True(t, b.Eject(Counts{20, 20}, Counts{}), "no peers, all requests fail")
+	require.False(t, b.Eject(Counts{100, 50}, Counts{400, 200}), "all targets fail equally")
 	require.True(t, b.Eject(Counts{100, 50}, Counts{400, 4}))
-	require.False(t, b.Eject(Counts{1000, 30}, Counts{4000, 4}), "significant but low")
+	require.False(t, b.Eject(Counts{1000, 30}, Counts{4000, 4}), "significant, but below MinRate")
 }
