--- a/backlog/overload.go
+++ b/backlog/overload.go
@@ -15,22 +15,22 @@
 	// for 0.78 of the time and must not count as having a backlog.
 	backlogBeginShare = 0.9
 	backlogEndShare   = 0.8
-	// minBacklogAge and persistentWaitTime are how long a backlog must last, as shares of a
-	// deadline, to count as an overload: minBacklogAge for a growing backlog, so that it is no
-	// chance; persistentWaitTime for one that does not grow. After an outage of one deadline all
-	// callers of that time are served or gone within the next deadline, and a target at 0.7 of
-	// its capacity needs one more.
+	// minBacklogAge and persistentWaitTime are shares of a deadline. A growing backlog counts as
+	// an overload only after minBacklogAge, so that it is not a burst by chance. One that does
+	// not grow counts after requests have waited, as persistentWait defines, for
+	// persistentWaitTime: after an outage of one deadline all callers of that time are served or
+	// gone within the next deadline, and a target at 0.7 of its capacity needs one more.
 	minBacklogAge      = 0.25
 	persistentWaitTime = 2.0
 	// minLag is the share of a deadline that the target must need for the requests that wait,
 	// or that have arrived since the slots filled and are not answered. Chance does not take a
 	// target below its capacity that far behind.
 	minLag = 1.0 / 3
-	// persistentWait is the share of a deadline that requests must wait, without a break, for a
-	// backlog that does not grow to count as an overload.
+	// persistentWait is the share of a deadline that requests must wait, without a break, in a
+	// backlog that does not grow.
 	persistentWait = 1.0 / 8
-	// outageLossShare is the share of flows whose first opening packet was lost from which on
-	// an outage counts as the cause of a backlog.
+	// outageLossShare is the least share of flows with a lost first opening packet at which an
+	// outage counts as the cause of a backlog.
 	outageLossShare = 0.2
 	// idleFullShare is the share of time without a free slot below which a target was idle.
 	// Lost packets are a sign of an outage only at an idle target: a busy one was reachable,
