--- a/choose/offer.go
+++ b/choose/offer.go
@@ -86,11 +86,11 @@
 	if o.Warming {
 		load *= w.Warming
 	}
-	return time.Duration(load*float64(o.serviceTime(typical))) + w.crossZoneCost(o, typical)
+	return time.Duration(load*float64(o.serviceTime(typical))) + w.crossZoneDelay(o, typical)
 }
 
-// crossZoneCost returns the cost of crossing zones to reach the target.
-func (w Weights) crossZoneCost(o Offer, typical time.Duration) time.Duration {
+// crossZoneDelay returns the cost of crossing zones to reach the target, as a delay.
+func (w Weights) crossZoneDelay(o Offer, typical time.Duration) time.Duration {
 	switch {
 	case !o.OtherZone:
 		return 0
