--- a/choose/offer.go
+++ b/choose/offer.go
@@ -64,8 +64,8 @@
 // maxObserved is the largest number of observed service times that the median is taken of.
 const maxObserved = 16
 
-// serviceTime returns how long the target works on a request, if all its slots are equally
-// fast.
+// serviceTime returns how long the target works on a request if all its slots are equally
+// fast, and typical where that was not observed.
 func (o Offer) serviceTime(typical time.Duration) time.Duration {
 	if o.Each > 0 {
 		return o.Each * time.Duration(max(o.Slots, 1))
