--- a/flow/config.go
+++ b/flow/config.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Config is the operator's configuration, decoded whole and valid.
+// Config is the operator's configuration, completely decoded and validated.
 type Config struct {
-	// Version orders configurations; it only rises.
+	// Version orders configurations; it never decreases.
 	Version int64
-	// Routes maps each front address to where its flows go.
+	// Routes maps each front address to the route of its flows.
 	Routes map[Front]*Route
-	// ColdRates are how many requests a second a target of a service bears while it is
-	// cold; a service that is not there states no bound.
+	// ColdRates are the request rates, in requests per second, that a cold target of each
+	// service can sustain. A service without an entry has no limit.
 	ColdRates map[Tag]float64
-	// IdleTimeout is the age from which an idle flow may be forgotten.
+	// IdleTimeout is the idle time after which the state of a flow may be discarded.
 	IdleTimeout time.Duration
 }
 
 // Route sends the new flows of one front address to services.
 type Route struct {
 	Name string
-	// Backends are the services with their shares; at least one.
+	// Backends are the services with their weights; there is at least one.
 	Backends []Backend
-	// Priority orders routes when not all new flows can be served; 0 is highest.
+	// Priority orders routes when not all new flows can be served; 0 is the highest.
 	Priority uint8
-	// Objective is the latency objective of a request, zero when unstated.
+	// Objective is the latency objective of a request; zero if none is configured.
 	Objective time.Duration
-	// Deadline is when a client gives a request up, zero when unstated.
+	// Deadline is the time after which a client gives up on a request; zero if none is configured.
 	Deadline time.Duration
 }
 
@@ -35,8 +35,8 @@
 	Weight int
 }
 
-// Pick chooses the backend of a new flow by weight. The flow's hash decides, so
-// that every balancer and every copy of an opening packet choose alike.
+// Pick selects the backend of a new flow by weight. The result depends on the flow's hash
+// alone, so that all balancers select the same backend, also for a retransmitted SYN.
 func (r *Route) Pick(hash uint64) Backend {
 	total := 0
 	for _, b := range r.Backends {
--- a/flow/doc.go
+++ b/flow/doc.go
@@ -1,11 +1,11 @@
-// Package flow is the vocabulary of opaque flows: connections whose packets the
-// system carries but cannot read or mark. A flow is named by its four addresses
-// and ports; nothing in a packet tells which target serves it.
+// Package flow defines the basic types of opaque flows: connections whose packets the
+// system carries but cannot read or mark. A flow is identified by the addresses and ports
+// of its two ends; nothing in a packet identifies the target that serves it.
 //
-// Ranking is rendezvous hashing (Thaler and Ravishankar, 1998): each target's
-// score depends on the pair of flow and target alone, so that a target that joins
-// or leaves moves only the flows that it gains or loses. Cost: one hash for
-// each target of the service, about 16 ns with its place (BenchmarkRank), no allocation.
+// Targets are ranked by rendezvous hashing (Thaler and Ravishankar, 1998): the score of a
+// target depends only on the flow and that target, so that a target that joins or leaves
+// moves only the flows that it gains or loses. Cost: one hash per target of the service,
+// about 16 ns including its insertion into the ranking (BenchmarkRank), no allocation.
 //
-// Everything is pure: time and randomness are arguments.
+// All functions are pure: time and randomness are arguments.
 package flow
--- a/flow/evacuations.go
+++ b/flow/evacuations.go
@@ -2,66 +2,66 @@
 
 import "slices"
 
-// Limits of evacuations, so that a message holds them whole: 1 KB.
+// Limits of evacuations. All of them fit into one message: 1 KB.
 const (
-	// MaxZoneName is the longest name of an availability zone, in bytes, as the nodes'
-	// settings bound it.
+	// MaxZoneName is the maximum length of an availability zone's name in bytes; the nodes'
+	// settings have the same limit.
 	MaxZoneName = 63
-	// MaxEvacuated bounds the zones that are emptied at the same time.
+	// MaxEvacuated is the maximum number of zones that are evacuated at the same time.
 	MaxEvacuated = 16
 )
 
-// Evacuations are the availability zones whose targets get no new flows, as the
-// operator's store had them at a revision: always the whole of them, so that of two
-// the one of the higher revision holds, whoever tells it. The zero value is what a
-// node knows before it has heard of any. Copies may be shared: zones are replaced, never
-// changed.
+// Evacuations is the set of availability zones whose targets get no new flows, as stored
+// by the operator at a revision. It is always the complete set, so that the one with the
+// higher revision applies, whichever node it was received from. The zero value is the
+// state of a node that has not received any. Copies may share memory: the slices are
+// replaced, never modified.
 type Evacuations struct {
-	// Revision is the store's, of the reading or the last change that this is from.
+	// Revision is the store's revision at the read or the last change that the set is from.
 	Revision int64
-	// zones are sorted by name; tags are theirs, in the same order.
+	// zones are sorted by name; tags are the zones' tags, in the same order.
 	zones []string
 	tags  []Tag
 }
 
-// NewEvacuations returns the evacuations of a revision and the names left out:
-// those that cannot be a zone's, and those beyond MaxEvacuated.
+// NewEvacuations returns the evacuations of a revision, and the names that it rejects:
+// empty or too long ones, and those beyond MaxEvacuated.
 func NewEvacuations(revision int64, zones []string) (Evacuations, []string) {
 	sorted := slices.Compact(slices.Sorted(slices.Values(zones)))
-	var kept, out []string
+	var accepted, rejected []string
 	for _, zone := range sorted {
-		if zone == "" || len(zone) > MaxZoneName || len(kept) == MaxEvacuated {
-			out = append(out, zone)
+		if zone == "" || len(zone) > MaxZoneName || len(accepted) == MaxEvacuated {
+			rejected = append(rejected, zone)
 			continue
 		}
-		kept = append(kept, zone)
+		accepted = append(accepted, zone)
 	}
-	e := Evacuations{Revision: revision, zones: kept}
-	for _, zone := range kept {
+	e := Evacuations{Revision: revision, zones: accepted}
+	for _, zone := range accepted {
 		e.tags = append(e.tags, TagOf(zone))
 	}
-	return e, out
+	return e, rejected
 }
 
-// Zones returns the names of the zones in order; the slice is not to be changed.
+// Zones returns the names of the zones in order; the caller must not modify the slice.
 func (e Evacuations) Zones() []string { return e.zones }
 
-// Has tells whether a zone is emptied. Cost: a comparison for each emptied zone.
+// Has reports whether a zone is evacuated. Cost: one comparison per evacuated zone.
 func (e Evacuations) Has(zone Tag) bool { return slices.Contains(e.tags, zone) }
 
-// Newer tells whether these evacuations replace others.
-func (e Evacuations) Newer(than Evacuations) bool { return e.Revision > than.Revision }
+// Newer reports whether e has a higher revision than other and so replaces it.
+func (e Evacuations) Newer(other Evacuations) bool { return e.Revision > other.Revision }
 
-// TakeOver replaces the evacuations by newer ones. It tells whether the others are newer,
-// and whether other zones are emptied by them than before.
-func (e *Evacuations) TakeOver(next Evacuations) (newer, differ bool) {
+// TakeOver replaces e by next if next is newer. It reports whether next is newer, and
+// whether the set of evacuated zones has changed.
+func (e *Evacuations) TakeOver(next Evacuations) (newer, changed bool) {
 	if !next.Newer(*e) {
 		return false, false
 	}
-	differ = !next.Same(*e)
+	changed = !next.SameZones(*e)
 	*e = next
-	return true, differ
+	return true, changed
 }
 
-// Same tells whether the same zones are emptied, at whatever revision.
-func (e Evacuations) Same(as Evacuations) bool { return slices.Equal(e.zones, as.zones) }
+// SameZones reports whether e and other evacuate the same zones, whatever their revisions.
+func (e Evacuations) SameZones(other Evacuations) bool { return slices.Equal(e.zones, other.zones) }
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// IPv4 is an address in target byte order; the platform's fabric is IPv4 only.
+// IPv4 is an address in host byte order; the platform's network supports IPv4 only.
 type IPv4 uint32
 
-// FromAddr converts an address; anything but IPv4 becomes zero.
+// FromAddr converts an address; it returns zero for anything but IPv4.
 func FromAddr(a netip.Addr) IPv4 {
 	a = a.Unmap()
 	if !a.Is4() {
@@ -22,14 +22,14 @@
 	return IPv4(binary.BigEndian.Uint32(b[:]))
 }
 
-// Addr converts back.
+// Addr returns the address as a netip.Addr.
 func (ip IPv4) Addr() netip.Addr {
 	var b [4]byte
 	binary.BigEndian.PutUint32(b[:], uint32(ip))
 	return netip.AddrFrom4(b)
 }
 
-// ParseAddrPort reads an "IPv4:port" that has been validated.
+// ParseAddrPort parses an "IPv4:port" that has been validated; it panics if it is invalid.
 func ParseAddrPort(text string) (IPv4, uint16) {
 	ap := netip.MustParseAddrPort(text)
 	return FromAddr(ap.Addr()), ap.Port()
@@ -46,15 +46,15 @@
 	return out
 }
 
-// String returns the dotted form.
+// String returns the address in dotted-decimal form.
 func (ip IPv4) String() string { return ip.Addr().String() }
 
-// Tag is a name (of a service, zone or target incarnation) in 32 bits. Tags are
-// compared for equality only; zero stands for "no name".
+// Tag is a 32-bit hash of a name (of a service, zone or target incarnation). Tags are
+// compared for equality only; zero means "no name".
 type Tag uint32
 
-// TagOf hashes a name. Two names of one deployment share a tag with a chance of
-// one in 2^32 for each pair.
+// TagOf returns the tag of a name. Two different names have the same tag with a
+// probability of 2^-32.
 func TagOf(name string) Tag {
 	if name == "" {
 		return 0
@@ -66,27 +66,27 @@
 	return t
 }
 
-// Key names a flow by its two ends.
+// Key identifies a flow by the addresses and ports of its two ends.
 type Key struct {
 	ClientIP, FrontIP     IPv4
 	ClientPort, FrontPort uint16
 }
 
-// String returns "client:port>front:port", the flow ID of logs.
+// String returns "client:port>front:port", the flow ID in logs.
 func (k Key) String() string {
 	return netip.AddrPortFrom(k.ClientIP.Addr(), k.ClientPort).String() + ">" +
 		netip.AddrPortFrom(k.FrontIP.Addr(), k.FrontPort).String()
 }
 
-// SortKeys orders keys by their hashes, so that a run repeats.
+// SortKeys sorts keys by their hashes, which makes runs reproducible.
 func SortKeys(keys []Key) {
 	slices.SortFunc(keys, func(a, b Key) int { return cmp.Compare(a.Hash(), b.Hash()) })
 }
 
-// Front returns the address that the client called.
+// Front returns the front address that the client connected to.
 func (k Key) Front() Front { return Front{k.FrontIP, k.FrontPort} }
 
-// Front is the address and port of a service entrance.
+// Front is an address and port that clients connect to.
 type Front struct {
 	IP   IPv4
 	Port uint16
@@ -102,85 +102,86 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Flags are the bits of a packet that decide where it may go.
+// Flags are the bits of a packet header that its forwarding depends on.
 type Flags uint8
 
-// The flags; the platform package maps them to the bits of the wire.
+// The flags. Package platform maps them to the bits of the wire format.
 const (
 	SYN Flags = 1 << iota
 	ACK
 	FIN
 	RST
-	// Bounced marks a client's packet that its target did not take.
+	// Bounced marks a client's packet that the target did not accept.
 	Bounced
 )
 
-// Has tells whether all bits of f are set.
+// Has reports whether all bits of want are set in f.
 func (fl Flags) Has(f Flags) bool { return fl&f == f }
 
-// Header is what a packet says of itself.
+// Header is the decoded header of a packet.
 type Header struct {
 	Src, Dst         IPv4
 	SrcPort, DstPort uint16
 	Flags            Flags
-	// Seq and Ack count bytes, but in a client's SYN, where Ack counts the
-	// copies sent before.
+	// Seq and Ack count bytes, except in a client's SYN, where Ack is the number of
+	// SYNs of the flow sent before it.
 	Seq, Ack uint32
-	// Len is the length of the data behind the header, in bytes.
+	// Len is the length of the payload in bytes.
 	Len int
-	// Echo comes back unchanged in a packet that the target bounces.
+	// Echo is returned unchanged in a packet that the target bounces.
 	Echo uint32
 }
 
-// FromClient returns the key of a packet that a client wrote.
+// FromClient returns the flow key of a packet sent by a client.
 func (h *Header) FromClient() Key {
 	return Key{ClientIP: h.Src, ClientPort: h.SrcPort, FrontIP: h.Dst, FrontPort: h.DstPort}
 }
 
-// FromTarget returns the key of a packet that a target wrote.
+// FromTarget returns the flow key of a packet sent by a target.
 func (h *Header) FromTarget() Key {
 	return Key{ClientIP: h.Dst, ClientPort: h.DstPort, FrontIP: h.Src, FrontPort: h.SrcPort}
 }
 
-// IsOpening tells a client's SYN.
+// IsOpening reports whether the packet is a client's SYN.
 func (h *Header) IsOpening() bool { return h.Flags.Has(SYN) && !h.Flags.Has(ACK) }
 
-// sequenceWindow bounds how far apart two sequence numbers of one flow can be:
-// 64 packets of 1,200 bytes. Ends keep at most 16 packets in flight, and the
-// wire accepts a reset within the same distance.
+// sequenceWindow is the maximum difference in bytes between two sequence numbers of one
+// flow: 64 packets of 1,200 bytes. Endpoints have at most 16 packets in flight, and the
+// wire protocol accepts a reset within the same distance.
 const sequenceWindow = 64 * 1200
 
-// SameFlow tells whether an acknowledgement fits a target's sequence number, so
-// that a packet of a later flow between the same ports is told apart.
+// SameFlow reports whether an acknowledgement number is within sequenceWindow of a
+// target's sequence number. It distinguishes a flow from a later one between the same
+// ports.
 func SameFlow(ack, targetSeq uint32) bool {
 	diff := int32(ack - targetSeq)
 	return diff >= -sequenceWindow && diff <= sequenceWindow
 }
 
-// Codec reads and marks packets in the platform's format.
+// Codec reads and modifies packets in the platform's wire format.
 type Codec interface {
-	// Decode reads a packet's header.
+	// Decode decodes a packet's header.
 	Decode(packet []byte) (Header, error)
-	// Unmark makes a bounced packet what its client wrote.
+	// Unmark restores a bounced packet to what its client sent.
 	Unmark(packet []byte)
-	// SetEcho writes the note that comes back with a bounced packet.
+	// SetEcho writes the Echo value that a bounced packet returns.
 	SetEcho(packet []byte, echo uint32)
-	// RequestID returns the ID in the first bytes of a packet's data, or nil.
+	// RequestID returns the ID at the start of a packet's payload, or nil.
 	RequestID(packet []byte) []byte
-	// Answer tells what a packet's data says if it begins an answer.
+	// Answer returns the outcome that a packet's payload states if it starts an answer.
 	Answer(packet []byte) Answer
 }
 
-// Answer is what a target says of its work on a request.
+// Answer is the outcome that a target reports for a request.
 type Answer uint8
 
 // The answers.
 const (
-	// AnswerGiven: the target has done its work, also where it refuses a request as not
-	// its own.
+	// AnswerGiven: the target has processed the request; this includes a refusal of a
+	// request that is not its own.
 	AnswerGiven Answer = iota
-	// AnswerFailed: it says that it has failed.
+	// AnswerFailed: the target reports a failure.
 	AnswerFailed
-	// AnswerShed: it has no room for the request at present.
+	// AnswerShed: the target sheds the request because it has no capacity at present.
 	AnswerShed
 )
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -22,7 +22,7 @@
 	require.NotEqual(t, TagOf("alpha"), TagOf("beta"))
 }
 
-func TestSameFlowKnowsItsWindow(t *testing.T) {
+func TestSameFlowSequenceWindow(t *testing.T) {
 	for _, c := range []struct {
 		ack, seq uint32
 		same     bool
@@ -47,10 +47,10 @@
 	require.InDelta(t, 3000, count["b"], 150)
 }
 
-func ranked(hash uint64, targets []IPv4, limit int) []IPv4 {
+func rankTargets(hash uint64, targets []IPv4, limit int) []IPv4 {
 	r := NewRanking(limit)
-	for _, h := range targets {
-		r.Offer(Score(hash, h), Candidate{Target: h})
+	for _, target := range targets {
+		r.Offer(Score(hash, target), Candidate{Target: target})
 	}
 	var out []IPv4
 	for _, c := range r.Items() {
@@ -59,23 +59,24 @@
 	return out
 }
 
-// TestRankingMovesOnlyWhatATargetGainsOrLoses: the order of the others never
-// depends on a target that joins, whatever the order of the offers.
-func TestRankingMovesOnlyWhatATargetGainsOrLoses(t *testing.T) {
+// TestRankingKeepsOrderWhenATargetJoins checks that the order of the other targets depends
+// neither on a target that joins nor on the order of the offers, so that it moves only the
+// flows that it gains.
+func TestRankingKeepsOrderWhenATargetJoins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := rapid.SliceOfNDistinct(rapid.Uint32(), 2, 40, rapid.ID).Draw(t, "targets")
 		hash := rapid.Uint64().Draw(t, "hash")
 		var ips []IPv4
-		for _, h := range targets {
-			ips = append(ips, IPv4(h))
+		for _, target := range targets {
+			ips = append(ips, IPv4(target))
 		}
-		all := ranked(hash, ips, len(ips))
+		all := rankTargets(hash, ips, len(ips))
 		without := slices.DeleteFunc(slices.Clone(all), func(ip IPv4) bool { return ip == ips[0] })
-		require.Equal(t, without, ranked(hash, ips[1:], len(ips)))
+		require.Equal(t, without, rankTargets(hash, ips[1:], len(ips)))
 		slices.Reverse(ips)
-		require.Equal(t, all, ranked(hash, ips, len(ips)))
+		require.Equal(t, all, rankTargets(hash, ips, len(ips)))
 		k := rapid.IntRange(1, len(ips)).Draw(t, "k")
-		require.Equal(t, all[:k], ranked(hash, ips, k))
+		require.Equal(t, all[:k], rankTargets(hash, ips, k))
 	})
 }
 
@@ -83,10 +84,10 @@
 	targets := []IPv4{0x0a010001, 0x0a010002, 0x0a020001, 0x0a020002, 0x0a030001}
 	count := map[IPv4]int{}
 	for i := range uint32(10_000) {
-		count[ranked(Key{ClientIP: 0x64400000 + IPv4(i), ClientPort: 1024}.Hash(), targets, 1)[0]]++
+		count[rankTargets(Key{ClientIP: 0x64400000 + IPv4(i), ClientPort: 1024}.Hash(), targets, 1)[0]]++
 	}
-	for _, h := range targets {
-		require.InDelta(t, 2000, count[h], 200, h)
+	for _, target := range targets {
+		require.InDelta(t, 2000, count[target], 200, target)
 	}
 }
 
@@ -95,8 +96,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Reset()
-		for h := range IPv4(17) {
-			r.Offer(Score(12345, 0x0a000000+h), Candidate{Target: h})
+		for target := range IPv4(17) {
+			r.Offer(Score(12345, 0x0a000000+target), Candidate{Target: target})
 		}
 	}
 }
--- a/flow/rank.go
+++ b/flow/rank.go
@@ -1,9 +1,9 @@
 package flow
 
-// Score is the rendezvous weight of a target for a flow hash.
+// Score returns the rendezvous hashing score of a target for a flow's hash.
 func Score(hash uint64, target IPv4) uint64 {
 	x := hash ^ (uint64(target) * 0x9e3779b97f4a7c15)
-	// The finaliser of splitmix64 (Steele et al., 2014).
+	// This is the finaliser of splitmix64 (Steele et al., 2014).
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -11,48 +11,48 @@
 	return x ^ x>>31
 }
 
-// Candidate is a place where a flow may be served.
+// Candidate is a target that may serve a flow.
 type Candidate struct {
 	Target IPv4
-	// Service is the service that the sender believes the target to serve; an
-	// agent refuses what is not its target's.
+	// Service is the service that the target serves according to the sender; an agent
+	// rejects a packet for any other service than its target's.
 	Service Tag
 }
 
-// Ranking collects the best candidates of a flow, best first. The zero value
-// keeps none; use NewRanking. It is reused, so that ranking allocates nothing.
+// Ranking holds the candidates of a flow with the highest scores, best first. The zero
+// value holds none; use NewRanking. Reusing a Ranking avoids allocations.
 type Ranking struct {
-	items  []Candidate
-	scores []uint64
-	limit  int
+	candidates []Candidate
+	scores     []uint64
+	limit      int
 }
 
-// NewRanking returns a ranking that keeps limit candidates.
+// NewRanking returns a ranking of at most limit candidates.
 func NewRanking(limit int) *Ranking {
-	return &Ranking{items: make([]Candidate, 0, limit+1), scores: make([]uint64, 0, limit+1), limit: limit}
+	return &Ranking{candidates: make([]Candidate, 0, limit+1), scores: make([]uint64, 0, limit+1), limit: limit}
 }
 
-// Reset empties the ranking.
+// Reset removes all candidates.
 func (r *Ranking) Reset() {
-	r.items, r.scores = r.items[:0], r.scores[:0]
+	r.candidates, r.scores = r.candidates[:0], r.scores[:0]
 }
 
-// Offer adds a candidate with its score.
+// Offer adds a candidate if its score is among the limit highest.
 func (r *Ranking) Offer(score uint64, c Candidate) {
-	n := len(r.items)
+	n := len(r.candidates)
 	if n == r.limit && (n == 0 || score <= r.scores[n-1]) {
 		return
 	}
-	r.items = append(r.items, c)
+	r.candidates = append(r.candidates, c)
 	r.scores = append(r.scores, score)
 	for i := n; i > 0 && r.scores[i] > r.scores[i-1]; i-- {
 		r.scores[i], r.scores[i-1] = r.scores[i-1], r.scores[i]
-		r.items[i], r.items[i-1] = r.items[i-1], r.items[i]
+		r.candidates[i], r.candidates[i-1] = r.candidates[i-1], r.candidates[i]
 	}
-	if len(r.items) > r.limit {
-		r.items, r.scores = r.items[:r.limit], r.scores[:r.limit]
+	if len(r.candidates) > r.limit {
+		r.candidates, r.scores = r.candidates[:r.limit], r.scores[:r.limit]
 	}
 }
 
 // Items returns the candidates, best first; valid until the next Reset.
-func (r *Ranking) Items() []Candidate { return r.items }
+func (r *Ranking) Items() []Candidate { return r.candidates }
