--- a/flow/envelope/envelope.go
+++ b/flow/envelope/envelope.go
@@ -1,12 +1,11 @@
-// Package envelope is the header that balancers and agents put in front of a
-// client's packet while it travels between them. The packet itself stays
-// untouched behind it.
+// Package envelope encodes the header that balancers and agents put in front of a client's
+// packet when they send it to each other. The packet itself follows unchanged.
 //
 // Layout, big-endian: magic (2), version (1), kind (1), balancer (4), hops (1),
 // flags (1), candidate count (1), priority (1), service (4), search (4),
-// objective (2), deadline (2), least loaded target (4), its wait (2), cold rate (2),
-// then 8 bytes for each candidate still to try (address 4, service 4), then the packet. Times
-// are whole milliseconds, at most 65,535.
+// objective (2), deadline (2), target with the shortest wait (4), that wait (2), cold
+// rate (2), then 8 bytes per remaining candidate (address 4, service 4), then the packet.
+// Times are whole milliseconds, at most 65,535.
 //
 // Cost: decoding allocates nothing (BenchmarkDecode).
 package envelope
@@ -21,19 +20,19 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Kind tells what a datagram between nodes is.
+// Kind is the type of a datagram between nodes.
 type Kind uint8
 
-// The kinds. Those from Announce on belong to package fleet.
+// The kinds. Those from Announce on are messages of package fleet.
 const (
-	// Deliver carries a client's packet to the target that should have it.
+	// Deliver carries a client's packet to a target.
 	Deliver Kind = 1 + iota
-	// Returned carries a packet back to its balancer: nobody took it.
+	// Returned carries a packet back to its balancer because no candidate accepted it.
 	Returned
-	// Owner tells a balancer which target holds a flow; the packet part is the
-	// flow's key.
+	// Owner informs a balancer which target holds a flow. The flow's key takes the place
+	// of the packet.
 	Owner
-	// Announce, Beacon, Peers, Evacuated, Relay and Batch are messages of package fleet.
+	// These are the messages of package fleet.
 	Announce
 	Beacon
 	Peers
@@ -42,86 +41,87 @@
 	Batch
 )
 
-// KindNames are the names of all kinds in metrics, in order from Deliver on.
+// KindNames are the names of all kinds in metrics, starting with Deliver.
 var KindNames = []string{"deliver", "returned", "owner", "announce", "beacon", "peers", "evacuated", "relay", "batch"}
 
-// Index is the place of the kind in KindNames.
+// Index returns the index of the kind in KindNames.
 func (k Kind) Index() int { return int(k) - int(Deliver) }
 
 // Flags of an envelope.
 type Flags uint8
 
 const (
-	// Search marks a packet whose owner the balancer does not know; the owner
-	// answers with an Owner message.
+	// Search marks a packet of a flow whose target the balancer does not know; the target
+	// that holds the flow answers with an Owner message.
 	Search Flags = 1 << iota
-	// Searched marks a Returned packet for which every candidate was asked.
+	// Searched marks a Returned packet whose search has ended at its last candidate.
 	Searched
-	// Unsure marks a search in which a target could not say a certain no.
+	// Unsure marks a search in which a target could not rule out that it holds the flow.
 	Unsure
-	// Settle marks a new flow that every candidate was offered: the receiver has
-	// the shortest wait of them.
+	// Settle marks a new flow that was offered to every candidate and is now sent to the
+	// one with the shortest wait.
 	Settle
-	// Repeated marks a copy of an opening packet whose flow the balancer knows: an
-	// earlier one has met somebody.
+	// Repeated marks a retransmitted SYN of a flow that the balancer knows, because it has
+	// received an earlier SYN of it.
 	Repeated
 )
 
 // Limits of the format.
 const (
-	// MaxCandidates bounds a search, and with it the length of an envelope.
+	// MaxCandidates is the maximum number of candidates of a search; it limits the length
+	// of an envelope.
 	MaxCandidates = 32
-	// MaxHops ends a packet that is passed on in circles.
+	// MaxHops ends forwarding loops.
 	MaxHops = MaxCandidates + 8
 	// PrefixLen is the length of magic, version and kind.
-	PrefixLen = 4
-	headLen   = 32
-	itemLen   = 8
-	// MaxLen is the longest envelope, in bytes.
-	MaxLen = headLen + MaxCandidates*itemLen
+	PrefixLen    = 4
+	headerLen    = 32
+	candidateLen = 8
+	// MaxLen is the maximum length of an envelope in bytes.
+	MaxLen = headerLen + MaxCandidates*candidateLen
 
 	magic   = 0x7077
 	version = 6
 )
 
-// ErrMalformed is returned for bytes that are no datagram of this system.
+// ErrMalformed is returned for bytes that are not a valid datagram of this system.
 var ErrMalformed = errors.New("malformed envelope")
 
 // Envelope is the decoded header.
 type Envelope struct {
 	Kind Kind
-	// Balancer is the node that took the packet from the client.
+	// Balancer is the node that received the packet from the client.
 	Balancer flow.IPv4
-	// Hops counts the agents that passed the packet on.
+	// Hops is the number of agents that have passed the packet on.
 	Hops  uint8
 	Flags Flags
-	// Service is what the receiver's target must serve.
+	// Service is the service that the receiver's target must serve.
 	Service flow.Tag
-	// SearchID numbers the searches of a balancer, over its restarts.
+	// SearchID identifies a search of a balancer, also across its restarts.
 	SearchID uint32
-	// Priority is that of the route, 0 the highest; for new flows only.
+	// Priority is the route's priority, 0 is the highest; for new flows only.
 	Priority uint8
-	// Objective and Deadline are those of the route's requests, zero when
-	// unstated; for new flows only.
+	// Objective and Deadline are those of the route's requests, zero if not configured;
+	// for new flows only.
 	Objective, Deadline time.Duration
-	// Best is the target with the shortest wait of those that a new flow was offered
-	// in vain, BestWait that wait; zero before the first.
+	// Best is the target with the shortest wait among those that have declined a new flow,
+	// BestWait its wait; both are zero before the first has declined.
 	Best     flow.IPv4
 	BestWait time.Duration
-	// ColdRate is how many requests a second a target of the service bears while it is
-	// cold, zero when that has no bound; for new flows only, in tenths.
+	// ColdRate is the request rate, in requests per second, that a cold target of the
+	// service can sustain, zero for no limit; for new flows only. It is encoded in tenths.
 	ColdRate float64
-	// Count is the number of Candidates still to try, in order.
+	// Count is the number of Candidates still to be tried; they are tried in order.
 	Count      int
 	Candidates [MaxCandidates]flow.Candidate
 }
 
-// SetCandidates replaces the candidates; those beyond the limit are left out.
+// SetCandidates replaces the candidates; those beyond MaxCandidates are dropped.
 func (e *Envelope) SetCandidates(list []flow.Candidate) {
 	e.Count = copy(e.Candidates[:], list)
 }
 
-// Pop takes the first candidate off.
+// Pop removes and returns the first candidate.
 func (e *Envelope) Pop() (flow.Candidate, bool) {
 	if e.Count == 0 {
 		return flow.Candidate{}, false
@@ -138,7 +138,7 @@
 	return append(b, version, byte(k))
 }
 
-// KindOf checks the prefix and returns the kind.
+// KindOf checks the prefix of a datagram and returns its kind.
 func KindOf(b []byte) (Kind, error) {
 	if len(b) < PrefixLen || binary.BigEndian.Uint16(b) != magic || b[2] != version {
 		return 0, ErrMalformed
@@ -157,7 +157,7 @@
 	b = appendMillis(b, e.Deadline)
 	b = binary.BigEndian.AppendUint32(b, uint32(e.Best))
 	b = appendMillis(b, e.BestWait)
-	b = binary.BigEndian.AppendUint16(b, uint16(min(max(math.Ceil(e.ColdRate*rateUnits-rateError), 0), math.MaxUint16)))
+	b = binary.BigEndian.AppendUint16(b, uint16(min(max(math.Ceil(e.ColdRate*rateScale-rateTolerance), 0), math.MaxUint16)))
 	for _, c := range e.Candidates[:e.Count] {
 		b = binary.BigEndian.AppendUint32(b, uint32(c.Target))
 		b = binary.BigEndian.AppendUint32(b, uint32(c.Service))
@@ -165,17 +165,17 @@
 	return b
 }
 
-// Decode reads an envelope into e and returns what stands behind it.
+// Decode decodes an envelope into e and returns the bytes that follow it.
 func (e *Envelope) Decode(b []byte) ([]byte, error) {
 	kind, err := KindOf(b)
 	if err != nil {
 		return nil, err
 	}
-	if kind < Deliver || kind > Owner || len(b) < headLen {
+	if kind < Deliver || kind > Owner || len(b) < headerLen {
 		return nil, ErrMalformed
 	}
 	count := int(b[10])
-	end := headLen + count*itemLen
+	end := headerLen + count*candidateLen
 	if count > MaxCandidates || len(b) < end {
 		return nil, ErrMalformed
 	}
@@ -185,11 +185,11 @@
 	e.Priority = b[11]
 	e.Service = flow.Tag(binary.BigEndian.Uint32(b[12:]))
 	e.SearchID = binary.BigEndian.Uint32(b[16:])
-	e.Objective, e.Deadline = millis(b[20:]), millis(b[22:])
-	e.Best, e.BestWait = flow.IPv4(binary.BigEndian.Uint32(b[24:])), millis(b[28:])
-	e.ColdRate = float64(binary.BigEndian.Uint16(b[30:])) / rateUnits
+	e.Objective, e.Deadline = decodeMillis(b[20:]), decodeMillis(b[22:])
+	e.Best, e.BestWait = flow.IPv4(binary.BigEndian.Uint32(b[24:])), decodeMillis(b[28:])
+	e.ColdRate = float64(binary.BigEndian.Uint16(b[30:])) / rateScale
 	for i := range count {
-		at := b[headLen+i*itemLen:]
+		at := b[headerLen+i*candidateLen:]
 		e.Candidates[i] = flow.Candidate{
 			Target:  flow.IPv4(binary.BigEndian.Uint32(at)),
 			Service: flow.Tag(binary.BigEndian.Uint32(at[4:])),
@@ -198,27 +198,28 @@
 	return b[end:], nil
 }
 
-// rateUnits are the steps of a rate on the wire, in one request a second; rateError is
-// what the arithmetic may add to a whole number of them.
+// rateScale is the number of units of an encoded rate per request per second. Rates are
+// rounded up to whole units; rateTolerance, in units, is the largest error of
+// floating-point arithmetic that is not rounded up.
 const (
-	rateUnits = 10
-	rateError = 1e-6
+	rateScale     = 10
+	rateTolerance = 1e-6
 )
 
-// appendMillis appends a time in whole milliseconds, the longest one that fits
-// for those beyond.
+// appendMillis appends a duration in whole milliseconds, limited to the range of the
+// encoding.
 func appendMillis(b []byte, d time.Duration) []byte {
 	return binary.BigEndian.AppendUint16(b, uint16(min(max(d.Milliseconds(), 0), math.MaxUint16)))
 }
 
-func millis(b []byte) time.Duration {
+func decodeMillis(b []byte) time.Duration {
 	return time.Duration(binary.BigEndian.Uint16(b)) * time.Millisecond
 }
 
 // keyLen is the length of an encoded flow key.
 const keyLen = 12
 
-// AppendKey appends a flow's key, the body of an Owner message.
+// AppendKey appends the encoded key of a flow, the body of an Owner message.
 func AppendKey(b []byte, k flow.Key) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(k.ClientIP))
 	b = binary.BigEndian.AppendUint32(b, uint32(k.FrontIP))
@@ -226,7 +227,7 @@
 	return binary.BigEndian.AppendUint16(b, k.FrontPort)
 }
 
-// DecodeKey reads the body of an Owner message.
+// DecodeKey decodes the body of an Owner message.
 func DecodeKey(b []byte) (flow.Key, error) {
 	if len(b) != keyLen {
 		return flow.Key{}, ErrMalformed
--- a/flow/envelope/envelope_test.go
+++ b/flow/envelope/envelope_test.go
@@ -21,7 +21,7 @@
 		Service:  flow.Tag(rapid.Uint32().Draw(t, "service")),
 		SearchID: rapid.Uint32().Draw(t, "search"),
 		Priority: rapid.Uint8().Draw(t, "priority"),
-		ColdRate: float64(rapid.Uint16().Draw(t, "cold rate")) / rateUnits,
+		ColdRate: float64(rapid.Uint16().Draw(t, "cold rate")) / rateScale,
 	}
 	for range rapid.IntRange(0, MaxCandidates).Draw(t, "count") {
 		e.Candidates[e.Count] = flow.Candidate{Target: flow.IPv4(rapid.Uint32().Draw(t, "target")), Service: 1}
@@ -30,7 +30,7 @@
 	return e
 }
 
-func TestEnvelopesSurviveTheWire(t *testing.T) {
+func TestEnvelopeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := drawEnvelope(t)
 		packet := rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "packet")
@@ -47,10 +47,10 @@
 	})
 }
 
-// TestRatesAreRoundedUp: a bound never becomes none, and keeps its value from node to
-// node.
-func TestRatesAreRoundedUp(t *testing.T) {
-	over := func(rate float64) float64 {
+// TestColdRateIsRoundedUp guards against a small rate that is encoded as zero, which means
+// no limit, and against a rate that changes each time it is passed on.
+func TestColdRateIsRoundedUp(t *testing.T) {
+	roundTrip := func(rate float64) float64 {
 		e := Envelope{Kind: Deliver, ColdRate: rate}
 		var got Envelope
 		_, err := got.Decode(e.Append(nil))
@@ -58,11 +58,11 @@
 		return got.ColdRate
 	}
 	for tenths := range 1 << 16 {
-		rate := float64(tenths) / rateUnits
-		require.Equal(t, rate, over(rate))
+		rate := float64(tenths) / rateScale
+		require.Equal(t, rate, roundTrip(rate))
 	}
 	for rate, want := range map[float64]float64{0.01: 0.1, 2.55: 2.6, 1e9: 6553.5, -1: 0} {
-		require.Equal(t, want, over(rate))
+		require.Equal(t, want, roundTrip(rate))
 	}
 }
 
@@ -78,7 +78,7 @@
 	require.False(t, ok)
 }
 
-func TestKeysSurviveTheWire(t *testing.T) {
+func TestKeyRoundTrip(t *testing.T) {
 	k := flow.Key{ClientIP: 1, FrontIP: 2, ClientPort: 3, FrontPort: 4}
 	got, err := DecodeKey(AppendKey(nil, k))
 	require.NoError(t, err)
--- a/flow/envelope/envelopetest/recorder.go
+++ b/flow/envelope/envelopetest/recorder.go
@@ -1,4 +1,5 @@
-// Package envelopetest records what the core of a packet front sends, for tests.
+// Package envelopetest records the datagrams that the core of a packet front sends, for
+// tests.
 package envelopetest
 
 import (
@@ -8,17 +9,17 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// Sent is a datagram to a node.
+// Sent is a datagram that was sent to a node.
 type Sent struct {
 	To   flow.IPv4
 	Kind envelope.Kind
-	// Env is the envelope of a packet; zero for messages of package fleet, which are no
-	// envelopes.
+	// Env is the envelope of a packet; zero for messages of package fleet, which have no
+	// envelope.
 	Env envelope.Envelope
 	Raw []byte
 }
 
-// Recorder keeps what a core sends to nodes and which flows it resets.
+// Recorder records the datagrams that a core sends to nodes, and the flows that it resets.
 type Recorder struct {
 	Nodes  []Sent
 	Resets []flow.Key
@@ -27,16 +28,17 @@
 // ToNode records a datagram.
 func (r *Recorder) ToNode(to flow.IPv4, head, packet []byte) {
 	s := Sent{To: to, Raw: slices.Concat(head, packet)}
-	// A datagram that is neither envelope nor message has the kind zero, which is none.
+	// A datagram that is neither an envelope nor a message gets the kind zero, which no
+	// datagram has.
 	s.Kind, _ = envelope.KindOf(s.Raw)
 	_, _ = s.Env.Decode(s.Raw)
 	r.Nodes = append(r.Nodes, s)
 }
 
-// Reset records a reset.
+// Reset records the reset of a flow.
 func (r *Recorder) Reset(key flow.Key, _ uint32) { r.Resets = append(r.Resets, key) }
 
-// Last returns the latest datagram.
+// Last returns the last datagram.
 func (r *Recorder) Last() Sent { return r.Nodes[len(r.Nodes)-1] }
 
 // OfKind returns the datagrams of one kind.
@@ -44,5 +46,5 @@
 	return slices.DeleteFunc(slices.Clone(r.Nodes), func(s Sent) bool { return s.Kind != k })
 }
 
-// Delivered returns the envelopes that carried packets.
+// Delivered returns the datagrams of kind Deliver.
 func (r *Recorder) Delivered() []Sent { return r.OfKind(envelope.Deliver) }
