--- a/fleet/zonecast/doc.go
+++ b/fleet/zonecast/doc.go
@@ -1,20 +1,20 @@
-// Package zonecast decides how a node's repeated messages reach the nodes of other
-// zones: directly where these are few, otherwise through relays.
+// Package zonecast decides how a node's periodic messages reach the nodes of other zones:
+// directly if a zone has few balancers, otherwise through relays.
 //
-// A node tells two balancers of each large zone, which relay the message, unchanged,
-// in batches to the nodes of their own zone. Each round takes the next two, so no
-// balancer has the role for long, none is elected, and one that is dead, frozen, late
-// or cut off costs one of two copies of some rounds. Messages carry the identity and the
-// sequence number of their sender; copies are harmless.
+// A node sends the message to two balancers of each large zone, which relay it, unchanged
+// and in batches, to the nodes of their own zone. Each round uses the next two: no balancer
+// is a relay for long, none is elected, and a relay that is dead, frozen, late or
+// partitioned loses one of the two copies of some rounds. Messages carry the identity and
+// sequence number of their sender, so that duplicates are harmless.
 //
-// What is relayed refreshes what a receiver has heard from the node itself (fleet.Present)
-// and nothing else; a node that is new, or has fallen silent, is asked. Changes of
-// state do not travel this way.
+// A relayed message only refreshes state that the receiver got from the same process of
+// the node itself (fleet.Present). A node that is new or overdue is asked directly. Changes
+// of state are not sent through relays.
 //
-// Bounds: a round sends Copies messages to each large zone, so what crosses zones grows
-// with the nodes and the zones, not with the nodes of both sides. A relay holds at
-// most maxHeld messages, each once, for at most its period. The cost of a round is that
-// of sorting the balancers known.
+// Bounds: a round sends Copies messages to each large zone, so that cross-zone traffic
+// grows with the nodes times the zones, not with the nodes of both zones. A relay buffers
+// at most maxBuffered messages, one per node, for at most its flush period. The cost of a
+// round is that of sorting the known balancers.
 //
-// Everything is pure: time is an argument.
+// All functions are pure: time is an argument.
 package zonecast
--- a/fleet/zonecast/greetings.go
+++ b/fleet/zonecast/greetings.go
@@ -6,35 +6,37 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Pauses between two greetings of a node that was not heard itself.
+// Minimum pauses between two introductions to a node from which no message was received.
 const (
-	// NamedPause is that of a node which relays name or tell something new of.
+	// NamedPause applies to a node that is known from relayed messages, or whose relayed
+	// message contains something new.
 	NamedPause = 500 * time.Millisecond
-	// GreetPause is that of a node which a list names, far more than a round trip: nodes
-	// that start are told of each other by many at once.
+	// GreetPause applies to a node that is known from a list. It is far more than a round
+	// trip: nodes that start are named to each other by many nodes at once.
 	GreetPause = 50 * time.Millisecond
 )
 
-// Greetings remembers which nodes were greeted because others named them. It is not safe
-// for concurrent use.
+// Greetings limits the rate of introductions to nodes that are known from other nodes only.
+// It is not safe for concurrent use.
 type Greetings struct {
-	// Max bounds the nodes that are remembered.
+	// Max is the maximum number of nodes that are tracked.
 	Max int
 
-	at map[flow.IPv4]time.Time
+	sentAt map[flow.IPv4]time.Time
 }
 
-// May tells whether a node may be greeted, and notes that it is: each is once in a pause.
+// May reports whether an introduction may be sent to a node now, at most one per pause, and
+// records it if so.
 func (g *Greetings) May(now time.Time, ip flow.IPv4, pause time.Duration) bool {
-	if now.Sub(g.at[ip]) < pause {
+	if now.Sub(g.sentAt[ip]) < pause {
 		return false
 	}
-	if g.at == nil {
-		g.at = map[flow.IPv4]time.Time{}
+	if g.sentAt == nil {
+		g.sentAt = map[flow.IPv4]time.Time{}
 	}
-	if len(g.at) >= g.Max {
-		clear(g.at)
+	if len(g.sentAt) >= g.Max {
+		clear(g.sentAt)
 	}
-	g.at[ip] = now
+	g.sentAt[ip] = now
 	return true
 }
--- a/fleet/zonecast/held.go
+++ b/fleet/zonecast/held.go
@@ -9,72 +9,73 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// maxHeld bounds the messages that wait to be relayed: 0.4 MB.
-const maxHeld = 4096
+// maxBuffered is the maximum number of buffered messages: 0.4 MB.
+const maxBuffered = 4096
 
-// Held are messages that a relay is to send on. The zero value holds none. It is not safe
-// for concurrent use.
+// Held buffers the messages that a relay has to send on, one per node. The zero value is
+// empty. It is not safe for concurrent use.
 type Held struct {
-	// Pause is how long messages are gathered at the most, Self the relay, whose part of the
-	// pause ends it: so relays do not all send at once.
+	// Pause is the maximum time for which messages are buffered. Self is the address of the
+	// relay; it sets the phase at which the buffer is flushed, so that relays do not all
+	// send at once.
 	Pause time.Duration
 	Self  flow.IPv4
 
-	messages map[flow.IPv4]heldMessage
+	messages map[flow.IPv4]bufferedMessage
 	due      time.Time
 }
 
-type heldMessage struct {
-	id      fleet.Identity
-	message []byte
-	at      time.Time
+type bufferedMessage struct {
+	id         fleet.Identity
+	message    []byte
+	receivedAt time.Time
 }
 
-// Put holds a node's message in the place of an earlier one, and tells whether there
-// was room. The message is copied.
+// Put buffers a copy of a node's message, which replaces an earlier one of the node. It
+// returns false if the buffer is full.
 func (h *Held) Put(now time.Time, from flow.IPv4, id fleet.Identity, message []byte) bool {
 	if h.messages == nil {
-		h.messages = map[flow.IPv4]heldMessage{}
+		h.messages = map[flow.IPv4]bufferedMessage{}
 	}
-	m, held := h.messages[from]
-	if !held && len(h.messages) >= maxHeld {
+	earlier, buffered := h.messages[from]
+	if !buffered && len(h.messages) >= maxBuffered {
 		return false
 	}
 	if len(h.messages) == 0 {
 		h.due = fleet.NextRound(now, h.Pause, h.Self)
 	}
-	h.messages[from] = heldMessage{id: id, message: append(m.message[:0], message...), at: now}
+	h.messages[from] = bufferedMessage{id: id, message: append(earlier.message[:0], message...), receivedAt: now}
 	return true
 }
 
-// Relayed notes that another relay has sent a node's message of an identity: the
-// same one is not relayed again. It tells whether it was held.
+// Relayed drops the node's message with the given identity, which another relay has sent.
+// It reports whether the message was buffered.
 func (h *Held) Relayed(from flow.IPv4, id fleet.Identity) bool {
-	m, held := h.messages[from]
-	if !held || m.id != id {
+	m, buffered := h.messages[from]
+	if !buffered || m.id != id {
 		return false
 	}
 	delete(h.messages, from)
 	return true
 }
 
-// Due tells whether there are messages to be relayed now.
+// Due reports whether there are messages to be relayed now.
 func (h *Held) Due(now time.Time) bool { return len(h.messages) > 0 && !now.Before(h.due) }
 
-// Take returns the messages that are to be relayed now, ordered by their nodes, and how
-// many were too old: a process that was frozen must not tell of nodes that may have
-// gone meanwhile.
-func (h *Held) Take(now time.Time) (messages []fleet.RelayedMessage, old int) {
+// Take removes and returns the messages that are to be relayed now, ordered by node. It
+// drops and counts stale ones: a process that was frozen must not relay messages of nodes
+// that may be gone by now.
+func (h *Held) Take(now time.Time) (messages []fleet.RelayedMessage, stale int) {
 	if !h.Due(now) {
 		return nil, 0
 	}
 	for _, ip := range slices.Sorted(maps.Keys(h.messages)) {
-		if m := h.messages[ip]; now.Sub(m.at) > 2*h.Pause {
-			old++
+		if m := h.messages[ip]; now.Sub(m.receivedAt) > 2*h.Pause {
+			stale++
 		} else {
 			messages = append(messages, fleet.RelayedMessage{From: ip, Message: m.message})
 		}
 	}
 	clear(h.messages)
-	return messages, old
+	return messages, stale
 }
--- a/fleet/zonecast/planner.go
+++ b/fleet/zonecast/planner.go
@@ -7,40 +7,41 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Planner plans a node's rounds. It is not safe for concurrent use.
+// Planner plans the rounds of a node. It is not safe for concurrent use.
 type Planner struct {
-	// Self and Zone are the node's.
+	// Self and Zone are the address and the zone of the node.
 	Self flow.IPv4
 	Zone flow.Tag
-	// From is the number of a zone's balancers from which on it is told through relays.
+	// From is the minimum number of a zone's balancers for the use of relays.
 	From int
-	// Within is how lately a balancer was heard that is asked to relay messages.
+	// Within is the maximum time since a message was received from a balancer that is used
+	// as a relay.
 	Within time.Duration
-	// Report hears of zones that are told through relays from now on, or directly again.
+	// Report is called for each zone that is reached through relays from now on, or directly
+	// again.
 	Report func(zone flow.Tag, balancers int, relayed bool)
 
-	rounds  int
-	relayed map[flow.Tag]int
+	round        int
+	relayedZones map[flow.Tag]int
 }
 
-// Begin begins the next round and returns its number.
+// Begin starts the next round and returns its number.
 func (p *Planner) Begin() int {
-	p.rounds++
-	return p.rounds
+	p.round++
+	return p.round
 }
 
-// Plan returns how the present round reaches the balancers of other zones that a view
-// knows.
+// Plan plans how the current round reaches the balancers of other zones that are in view.
 func (p *Planner) Plan(now time.Time, view *fleet.View) Plan {
 	known, recent := view.FarBalancers(now, p.Zone, p.Within)
-	plan := Make(known, recent, p.From, p.Self, Slot(now, p.Self), p.rounds)
-	plan.Changes(p.relayed, recent, p.Report)
-	p.relayed = plan.Relayed
+	plan := NewPlan(known, recent, p.From, p.Self, RotationNumber(now, p.Self), p.round)
+	plan.ReportChanges(p.relayedZones, recent, p.Report)
+	p.relayedZones = plan.RelayedZones
 	return plan
 }
 
-// Relays tells whether a zone was told through relays in the last round.
+// Relays reports whether the last planned round reached a zone through relays.
 func (p *Planner) Relays(zone flow.Tag) bool {
-	_, relayed := p.relayed[zone]
+	_, relayed := p.relayedZones[zone]
 	return relayed
 }
