--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -1,14 +1,13 @@
-// Package registry keeps a node's address in the store from its first start
-// until it is known to be gone, so that nodes find each other when every seed is
-// gone, and so that a balancer that starts learns which agents there may be.
+// Package registry registers a node's address in the store from its first start until it
+// is known to be gone, so that nodes find each other when all seeds are gone, and so that a
+// balancer that starts learns which agents may exist.
 //
-// Entries are not leased. A lease would lapse while the store is away or its
-// holder is stopped, just when the list is needed, and renewals grow with the
-// fleet. An entry is written once for each start, by an agent once it has seen
-// its target; it is taken away by an agent whose target has ended, and otherwise by a
-// balancer that has not heard the node for long (fleet.View.Keeper). Its writer
-// looks for it now and then: a node that was only cut off may have been taken for
-// dead.
+// Entries are not leased. A lease would expire while the store is unavailable or its holder
+// is stopped, which is just when the list is needed, and the number of renewals grows with
+// the fleet. An entry is written once per start; an agent writes it once it has seen its
+// target. It is removed by an agent whose target has ended, and otherwise by a balancer
+// that has not received a message of the node for long (fleet.View.Keeper). A node checks
+// its entry periodically: after a network partition it may have been removed as dead.
 package registry
 
 import (
@@ -29,94 +28,95 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// prefix is that of the keys of a role; the node's address ends the key.
-func prefix(role fleet.Role) string { return "poppywall/" + string(role) + "/" }
+// keyPrefix returns the prefix of the keys of a role; the rest of a key is the node's
+// address.
+func keyPrefix(role fleet.Role) string { return "poppywall/" + string(role) + "/" }
 
-func keyOf(role fleet.Role, ip flow.IPv4) string { return prefix(role) + ip.String() }
+func entryKey(role fleet.Role, ip flow.IPv4) string { return keyPrefix(role) + ip.String() }
 
-// Times of the registry.
+// Timing of the registry.
 const (
-	// retryPause is the pause after a failed write; it doubles once, so that an
-	// entry is there within two seconds of the store's return.
+	// retryPause is the pause after a failed write; it doubles once, so that an entry is
+	// written within two seconds of the store's recovery.
 	retryPause    = 800 * time.Millisecond
-	mostRetryWait = 1600 * time.Millisecond
-	// checkPeriod is how often a node looks for its entry: as long as an unheard
-	// node is remembered by others.
+	maxRetryPause = 1600 * time.Millisecond
+	// checkPeriod is the period at which a node checks its entry: the time for which other
+	// nodes remember an overdue node.
 	checkPeriod = fleet.Forget
-	// removeTimeout bounds the farewell of a node that stops; a balancer takes the
-	// entry away otherwise.
+	// removeTimeout limits the removal of the entry of a node that stops; if it fails, a
+	// balancer removes the entry.
 	removeTimeout = 200 * time.Millisecond
 )
 
-// Registry keeps one entry.
+// Registry maintains the entry of one node.
 type Registry struct {
-	store store.Store
-	role  fleet.Role
-	self  flow.IPv4
-	epoch uint64
-	log   *zap.Logger
-	// shown hears of each time that the store shows what is wanted.
-	shown func(fleet.Presence)
+	store       store.Store
+	role        fleet.Role
+	self        flow.IPv4
+	incarnation uint64
+	log         *zap.Logger
+	// onApplied is called each time that the store has reached the desired presence.
+	onApplied func(fleet.Presence)
 
-	// mu guards wanted; nothing else is locked under it.
-	mu     sync.Mutex
-	wanted fleet.Presence
-	// changed wakes Run when wanted has changed.
+	// mu guards desired; no other lock is taken while it is held.
+	mu      sync.Mutex
+	desired fleet.Presence
+	// changed wakes Run when desired has changed.
 	changed chan struct{}
 }
 
-// New returns a registry for the process of the given epoch at an address; shown is
-// called each time that the store has taken what is wanted.
-func New(s store.Store, role fleet.Role, self flow.IPv4, epoch uint64, log *zap.Logger, shown func(fleet.Presence)) *Registry {
-	return &Registry{store: s, role: role, self: self, epoch: epoch, log: log, shown: shown, changed: make(chan struct{}, 1)}
+// New returns a registry for the process of the given incarnation at an address. onApplied
+// is called each time that the store has reached the desired presence.
+func New(s store.Store, role fleet.Role, self flow.IPv4, incarnation uint64, log *zap.Logger, onApplied func(fleet.Presence)) *Registry {
+	return &Registry{store: s, role: role, self: self, incarnation: incarnation, log: log, onApplied: onApplied, changed: make(chan struct{}, 1)}
 }
 
-// Want tells what the registry is to show from now on.
+// Want sets the desired presence of the node in the registry.
 func (r *Registry) Want(p fleet.Presence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.wanted == p {
+	if r.desired == p {
 		return
 	}
-	r.wanted = p
+	r.desired = p
 	select {
 	case r.changed <- struct{}{}:
 	default:
-		// Run has not looked since the last change; it will see this one too.
+		// Run has not handled the last change yet; it will handle this one with it.
 	}
 }
 
-func (r *Registry) want() fleet.Presence {
+func (r *Registry) desiredPresence() fleet.Presence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.wanted
+	return r.desired
 }
 
-// Run brings the entry in line with what is wanted until ctx ends.
+// Run keeps the entry in line with the desired presence until ctx ends.
 func (r *Registry) Run(ctx context.Context) error {
-	done, pause := fleet.PresenceUnknown, retryPause
+	applied, pause := fleet.PresenceUnknown, retryPause
 	for ctx.Err() == nil {
-		want := r.want()
-		if want != done {
-			if err := r.tell(ctx, want); err != nil {
+		desired := r.desiredPresence()
+		if desired != applied {
+			if err := r.apply(ctx, desired); err != nil {
 				r.log.Warn("registry entry not changed", zap.String("reason", reason(err)))
 				r.wait(ctx, pause)
-				pause = min(2*pause, mostRetryWait)
+				pause = min(2*pause, maxRetryPause)
 				continue
 			}
-			done, pause = want, retryPause
-			r.shown(want)
+			applied, pause = desired, retryPause
+			r.onApplied(desired)
 		}
-		if r.wait(ctx, checkPeriod) && done == fleet.PresenceHere && r.missing(ctx) {
-			r.log.Warn("registry entry was taken away")
-			done = fleet.PresenceUnknown
+		if r.wait(ctx, checkPeriod) && applied == fleet.PresenceHere && r.entryMissing(ctx) {
+			r.log.Warn("registry entry is missing and will be written again")
+			applied = fleet.PresenceUnknown
 		}
 	}
 	return nil
 }
 
-// wait tells whether about d has passed; it returns before that when something
-// else is wanted or ctx ends.
+// wait waits for about d and then returns true. It returns false earlier if the desired
+// presence changes or ctx ends.
 func (r *Registry) wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(worker.Jitter(d))
 	defer timer.Stop()
@@ -129,41 +129,40 @@
 	return false
 }
 
-// tell writes or removes the entry.
-func (r *Registry) tell(ctx context.Context, p fleet.Presence) error {
+// apply writes or removes the entry according to p.
+func (r *Registry) apply(ctx context.Context, p fleet.Presence) error {
 	switch p {
 	case fleet.PresenceHere:
-		return r.enter(ctx)
+		return r.writeEntry(ctx)
 	case fleet.PresenceEnded:
-		return r.remove(ctx)
+		return r.removeEntry(ctx)
 	default:
 		return nil
 	}
 }
 
-// enter writes the entry.
-func (r *Registry) enter(ctx context.Context) error {
-	put := store.Put{Key: keyOf(r.role, r.self), Value: encodeEpoch(r.epoch)}
+// writeEntry writes the entry with the incarnation of this process.
+func (r *Registry) writeEntry(ctx context.Context) error {
+	put := store.Put{Key: entryKey(r.role, r.self), Value: encodeIncarnation(r.incarnation)}
 	_, err := r.store.Txn(ctx, store.Txn{Puts: []store.Put{put}})
 	return err
 }
 
-// remove takes the entry away, whichever process wrote it.
-func (r *Registry) remove(ctx context.Context) error {
-	_, err := r.store.Txn(ctx, store.Txn{Removes: []string{keyOf(r.role, r.self)}})
+// removeEntry removes the entry, whichever process wrote it.
+func (r *Registry) removeEntry(ctx context.Context) error {
+	_, err := r.store.Txn(ctx, store.Txn{Removes: []string{entryKey(r.role, r.self)}})
 	return err
 }
 
-// missing tells whether the entry is certainly not there, or is invalid. Any copy
-// of the store may answer: an entry that is younger than its answers is written once
-// more.
-func (r *Registry) missing(ctx context.Context) bool {
-	if r.want() != fleet.PresenceHere {
+// entryMissing reports whether the store has answered without a valid entry. Any replica may
+// answer: an entry that is newer than the replica's state is only written once more.
+func (r *Registry) entryMissing(ctx context.Context) bool {
+	if r.desiredPresence() != fleet.PresenceHere {
 		return false
 	}
-	resp, err := r.store.Range(ctx, store.RangeRequest{Key: keyOf(r.role, r.self), Stale: true})
+	resp, err := r.store.Range(ctx, store.RangeRequest{Key: entryKey(r.role, r.self), Stale: true})
 	if err != nil {
-		r.log.Debug("registry entry not looked for", zap.String("reason", reason(err)))
+		r.log.Debug("registry entry not checked", zap.String("reason", reason(err)))
 		return false
 	}
 	if len(resp.KVs) == 0 {
@@ -173,25 +172,25 @@
 	return !ok
 }
 
-// Leave takes the entry away: the node is gone for good.
+// Leave removes the entry of a node that is gone for good.
 func (r *Registry) Leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), removeTimeout)
 	defer cancel()
-	if err := r.remove(ctx); err != nil {
-		r.log.Info("registry entry left to the balancers", zap.String("reason", reason(err)))
+	if err := r.removeEntry(ctx); err != nil {
+		r.log.Info("registry entry not removed, a balancer will remove it", zap.String("reason", reason(err)))
 		return
 	}
-	r.shown(fleet.PresenceEnded)
+	r.onApplied(fleet.PresenceEnded)
 }
 
-// Listed are the entries of a role.
+// Listed is a list of the entries of a role.
 type Listed struct {
 	Entries []fleet.Entry
-	// Revision is the store's when the reading began.
+	// Revision is the store's revision when the read began.
 	Revision int64
-	// Passed counts the invalid entries, which were passed over.
+	// Passed is the number of invalid entries, which are skipped.
 	Passed int
-	// More tells that there are entries behind these.
+	// More reports whether further entries follow.
 	More bool
 }
 
@@ -206,7 +205,7 @@
 // List returns all entries of a role.
 func List(ctx context.Context, s store.Store, role fleet.Role) (Listed, error) {
 	var out Listed
-	req := store.RangeRequest{Key: prefix(role), End: store.PrefixEnd(prefix(role))}
+	req := store.RangeRequest{Key: keyPrefix(role), End: store.PrefixEnd(keyPrefix(role))}
 	revision, err := store.ReadAll(ctx, s, req, func(kv store.KV) error {
 		out.add(role, kv)
 		return nil
@@ -215,11 +214,12 @@
 	return out, err
 }
 
-// Page returns the entries of one call: from the first one on, or those behind an address.
-func Page(ctx context.Context, s store.Store, role fleet.Role, behind flow.IPv4) (Listed, error) {
-	req := store.RangeRequest{Key: prefix(role), End: store.PrefixEnd(prefix(role))}
-	if behind != 0 {
-		req.Key = keyOf(role, behind) + "\x00"
+// Page returns the entries of one call to the store: the first ones if after is zero,
+// otherwise those that follow the address after.
+func Page(ctx context.Context, s store.Store, role fleet.Role, after flow.IPv4) (Listed, error) {
+	req := store.RangeRequest{Key: keyPrefix(role), End: store.PrefixEnd(keyPrefix(role))}
+	if after != 0 {
+		req.Key = entryKey(role, after) + "\x00"
 	}
 	resp, err := s.Range(ctx, req)
 	if err != nil {
@@ -232,53 +232,55 @@
 	return out, nil
 }
 
-// Remove takes the entry of a dead node away, if it still is the one that is
-// meant: of the same epoch, or of the same revision where the epoch is not known.
-// An invalid entry was written by others and stays.
+// Remove removes the entry of a dead node if it is still the expected one: of the same
+// incarnation, or of the same revision if the incarnation is not known. An invalid entry
+// was written by something else and is not removed.
 func Remove(ctx context.Context, s store.Store, role fleet.Role, dead fleet.Entry) error {
-	key := keyOf(role, dead.IP)
+	key := entryKey(role, dead.IP)
 	resp, err := s.Range(ctx, store.RangeRequest{Key: key})
 	if err != nil || len(resp.KVs) == 0 {
 		return err
 	}
 	found, ok := decode(role, resp.KVs[0])
-	if !ok || !same(found, dead) {
+	if !ok || !matches(found, dead) {
 		return nil
 	}
 	unchanged := store.Compare{Key: key, Field: store.ModRevision, Equal: resp.KVs[0].ModRevision}
-	// Whether the condition failed does not matter: the node has written its entry
-	// again then, or another balancer has removed it.
+	// A failed condition is no error: the node has written its entry again, or another
+	// balancer has removed it.
 	_, err = s.Txn(ctx, store.Txn{Compares: []store.Compare{unchanged}, Removes: []string{key}})
 	return err
 }
 
-func same(found, dead fleet.Entry) bool {
-	if dead.Epoch != 0 {
-		return found.Epoch == dead.Epoch
+func matches(found, expected fleet.Entry) bool {
+	if expected.Epoch != 0 {
+		return found.Epoch == expected.Epoch
 	}
-	return found.Revision == dead.Revision
+	return found.Revision == expected.Revision
 }
 
-// decode reads an entry; it is none of a node unless its key ends with the node's
-// address, as this package writes it, and its value is an epoch.
+// decode decodes an entry. It returns false unless the key is the role's prefix and an IPv4
+// address, and the value an incarnation, as this package writes them.
 func decode(role fleet.Role, kv store.KV) (fleet.Entry, bool) {
-	address, ours := strings.CutPrefix(kv.Key, prefix(role))
+	address, hasPrefix := strings.CutPrefix(kv.Key, keyPrefix(role))
 	ip, err := netip.ParseAddr(address)
-	if !ours || err != nil || !ip.Is4() {
+	if !hasPrefix || err != nil || !ip.Is4() {
 		return fleet.Entry{}, false
 	}
-	epoch, err := strconv.ParseUint(string(kv.Value), epochBase, 64)
-	if err != nil || epoch == 0 {
+	incarnation, err := strconv.ParseUint(string(kv.Value), incarnationBase, 64)
+	if err != nil || incarnation == 0 {
 		return fleet.Entry{}, false
 	}
-	return fleet.Entry{IP: flow.FromAddr(ip), Epoch: epoch, Revision: kv.ModRevision}, true
+	return fleet.Entry{IP: flow.FromAddr(ip), Epoch: incarnation, Revision: kv.ModRevision}, true
 }
 
-const epochBase = 16
+const incarnationBase = 16
 
-func encodeEpoch(epoch uint64) []byte { return strconv.AppendUint(nil, epoch, epochBase) }
+func encodeIncarnation(incarnation uint64) []byte {
+	return strconv.AppendUint(nil, incarnation, incarnationBase)
+}
 
-// reason is the short cause of a failed call.
+// reason returns a short description of a failed call.
 func reason(err error) string {
 	var v *verdict.Error
 	if errors.As(err, &v) {
--- a/fleet/registry/registry_test.go
+++ b/fleet/registry/registry_test.go
@@ -18,182 +18,186 @@
 
 const self = flow.IPv4(0x0a000001)
 
-func list(t *testing.T, s *standin.Store) []fleet.Entry {
+func listEntries(t *testing.T, s *standin.Store) []fleet.Entry {
 	t.Helper()
 	got, err := List(context.Background(), s, fleet.RoleAgent)
 	require.NoError(t, err)
 	return got.Entries
 }
 
-// listed waits until the registry lists the process.
-func listed(t *testing.T, s *standin.Store, epoch uint64) {
+// waitForEntry waits until the registry contains exactly the entry of the process.
+func waitForEntry(t *testing.T, s *standin.Store, incarnation uint64) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		got, err := List(context.Background(), s, fleet.RoleAgent)
-		return err == nil && len(got.Entries) == 1 && got.Entries[0].IP == self && got.Entries[0].Epoch == epoch
+		return err == nil && len(got.Entries) == 1 && got.Entries[0].IP == self && got.Entries[0].Epoch == incarnation
 	}, 5*time.Second, 5*time.Millisecond)
 }
 
-// run starts a registry; the returned function stops it.
-func run(s store.Store, epoch uint64) (r *Registry, stop func()) {
-	r = New(s, fleet.RoleAgent, self, epoch, zap.NewNop(), func(fleet.Presence) {})
+// startRegistry starts a registry; the returned function stops it.
+func startRegistry(s store.Store, incarnation uint64) (r *Registry, stop func()) {
+	r = New(s, fleet.RoleAgent, self, incarnation, zap.NewNop(), func(fleet.Presence) {})
 	r.Want(fleet.PresenceHere)
 	return r, worker.Start(r.Run)
 }
 
-// TestAnEntryStaysUntilItsNodeLeaves: neither the end of all leases nor a stop of
-// the process takes it away; a fresh process makes it its own.
+// TestAnEntryStaysUntilItsNodeLeaves checks that neither the expiry of all leases nor a stop
+// of the process removes the entry, and that a new process takes it over.
 func TestAnEntryStaysUntilItsNodeLeaves(t *testing.T) {
 	s := standin.NewStore(time.Now)
-	_, stop := run(s, 7)
-	listed(t, s, 7)
+	_, stop := startRegistry(s, 7)
+	waitForEntry(t, s, 7)
 	s.LapseLeases()
 	stop()
-	listed(t, s, 7)
+	waitForEntry(t, s, 7)
 	none, err := List(context.Background(), s, fleet.RoleBalancer)
 	require.NoError(t, err)
 	require.Empty(t, none.Entries)
 
-	r, stop := run(s, 8)
-	listed(t, s, 8)
+	r, stop := startRegistry(s, 8)
+	waitForEntry(t, s, 8)
 	stop()
 	r.Leave()
-	require.Empty(t, list(t, s))
+	require.Empty(t, listEntries(t, s))
 }
 
-// TestTheEntryFollowsWhatIsWanted, also what an earlier process has left.
-func TestTheEntryFollowsWhatIsWanted(t *testing.T) {
+// TestEntryFollowsDesiredPresence also covers an entry that an earlier process has left.
+func TestEntryFollowsDesiredPresence(t *testing.T) {
 	s := standin.NewStore(time.Now)
-	require.NoError(t, New(s, fleet.RoleAgent, self, 6, zap.NewNop(), func(fleet.Presence) {}).enter(context.Background()))
-	r, stop := run(s, 7)
+	require.NoError(t, New(s, fleet.RoleAgent, self, 6, zap.NewNop(), func(fleet.Presence) {}).writeEntry(context.Background()))
+	r, stop := startRegistry(s, 7)
 	defer stop()
-	listed(t, s, 7)
+	waitForEntry(t, s, 7)
 	r.Want(fleet.PresenceEnded)
-	require.Eventually(t, func() bool { return len(list(t, s)) == 0 }, 5*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return len(listEntries(t, s)) == 0 }, 5*time.Second, 5*time.Millisecond)
 	r.Want(fleet.PresenceHere)
-	listed(t, s, 7)
+	waitForEntry(t, s, 7)
 }
 
-func TestTheEntryIsWrittenOnceTheStoreIsThere(t *testing.T) {
+func TestEntryIsWrittenWhenStoreRecovers(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	s.Down(true)
-	_, stop := run(s, 7)
+	_, stop := startRegistry(s, 7)
 	defer stop()
 	time.Sleep(10 * time.Millisecond)
 	s.Down(false)
-	listed(t, s, 7)
+	waitForEntry(t, s, 7)
 }
 
-// counting counts the calls of one registry.
-type counting struct {
+// countingStore counts the store calls of one registry.
+type countingStore struct {
 	store.Store
 	calls *atomic.Int32
 }
 
-func (c counting) Range(ctx context.Context, req store.RangeRequest) (store.RangeResponse, error) {
+func (c countingStore) Range(ctx context.Context, req store.RangeRequest) (store.RangeResponse, error) {
 	c.calls.Add(1)
 	return c.Store.Range(ctx, req)
 }
 
-func (c counting) Txn(ctx context.Context, txn store.Txn) (store.TxnResponse, error) {
+func (c countingStore) Txn(ctx context.Context, txn store.Txn) (store.TxnResponse, error) {
 	c.calls.Add(1)
 	return c.Store.Txn(ctx, txn)
 }
 
-// TestAStartCostsOneCall: whatever is wanted before Run looks.
+// TestAStartCostsOneCall checks that a presence that is set before Run starts is applied by
+// a single store call.
 func TestAStartCostsOneCall(t *testing.T) {
 	s := standin.NewStore(time.Now)
-	c := counting{s, &atomic.Int32{}}
-	_, stop := run(c, 7)
+	counted := countingStore{s, &atomic.Int32{}}
+	_, stop := startRegistry(counted, 7)
 	defer stop()
-	listed(t, s, 7)
+	waitForEntry(t, s, 7)
 	time.Sleep(50 * time.Millisecond)
-	require.EqualValues(t, 1, c.calls.Load())
+	require.EqualValues(t, 1, counted.calls.Load())
 }
 
-// TestAnEntryThatWasTakenAwayIsMissed: by its writer, not by one that gets no
-// answer.
-func TestAnEntryThatWasTakenAwayIsMissed(t *testing.T) {
+// TestRemovedEntryIsReportedMissing checks that a node misses its entry after a removal, but
+// not while the store does not answer or the entry is to be absent.
+func TestRemovedEntryIsReportedMissing(t *testing.T) {
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
 	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {})
 	r.Want(fleet.PresenceHere)
-	require.NoError(t, r.enter(ctx))
-	require.False(t, r.missing(ctx))
+	require.NoError(t, r.writeEntry(ctx))
+	require.False(t, r.entryMissing(ctx))
 	s.Down(true)
-	require.False(t, r.missing(ctx), "nobody knows")
+	require.False(t, r.entryMissing(ctx), "the store does not answer")
 	s.Down(false)
 	r.Leave()
-	require.True(t, r.missing(ctx))
+	require.True(t, r.entryMissing(ctx))
 	r.Want(fleet.PresenceEnded)
-	require.False(t, r.missing(ctx), "it is not to be there")
+	require.False(t, r.entryMissing(ctx), "the desired presence is absent")
 }
 
-// TestOnlyTheEntryThatIsMeantIsRemoved: a process that was started since keeps
-// its entry.
-func TestOnlyTheEntryThatIsMeantIsRemoved(t *testing.T) {
+// TestRemoveDeletesOnlyTheMatchingEntry guards against the removal of the entry of a process
+// that was started after the dead one.
+func TestRemoveDeletesOnlyTheMatchingEntry(t *testing.T) {
 	ctx := context.Background()
 	for name, c := range map[string]struct {
 		dead    func(found fleet.Entry) fleet.Entry
 		removed bool
 	}{
-		"of the epoch":              {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Epoch: 7} }, true},
-		"of an earlier epoch":       {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Epoch: 6} }, false},
-		"of the revision":           {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Revision: e.Revision} }, true},
-		"of an earlier revision":    {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Revision: e.Revision - 1} }, false},
-		"of another node":           {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self + 1, Epoch: 7} }, false},
-		"nothing is known about it": {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self} }, false},
+		"same incarnation":                 {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Epoch: 7} }, true},
+		"earlier incarnation":              {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Epoch: 6} }, false},
+		"same revision":                    {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Revision: e.Revision} }, true},
+		"earlier revision":                 {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Revision: e.Revision - 1} }, false},
+		"another node":                     {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self + 1, Epoch: 7} }, false},
+		"incarnation and revision unknown": {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self} }, false},
 	} {
 		s := standin.NewStore(time.Now)
-		require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {}).enter(ctx))
-		found := list(t, s)[0]
+		require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {}).writeEntry(ctx))
+		found := listEntries(t, s)[0]
 		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, c.dead(found)), name)
-		require.Equal(t, c.removed, len(list(t, s)) == 0, name)
+		require.Equal(t, c.removed, len(listEntries(t, s)) == 0, name)
 	}
 }
 
-// racing lets a node write its entry again between the look and the removal.
-type racing struct {
+// racingStore lets a node write its entry again between the read and the removal.
+type racingStore struct {
 	store.Store
 	between func()
 }
 
-func (r racing) Range(ctx context.Context, req store.RangeRequest) (store.RangeResponse, error) {
+func (r racingStore) Range(ctx context.Context, req store.RangeRequest) (store.RangeResponse, error) {
 	resp, err := r.Store.Range(ctx, req)
 	r.between()
 	return resp, err
 }
 
+// TestARemovalLosesAgainstANewEntry guards against the removal of an entry that its node has
+// written again after it was read.
 func TestARemovalLosesAgainstANewEntry(t *testing.T) {
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
-	require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {}).enter(ctx))
-	r := racing{s, func() {
-		require.NoError(t, New(s, fleet.RoleAgent, self, 8, zap.NewNop(), func(fleet.Presence) {}).enter(ctx))
+	require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {}).writeEntry(ctx))
+	r := racingStore{s, func() {
+		require.NoError(t, New(s, fleet.RoleAgent, self, 8, zap.NewNop(), func(fleet.Presence) {}).writeEntry(ctx))
 	}}
 	require.NoError(t, Remove(ctx, r, fleet.RoleAgent, fleet.Entry{IP: self, Epoch: 7}))
-	require.Len(t, list(t, s), 1)
+	require.Len(t, listEntries(t, s), 1)
 }
 
-// TestInvalidEntriesAreIgnoredAndKept: nobody removes them, and the rest of the list is valid.
+// TestInvalidEntriesAreIgnoredAndKept checks that invalid entries are skipped and counted,
+// that the other entries are returned, and that Remove does not delete the invalid ones.
 func TestInvalidEntriesAreIgnoredAndKept(t *testing.T) {
 	ctx := context.Background()
 	for name, foreign := range map[string]store.Put{
-		"a key behind an address":     {Key: keyOf(fleet.RoleAgent, self+1) + "x", Value: encodeEpoch(9)},
-		"no address":                  {Key: prefix(fleet.RoleAgent) + "node-7", Value: encodeEpoch(9)},
-		"nothing":                     {Key: prefix(fleet.RoleAgent), Value: encodeEpoch(9)},
-		"an address of another kind":  {Key: prefix(fleet.RoleAgent) + "::1", Value: encodeEpoch(9)},
-		"an address in another form":  {Key: prefix(fleet.RoleAgent) + "::ffff:10.0.0.9", Value: encodeEpoch(9)},
-		"no value":                    {Key: keyOf(fleet.RoleAgent, self+1)},
-		"words":                       {Key: keyOf(fleet.RoleAgent, self+1), Value: []byte("no epoch")},
-		"the epoch of nobody":         {Key: keyOf(fleet.RoleAgent, self+1), Value: []byte("0")},
-		"a number below zero":         {Key: keyOf(fleet.RoleAgent, self+1), Value: []byte("-7")},
-		"a number that is too large":  {Key: keyOf(fleet.RoleAgent, self+1), Value: []byte("10000000000000000")},
-		"bytes that are no text":      {Key: keyOf(fleet.RoleAgent, self+1), Value: []byte{0xff, 0, 0xfe}},
-		"a document of another shape": {Key: keyOf(fleet.RoleAgent, self+1), Value: []byte(`{"epoch":"7"}`)},
+		"text after the address":      {Key: entryKey(fleet.RoleAgent, self+1) + "x", Value: encodeIncarnation(9)},
+		"no address":                  {Key: keyPrefix(fleet.RoleAgent) + "node-7", Value: encodeIncarnation(9)},
+		"empty address":               {Key: keyPrefix(fleet.RoleAgent), Value: encodeIncarnation(9)},
+		"an address of another kind":  {Key: keyPrefix(fleet.RoleAgent) + "::1", Value: encodeIncarnation(9)},
+		"an address in another form":  {Key: keyPrefix(fleet.RoleAgent) + "::ffff:10.0.0.9", Value: encodeIncarnation(9)},
+		"no value":                    {Key: entryKey(fleet.RoleAgent, self+1)},
+		"words":                       {Key: entryKey(fleet.RoleAgent, self+1), Value: []byte("no epoch")},
+		"incarnation zero":            {Key: entryKey(fleet.RoleAgent, self+1), Value: []byte("0")},
+		"a number below zero":         {Key: entryKey(fleet.RoleAgent, self+1), Value: []byte("-7")},
+		"a number that is too large":  {Key: entryKey(fleet.RoleAgent, self+1), Value: []byte("10000000000000000")},
+		"bytes that are no text":      {Key: entryKey(fleet.RoleAgent, self+1), Value: []byte{0xff, 0, 0xfe}},
+		"a document of another shape": {Key: entryKey(fleet.RoleAgent, self+1), Value: []byte(`{"epoch":"7"}`)},
 	} {
 		s := standin.NewStore(time.Now)
-		require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {}).enter(ctx))
+		require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {}).writeEntry(ctx))
 		s.Operator(foreign)
 		got, err := List(ctx, s, fleet.RoleAgent)
 		require.NoError(t, err, name)
@@ -205,24 +209,25 @@
 		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, fleet.Entry{IP: self + 1}), name)
 		got, err = List(ctx, s, fleet.RoleAgent)
 		require.NoError(t, err, name)
-		require.Equal(t, 1, got.Passed, "%s: it stays", name)
+		require.Equal(t, 1, got.Passed, "%s: not removed", name)
 	}
 }
 
-func TestAKeyElsewhereIsNoEntry(t *testing.T) {
-	for key, want := range map[string]bool{keyOf(fleet.RoleAgent, self): true, keyOf(fleet.RoleBalancer, self): false, self.String(): false, "": false} {
-		_, ok := decode(fleet.RoleAgent, store.KV{Key: key, Value: encodeEpoch(7)})
+func TestDecodeRejectsForeignKeys(t *testing.T) {
+	for key, want := range map[string]bool{entryKey(fleet.RoleAgent, self): true, entryKey(fleet.RoleBalancer, self): false, self.String(): false, "": false} {
+		_, ok := decode(fleet.RoleAgent, store.KV{Key: key, Value: encodeIncarnation(7)})
 		require.Equal(t, want, ok, key)
 	}
 }
 
-// TestAnEntryThatAnotherHasWrittenOverIsWrittenAgain: the node would be in none.
+// TestAnEntryThatAnotherHasWrittenOverIsWrittenAgain checks that an invalid value in the
+// node's own entry counts as missing; otherwise the node would stay unregistered.
 func TestAnEntryThatAnotherHasWrittenOverIsWrittenAgain(t *testing.T) {
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
 	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {})
 	r.Want(fleet.PresenceHere)
-	require.NoError(t, r.enter(ctx))
-	s.Operator(store.Put{Key: keyOf(fleet.RoleAgent, self), Value: []byte("no epoch")})
-	require.True(t, r.missing(ctx))
+	require.NoError(t, r.writeEntry(ctx))
+	s.Operator(store.Put{Key: entryKey(fleet.RoleAgent, self), Value: []byte("no epoch")})
+	require.True(t, r.entryMissing(ctx))
 }
