--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -267,18 +267,16 @@
 	if !hasPrefix || err != nil || !ip.Is4() {
 		return fleet.Entry{}, false
 	}
-	incarnation, err := strconv.ParseUint(string(kv.Value), incarnationBase, 64)
+	incarnation, err := strconv.ParseUint(string(kv.Value), hexBase, 64)
 	if err != nil || incarnation == 0 {
 		return fleet.Entry{}, false
 	}
 	return fleet.Entry{IP: flow.FromAddr(ip), Epoch: incarnation, Revision: kv.ModRevision}, true
 }
 
-const incarnationBase = 16
+const hexBase = 16
 
-func encodeIncarnation(incarnation uint64) []byte {
-	return strconv.AppendUint(nil, incarnation, incarnationBase)
-}
+func encodeIncarnation(inc uint64) []byte { return strconv.AppendUint(nil, inc, hexBase) }
 
 // reason returns a short description of a failed call.
 func reason(err error) string {
