--- a/fleet/surveycopy/http.go
+++ b/fleet/surveycopy/http.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// Path is where balancers pass their readings on.
+	// Path is the path at which balancers serve their snapshots.
 	Path = "/registry/agents"
-	// headerHas is the sum of the entries that the asker has, in hexadecimal.
-	headerHas = "Poppywall-Has"
-	sumBase   = 16
+	// headerKnownChecksum is the header with the checksum of the entries that the requester
+	// has, in hexadecimal.
+	headerKnownChecksum = "Poppywall-Has"
+	checksumBase        = 16
 
-	// readWait is how long a balancer that is asked waits for its own reading: the store
-	// answers each page in milliseconds.
-	readWait = 250 * time.Millisecond
-	// beginTimeout bounds the time until it begins to answer, silence the pauses within its
-	// answer.
-	beginTimeout = readWait + 150*time.Millisecond
-	silence      = 900 * time.Millisecond
+	// snapshotWait limits the time for which a balancer waits for its own read before it
+	// responds: the store answers each page in milliseconds.
+	snapshotWait = 250 * time.Millisecond
+	// beginTimeout limits the time until the response begins, stallTimeout the pauses within
+	// it.
+	beginTimeout = snapshotWait + 150*time.Millisecond
+	stallTimeout = 900 * time.Millisecond
 )
 
-// Handler passes on what a reader reads.
+// Handler serves the snapshots of a reader.
 func Handler(r *Reader, log *zap.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, req *http.Request) {
-		ctx, cancel := context.WithTimeout(req.Context(), readWait)
+		ctx, cancel := context.WithTimeout(req.Context(), snapshotWait)
 		defer cancel()
-		survey, err := r.Get(ctx)
+		snapshot, err := r.Get(ctx)
 		switch {
 		case errors.Is(err, ErrPending):
 			w.WriteHeader(http.StatusAccepted)
@@ -46,54 +47,55 @@
 			http.Error(w, "registry not read", http.StatusServiceUnavailable)
 			return
 		}
-		// One that names no sum has no entries.
-		has, _ := strconv.ParseUint(req.Header.Get(headerHas), sumBase, 64)
-		body := encode(time.Now(), survey, has)
+		// Without a valid checksum no entries count as known.
+		knownChecksum, _ := strconv.ParseUint(req.Header.Get(headerKnownChecksum), checksumBase, 64)
+		body := encode(time.Now(), snapshot, knownChecksum)
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		if err := transfer.Write(w, body, silence); err != nil {
-			log.Info("reading of the registry not given", zap.String(telemetry.FieldPeer, req.RemoteAddr), zap.Error(err))
+		if err := transfer.Write(w, body, stallTimeout); err != nil {
+			log.Info("registry snapshot not sent", zap.String(telemetry.FieldPeer, req.RemoteAddr), zap.Error(err))
 		}
 	})
 	return mux
 }
 
-// Client fetches readings from other balancers. It is not safe for concurrent use.
+// Client fetches snapshots from other balancers. It is not safe for concurrent use.
 type Client struct {
 	http *http.Client
-	// known are the entries that came last.
+	// known are the entries of the last snapshot that was received.
 	known []fleet.Entry
 }
 
 // NewClient returns a client. It opens a connection for each call: calls are rare, and a
-// kept connection may have gone silent since.
+// connection from an earlier one may be dead without notice.
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}}
 }
 
-// Fetch asks a balancer for its reading. The error is ErrPending where it is reading.
+// Fetch requests a balancer's snapshot. It returns ErrPending if that balancer is still
+// reading the registry.
 func (c *Client) Fetch(ctx context.Context, node netip.AddrPort) (fleet.Survey, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.String()+Path, nil)
 	if err != nil {
 		return fleet.Survey{}, err
 	}
 	if len(c.known) > 0 {
-		req.Header.Set(headerHas, strconv.FormatUint(sum(c.known), sumBase))
+		req.Header.Set(headerKnownChecksum, strconv.FormatUint(checksum(c.known), checksumBase))
 	}
-	asked := time.Now()
-	answer, err := transfer.Do(c.http, req, transfer.Limits{Begin: beginTimeout, Silence: silence, Most: most})
+	requestedAt := time.Now()
+	response, err := transfer.Do(c.http, req, transfer.Limits{Begin: beginTimeout, Silence: stallTimeout, Most: maxLen})
 	switch {
 	case err != nil:
 		return fleet.Survey{}, err
-	case answer.Status == http.StatusAccepted:
+	case response.Status == http.StatusAccepted:
 		return fleet.Survey{}, ErrPending
-	case answer.Status != http.StatusOK:
-		return fleet.Survey{}, errors.Errorf("answered %d", answer.Status)
+	case response.Status != http.StatusOK:
+		return fleet.Survey{}, errors.Errorf("unexpected response status %d", response.Status)
 	}
-	survey, err := decode(asked, time.Now(), answer.Body, c.known)
+	snapshot, err := decode(requestedAt, time.Now(), response.Body, c.known)
 	if err != nil {
 		return fleet.Survey{}, err
 	}
-	c.known = survey.Agents
-	return survey, nil
+	c.known = snapshot.Agents
+	return snapshot, nil
 }
--- a/fleet/surveycopy/reader.go
+++ b/fleet/surveycopy/reader.go
@@ -10,38 +10,38 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// ErrPending tells that a reading takes longer than its asker waits.
+// ErrPending is returned when a read takes longer than its caller waits.
 var ErrPending = errors.New("registry is being read")
 
-// errNotRead is what a reader knows before its first reading.
+// errNotRead is the error of a reader before its first read.
 var errNotRead = errors.New("registry not read yet")
 
-// Read reads the agents' registry.
+// Read reads the agents' registry. It returns the entries and the store's revision.
 type Read func(ctx context.Context) (agents []fleet.Entry, revision int64, err error)
 
-// Reader reads the registry for this process and for others. It is safe for concurrent
-// use.
+// Reader reads the registry for this process and for other balancers. It is safe for
+// concurrent use.
 type Reader struct {
 	read Read
 
-	// mu guards the fields below; nothing else is locked under it.
-	mu   sync.Mutex
-	pace fleet.SurveyPace
-	last fleet.Survey
-	err  error
-	// running is closed when the reading under way has ended, nil when there is none.
-	running chan struct{}
+	// mu guards the fields below; no other lock is taken while it is held.
+	mu     sync.Mutex
+	pacing fleet.SurveyPace
+	last   fleet.Survey
+	err    error
+	// inFlight is closed when the current read has ended; it is nil if there is none.
+	inFlight chan struct{}
 }
 
-// NewReader returns a reader that has read nothing yet.
+// NewReader returns a reader that has no snapshot yet.
 func NewReader(read Read) *Reader { return &Reader{read: read, err: errNotRead} }
 
-// Get returns the last reading, a new one if it is time for that. It waits until ctx
-// ends, with ErrPending then; the reading goes on.
+// Get returns the last snapshot, or a new one if a read is due or in progress. If ctx ends
+// before that read it returns ErrPending; the read continues.
 func (r *Reader) Get(ctx context.Context) (fleet.Survey, error) {
-	if running := r.begin(time.Now()); running != nil {
+	if inFlight := r.startIfDue(time.Now()); inFlight != nil {
 		select {
-		case <-running:
+		case <-inFlight:
 		case <-ctx.Done():
 			return fleet.Survey{}, ErrPending
 		}
@@ -51,23 +51,25 @@
 	return r.last, r.err
 }
 
-// begin returns the reading under way, begun now if one is due.
-func (r *Reader) begin(now time.Time) chan struct{} {
+// startIfDue starts a read if one is due, and returns the channel of the current read, nil
+// if there is none.
+func (r *Reader) startIfDue(now time.Time) chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.running == nil && r.pace.Begin(now) {
-		r.running = make(chan struct{})
-		go r.run(now, r.running)
+	if r.inFlight == nil && r.pacing.Begin(now) {
+		r.inFlight = make(chan struct{})
+		go r.readOnce(now, r.inFlight)
 	}
-	return r.running
+	return r.inFlight
 }
 
-// run reads for all who wait. The store's client bounds it, not who asked first.
-func (r *Reader) run(began time.Time, done chan struct{}) {
+// readOnce reads the registry for all waiting callers. Its time limit is that of the store's
+// client, not of the context of the first caller.
+func (r *Reader) readOnce(began time.Time, done chan struct{}) {
 	agents, revision, err := r.read(context.Background())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last, r.err = fleet.Survey{Earliest: began, Latest: time.Now(), Revision: revision, Agents: agents}, err
-	r.running = nil
+	r.inFlight = nil
 	close(done)
 }
--- a/fleet/surveycopy/surveycopy_test.go
+++ b/fleet/surveycopy/surveycopy_test.go
@@ -32,53 +32,51 @@
 	return out
 }
 
-// TestAReadingNeverLooksNewerThanItIs, however long its way takes and whoever stands still
-// meanwhile: the bounds hold the moment at which it began and ended, for a giver that
-// answered at any moment between question and answer.
-func TestAReadingNeverLooksNewerThanItIs(t *testing.T) {
+// TestSnapshotAgeIsNeverUnderstated checks that Earliest and Latest bound the time of the
+// read, however long request, read and response take or a node is frozen, for a sender that
+// responds at any moment between request and response.
+func TestSnapshotAgeIsNeverUnderstated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, name))
 		}
-		asked := start
-		answered := asked.Add(span("question and reading"))
-		came := answered.Add(span("answer"))
-		ended := answered.Add(-span("since the end"))
-		began := ended.Add(-span("reading"))
+		requestedAt := start
+		answeredAt := requestedAt.Add(span("request and read"))
+		receivedAt := answeredAt.Add(span("response"))
+		endedAt := answeredAt.Add(-span("since the read"))
+		beganAt := endedAt.Add(-span("read"))
 		list := agents(rapid.IntRange(0, 5).Draw(t, "agents"))
-		body := encode(answered, fleet.Survey{Earliest: began, Latest: ended, Revision: 9, Agents: list}, 0)
-		got, err := decode(asked, came, body, nil)
+		body := encode(answeredAt, fleet.Survey{Earliest: beganAt, Latest: endedAt, Revision: 9, Agents: list}, 0)
+		got, err := decode(requestedAt, receivedAt, body, nil)
 		require.NoError(t, err)
-		require.False(t, got.Earliest.After(began), "earliest %v, began %v", got.Earliest, began)
-		require.False(t, got.Latest.Before(ended), "latest %v, ended %v", got.Latest, ended)
+		require.False(t, got.Earliest.After(beganAt), "earliest %v, began %v", got.Earliest, beganAt)
+		require.False(t, got.Latest.Before(endedAt), "latest %v, ended %v", got.Latest, endedAt)
 		require.Equal(t, int64(9), got.Revision)
 		require.Len(t, got.Agents, len(list))
 	})
 }
 
-// TestEntriesThatAreKnownAreNotSentAgain.
-func TestEntriesThatAreKnownAreNotSentAgain(t *testing.T) {
+func TestKnownEntriesAreOmitted(t *testing.T) {
 	list := agents(600)
 	s := fleet.SurveyAt(start, list)
 	whole := encode(start, s, 0)
-	require.Less(t, len(whole), 600*entryLen+headLen+1)
-	same := encode(start, s, sum(list))
-	require.Len(t, same, headLen)
+	require.Less(t, len(whole), 600*entryLen+headerLen+1)
+	same := encode(start, s, checksum(list))
+	require.Len(t, same, headerLen)
 	got, err := decode(start, start, same, list)
 	require.NoError(t, err)
 	require.Equal(t, list, got.Agents)
 	_, err = decode(start, start, same, list[1:])
-	require.ErrorIs(t, err, ErrMalformed, "others than the giver thought")
+	require.ErrorIs(t, err, ErrMalformed, "the receiver has other entries than the sender assumed")
 	_, err = decode(start, start, same, nil)
 	require.ErrorIs(t, err, ErrMalformed)
 }
 
-// TestADamagedReadingIsNone.
-func TestADamagedReadingIsNone(t *testing.T) {
+func TestDecodeRejectsDamagedSnapshots(t *testing.T) {
 	whole := encode(start, fleet.SurveyAt(start, agents(3)), 0)
 	for i := range whole {
 		if i >= 1 && i < 17 {
-			// Ages and revision are not covered by the sum.
+			// The checksum does not cover ages and revision.
 			continue
 		}
 		damaged := append([]byte(nil), whole...)
@@ -94,7 +92,7 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(encode(start, fleet.SurveyAt(start, agents(2)), 0))
-	f.Add(encode(start, fleet.SurveyAt(start, agents(2)), sum(agents(2))))
+	f.Add(encode(start, fleet.SurveyAt(start, agents(2)), checksum(agents(2))))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := decode(start, start, b, agents(2))
 		if err != nil {
@@ -102,18 +100,18 @@
 		}
 		require.False(t, s.Earliest.After(start))
 		require.False(t, s.Latest.After(start))
-		require.LessOrEqual(t, len(s.Agents), mostAgents)
+		require.LessOrEqual(t, len(s.Agents), maxAgents)
 	})
 }
 
-// store is a registry that takes its time, or fails.
-type store struct {
+// fakeStore is a registry that is slow or fails.
+type fakeStore struct {
 	calls   atomic.Int32
 	release chan struct{}
 	err     error
 }
 
-func (s *store) read(context.Context) ([]fleet.Entry, int64, error) {
+func (s *fakeStore) read(context.Context) ([]fleet.Entry, int64, error) {
 	s.calls.Add(1)
 	if s.release != nil {
 		<-s.release
@@ -121,13 +119,14 @@
 	return agents(3), int64(s.calls.Load()), s.err
 }
 
-// TestOneReadingServesAllWhoAskAtOnce: the return of everybody, who all doubt at once.
-func TestOneReadingServesAllWhoAskAtOnce(t *testing.T) {
-	s := &store{release: make(chan struct{})}
+// TestConcurrentCallersShareOneRegistryRead covers the moment when many nodes return at once
+// and all balancers need the registry.
+func TestConcurrentCallersShareOneRegistryRead(t *testing.T) {
+	s := &fakeStore{release: make(chan struct{})}
 	r := NewReader(s.read)
-	var all sync.WaitGroup
+	var callers sync.WaitGroup
 	for range 50 {
-		all.Go(func() {
+		callers.Go(func() {
 			got, err := r.Get(context.Background())
 			if err != nil || len(got.Agents) != 3 {
 				t.Errorf("got %v, %v", got, err)
@@ -136,14 +135,14 @@
 	}
 	time.Sleep(20 * time.Millisecond)
 	close(s.release)
-	all.Wait()
+	callers.Wait()
 	require.Equal(t, int32(1), s.calls.Load())
 }
 
-// TestWhoAsksAStoreThatDoesNotAnswerGoesOn: it is told that the reading is under way, and
-// gets it later.
-func TestWhoAsksAStoreThatDoesNotAnswerGoesOn(t *testing.T) {
-	s := &store{release: make(chan struct{})}
+// TestGetReturnsErrPendingWhileTheStoreIsSlow checks that a caller is not blocked by a store
+// that does not answer, and gets the result of the same read later.
+func TestGetReturnsErrPendingWhileTheStoreIsSlow(t *testing.T) {
+	s := &fakeStore{release: make(chan struct{})}
 	r := NewReader(s.read)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
@@ -156,9 +155,8 @@
 	require.Equal(t, int32(1), s.calls.Load())
 }
 
-// TestAFailedReadingIsToldAndNotRepeatedForEachAsker.
-func TestAFailedReadingIsToldAndNotRepeatedForEachAsker(t *testing.T) {
-	s := &store{err: errors.New("store away")}
+func TestFailedReadIsReportedAndNotRepeatedPerCaller(t *testing.T) {
+	s := &fakeStore{err: errors.New("store unavailable")}
 	r := NewReader(s.read)
 	for range 10 {
 		_, err := r.Get(context.Background())
@@ -173,14 +171,15 @@
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// TestAReadingIsPassedOn, and not its entries again while they are the same.
-func TestAReadingIsPassedOn(t *testing.T) {
-	s := &store{}
-	giver := serve(t, Handler(NewReader(s.read), zap.NewNop()))
+// TestFetchReturnsThePeersSnapshot checks that a second fetch, whose response omits the known
+// entries, returns the same ones from the same read.
+func TestFetchReturnsThePeersSnapshot(t *testing.T) {
+	s := &fakeStore{}
+	peer := serve(t, Handler(NewReader(s.read), zap.NewNop()))
 	client := NewClient()
 	for range 2 {
 		began := time.Now()
-		got, err := client.Fetch(t.Context(), giver)
+		got, err := client.Fetch(t.Context(), peer)
 		require.NoError(t, err)
 		require.Equal(t, agents(3), got.Agents)
 		require.Equal(t, int64(1), got.Revision)
@@ -189,34 +188,34 @@
 	require.Equal(t, int32(1), s.calls.Load())
 }
 
-// TestAGiverThatHasNoReadingIsLeft: who asks has to go on, whatever is wrong with the
-// balancer that it asks, and soon.
-func TestAGiverThatHasNoReadingIsLeft(t *testing.T) {
+// TestFetchFailsFastWithoutAUsableSnapshot guards against a balancer that is blocked by the
+// failure of the peer that it asks, whatever that failure is.
+func TestFetchFailsFastWithoutAUsableSnapshot(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	for name, c := range map[string]struct {
-		giver http.HandlerFunc
-		want  error
+		handler http.HandlerFunc
+		want    error
 	}{
-		"frozen": {giver: func(http.ResponseWriter, *http.Request) { <-release }},
-		"an earlier version": {giver: func(w http.ResponseWriter, _ *http.Request) {
+		"frozen": {handler: func(http.ResponseWriter, *http.Request) { <-release }},
+		"an earlier version": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusNotFound)
 		}},
-		"another program":       {giver: func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }, want: ErrMalformed},
-		"nothing":               {giver: func(http.ResponseWriter, *http.Request) {}, want: ErrMalformed},
-		"turned away":           {giver: Handler(NewReader((&store{err: errors.New("refused")}).read), zap.NewNop()).ServeHTTP},
-		"its store is too slow": {giver: Handler(NewReader((&store{release: release}).read), zap.NewNop()).ServeHTTP, want: ErrPending},
+		"another program":       {handler: func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }, want: ErrMalformed},
+		"empty response":        {handler: func(http.ResponseWriter, *http.Request) {}, want: ErrMalformed},
+		"read failed":           {handler: Handler(NewReader((&fakeStore{err: errors.New("refused")}).read), zap.NewNop()).ServeHTTP},
+		"its store is too slow": {handler: Handler(NewReader((&fakeStore{release: release}).read), zap.NewNop()).ServeHTTP, want: ErrPending},
 	} {
-		giver := serve(t, c.giver)
+		peer := serve(t, c.handler)
 		began := time.Now()
-		_, err := NewClient().Fetch(t.Context(), giver)
+		_, err := NewClient().Fetch(t.Context(), peer)
 		require.Error(t, err, name)
 		if c.want != nil {
 			require.ErrorIs(t, err, c.want, name)
 		}
 		require.Less(t, time.Since(began), 2*beginTimeout, name)
 	}
-	nobody := netip.MustParseAddrPort("127.0.0.1:1")
-	_, err := NewClient().Fetch(t.Context(), nobody)
+	unreachable := netip.MustParseAddrPort("127.0.0.1:1")
+	_, err := NewClient().Fetch(t.Context(), unreachable)
 	require.Error(t, err)
 }
--- a/fleet/surveycopy/wire.go
+++ b/fleet/surveycopy/wire.go
@@ -11,33 +11,34 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// ErrMalformed is returned for bytes that are no reading.
-var ErrMalformed = errors.New("malformed reading of the registry")
+// ErrMalformed is returned for bytes that are not a valid snapshot.
+var ErrMalformed = errors.New("malformed registry snapshot")
 
-// Layout of a reading, big-endian: version (1), how long ago it began (4) and ended (4),
-// milliseconds, the store's revision (8), the sum of the entries (8), their number (4),
-// then each entry: address (4), epoch (8). Without entries and with a number the receiver
-// has them already.
+// Layout of a snapshot, big-endian: version (1), time since the read began (4) and since it
+// ended (4) in milliseconds, the store's revision (8), the checksum of the entries (8),
+// their number (4), then each entry: address (4), incarnation (8). If the number is not zero
+// and no entries follow, the receiver has them already.
 const (
 	wireVersion = 1
-	headLen     = 29
+	headerLen   = 29
 	entryLen    = 12
-	// mostAgents bounds the entries of a reading.
-	mostAgents = 1 << 17
-	most       = headLen + mostAgents*entryLen
-	// ageUnit is what an age on the wire may lack.
+	// maxAgents is the maximum number of entries of a snapshot.
+	maxAgents = 1 << 17
+	maxLen    = headerLen + maxAgents*entryLen
+	// ageUnit is the unit of an encoded age. Ages are rounded down, so that an encoded age
+	// may be too low by up to one unit.
 	ageUnit = time.Millisecond
-	// mostAge is the oldest reading that is passed on.
-	mostAge = time.Hour
+	// maxAge is the maximum age of a snapshot that is shared.
+	maxAge = time.Hour
 )
 
-// sum tells lists of entries apart, in their order.
-func sum(agents []fleet.Entry) uint64 { return sumOf(appendEntries(nil, agents)) }
+// checksum returns the checksum of a list of entries; it depends on their order.
+func checksum(agents []fleet.Entry) uint64 { return checksumOf(appendEntries(nil, agents)) }
 
-// sumOf is sum for encoded entries.
-func sumOf(entries []byte) uint64 {
+// checksumOf is checksum for encoded entries.
+func checksumOf(entries []byte) uint64 {
 	h := fnv.New64a()
-	// A hash takes all that is written.
+	// Write on a hash never returns an error.
 	_, _ = h.Write(entries)
 	return h.Sum64()
 }
@@ -50,50 +51,50 @@
 	return b
 }
 
-// encode returns a reading as it is told at a moment to one that has entries of the given
-// sum, zero for none.
-func encode(now time.Time, s fleet.Survey, has uint64) []byte {
-	entries := appendEntries(nil, s.Agents)
-	own := sumOf(entries)
-	b := append(make([]byte, 0, headLen+len(entries)), wireVersion)
-	b = binary.BigEndian.AppendUint32(b, uint32(min(now.Sub(s.Earliest), mostAge).Milliseconds()))
-	b = binary.BigEndian.AppendUint32(b, uint32(min(now.Sub(s.Latest), mostAge).Milliseconds()))
-	b = binary.BigEndian.AppendUint64(b, uint64(s.Revision))
-	b = binary.BigEndian.AppendUint64(b, own)
-	b = binary.BigEndian.AppendUint32(b, uint32(len(s.Agents)))
-	if own == has {
+// encode encodes a snapshot that is sent at now to a receiver whose known entries have the
+// given checksum, zero for none.
+func encode(now time.Time, snapshot fleet.Survey, knownChecksum uint64) []byte {
+	entries := appendEntries(nil, snapshot.Agents)
+	entriesChecksum := checksumOf(entries)
+	b := append(make([]byte, 0, headerLen+len(entries)), wireVersion)
+	b = binary.BigEndian.AppendUint32(b, uint32(min(now.Sub(snapshot.Earliest), maxAge).Milliseconds()))
+	b = binary.BigEndian.AppendUint32(b, uint32(min(now.Sub(snapshot.Latest), maxAge).Milliseconds()))
+	b = binary.BigEndian.AppendUint64(b, uint64(snapshot.Revision))
+	b = binary.BigEndian.AppendUint64(b, entriesChecksum)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(snapshot.Agents)))
+	if entriesChecksum == knownChecksum {
 		return b
 	}
 	return append(b, entries...)
 }
 
-// decode reads what was asked for at one moment and had come at another one. known are
-// entries that the receiver has.
-func decode(asked, came time.Time, b []byte, known []fleet.Entry) (fleet.Survey, error) {
-	if len(b) < headLen || b[0] != wireVersion {
+// decode decodes a snapshot from the times of its request and its response, which bound the
+// time to which its ages relate. known are the entries that the receiver has.
+func decode(requestedAt, receivedAt time.Time, b []byte, known []fleet.Entry) (fleet.Survey, error) {
+	if len(b) < headerLen || b[0] != wireVersion {
 		return fleet.Survey{}, ErrMalformed
 	}
-	began := time.Duration(binary.BigEndian.Uint32(b[1:])) * ageUnit
-	ended := time.Duration(binary.BigEndian.Uint32(b[5:])) * ageUnit
+	startAge := time.Duration(binary.BigEndian.Uint32(b[1:])) * ageUnit
+	endAge := time.Duration(binary.BigEndian.Uint32(b[5:])) * ageUnit
 	want, count := binary.BigEndian.Uint64(b[17:]), int(binary.BigEndian.Uint32(b[25:]))
-	s := fleet.Survey{Earliest: asked.Add(-began - ageUnit), Latest: came.Add(-ended), Revision: int64(binary.BigEndian.Uint64(b[9:]))}
-	if ended > began || began > mostAge || s.Revision < 0 {
+	s := fleet.Survey{Earliest: requestedAt.Add(-startAge - ageUnit), Latest: receivedAt.Add(-endAge), Revision: int64(binary.BigEndian.Uint64(b[9:]))}
+	if endAge > startAge || startAge > maxAge || s.Revision < 0 {
 		return fleet.Survey{}, ErrMalformed
 	}
-	if s.Agents = known; len(b) > headLen || count == 0 {
+	if s.Agents = known; len(b) > headerLen || count == 0 {
 		var err error
-		if s.Agents, err = decodeEntries(b[headLen:], count); err != nil {
+		if s.Agents, err = decodeEntries(b[headerLen:], count); err != nil {
 			return fleet.Survey{}, err
 		}
 	}
-	if len(s.Agents) != count || sum(s.Agents) != want {
+	if len(s.Agents) != count || checksum(s.Agents) != want {
 		return fleet.Survey{}, ErrMalformed
 	}
 	return s, nil
 }
 
 func decodeEntries(b []byte, count int) ([]fleet.Entry, error) {
-	if count > mostAgents || len(b) != count*entryLen {
+	if count > maxAgents || len(b) != count*entryLen {
 		return nil, ErrMalformed
 	}
 	out := make([]fleet.Entry, 0, count)
