--- a/fleet/configcopy/configcopy.go
+++ b/fleet/configcopy/configcopy.go
@@ -1,9 +1,10 @@
-// Package configcopy passes the operator's configuration on between nodes, as it is
-// stored and compressed on the way. Balancers decode what they fetch; agents keep a
-// copy as it came, for balancers that find the store away and no balancer with one.
+// Package configcopy shares the operator's configuration between nodes, in its stored form
+// and compressed for the transfer. Balancers decode what they fetch. Agents keep a
+// compressed copy for balancers that find neither the store available nor a balancer with
+// a configuration.
 //
-// Cost: 4,200 routes are 0.7 MB stored and some 50 kB on the way; compressing them takes
-// 1.6 ms of a processor, once a version and only where somebody asks.
+// Cost: 4,200 routes are 0.7 MB stored and some 50 kB compressed; compressing them takes
+// 1.6 ms of CPU time, once per version and only when it is requested.
 package configcopy
 
 import (
@@ -26,84 +27,86 @@
 )
 
 const (
-	// Path is where nodes serve their copies.
+	// Path is the path at which nodes serve their copies.
 	Path = "/config"
 
 	encodingGzip = "gzip"
-	// peerTimeout bounds the time until a node that is asked begins to answer.
-	peerTimeout = 500 * time.Millisecond
-	// peerSilence bounds the pauses within its answer: a packet that was lost is sent
-	// again after 200 ms, then after 400 ms more.
-	peerSilence = 900 * time.Millisecond
-	// most bounds a configuration that another node sends, in bytes.
-	most = 4 << 20
+	// beginTimeout limits the time until a node's response begins.
+	beginTimeout = 500 * time.Millisecond
+	// stallTimeout limits the pauses within the response: a lost packet is retransmitted
+	// after 200 ms, then after 400 ms more.
+	stallTimeout = 900 * time.Millisecond
+	// maxSize is the maximum size in bytes of a response.
+	maxSize = 4 << 20
 )
 
-// limits bound a fetch. Only silence ends one: the link of a small VM takes most of a
-// second for a large configuration, and a fetch that is begun anew would take as long
-// again.
-var limits = transfer.Limits{Begin: peerTimeout, Silence: peerSilence, Most: most}
+// fetchLimits are the limits of a fetch. None applies to its total time: the link of a small
+// VM takes most of a second for a large configuration, and a second attempt would take as
+// long again.
+var fetchLimits = transfer.Limits{Begin: beginTimeout, Silence: stallTimeout, Most: maxSize}
 
-// Copy is a stored configuration as other nodes get it. It is safe for concurrent use.
+// Copy is a stored configuration that is served to other nodes. It is safe for concurrent
+// use.
 type Copy struct {
-	// raw are the stored bytes, nil where only the compressed ones are known.
-	raw    []byte
-	pack   sync.Once
-	packed []byte
+	// raw are the stored bytes; nil if only the compressed ones are known.
+	raw          []byte
+	compressOnce sync.Once
+	compressed   []byte
 }
 
-// Stored returns a copy of the bytes that the store holds.
+// Stored returns a Copy of the stored bytes of a configuration.
 func Stored(raw []byte) *Copy { return &Copy{raw: raw} }
 
-// Packed returns the configuration compressed, worked out at the first call: most
-// balancers are never asked. The fastest level: a balancer may have a twentieth of a core
-// and is asked by several others at once.
+// Packed returns the compressed configuration. It compresses at the first call, as most
+// balancers never get a request, and with the fastest level, as a balancer may have a
+// twentieth of a core and get requests of several others at once.
 func (c *Copy) Packed() []byte {
-	c.pack.Do(func() {
-		if c.packed != nil {
+	c.compressOnce.Do(func() {
+		if c.compressed != nil {
 			return
 		}
 		var b bytes.Buffer
-		// Only a level that does not exist is refused.
+		// NewWriterLevel fails for an invalid level only.
 		w, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed)
-		// Writes to a buffer do not fail.
+		// Writes to a bytes.Buffer do not fail.
 		_, _ = w.Write(c.raw)
 		_ = w.Close()
-		c.packed = b.Bytes()
+		c.compressed = b.Bytes()
 	})
-	return c.packed
+	return c.compressed
 }
 
-// Client fetches copies of other nodes. It opens a connection for each call: calls are
-// rare, and a kept connection may have gone silent since.
+// Client fetches copies from other nodes. It opens a connection for each call: calls are
+// rare, and a connection from an earlier one may be dead without notice.
 type Client struct {
-	plain, packed *http.Client
+	plain, compressed *http.Client
 }
 
-// Dial opens a connection.
+// Dial opens a connection; it has the signature of net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient returns a client that connects by dial, the standard one where it is nil.
+// NewClient returns a client that connects with dial, or with the standard dialer if it is
+// nil.
 func NewClient(dial Dial) *Client {
 	return &Client{
-		plain:  &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}},
-		packed: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: dial}},
+		plain:      &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}},
+		compressed: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: dial}},
 	}
 }
 
-// Fetch returns the stored bytes of a node's configuration.
+// Fetch fetches a node's configuration and returns its stored bytes.
 func (c *Client) Fetch(ctx context.Context, node netip.AddrPort) ([]byte, error) {
 	return fetch(ctx, c.plain, node, "")
 }
 
-// FetchCopy returns a node's copy without unpacking it: what a damaged one holds is found
-// by who unpacks it.
+// FetchCopy fetches a node's copy without decompressing it. Damage is detected only by the
+// node that decompresses it.
 func (c *Client) FetchCopy(ctx context.Context, node netip.AddrPort) (*Copy, error) {
-	body, err := fetch(ctx, c.packed, node, encodingGzip)
+	body, err := fetch(ctx, c.compressed, node, encodingGzip)
 	if err != nil {
 		return nil, err
 	}
-	return &Copy{packed: body}, nil
+	return &Copy{compressed: body}, nil
 }
 
 func fetch(ctx context.Context, client *http.Client, node netip.AddrPort, encoding string) ([]byte, error) {
@@ -114,24 +117,24 @@
 	if encoding != "" {
 		req.Header.Set("Accept-Encoding", encoding)
 	}
-	answer, err := transfer.Do(client, req, limits)
+	response, err := transfer.Do(client, req, fetchLimits)
 	if err != nil {
 		return nil, err
 	}
-	if answer.Status != http.StatusOK {
-		return nil, errors.Errorf("answered %d", answer.Status)
+	if response.Status != http.StatusOK {
+		return nil, errors.Errorf("unexpected response status %d", response.Status)
 	}
-	if len(answer.Body) == 0 {
-		return nil, errors.New("answered nothing")
+	if len(response.Body) == 0 {
+		return nil, errors.New("empty response")
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
-// Handler serves a node's present copy, nil while it has none.
-func Handler(present func() *Copy, log *zap.Logger) http.Handler {
+// Handler serves a node's current copy; current returns nil while there is none.
+func Handler(current func() *Copy, log *zap.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, r *http.Request) {
-		c := present()
+		c := current()
 		if c == nil {
 			http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
 			return
@@ -147,10 +150,10 @@
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		// Several may ask at once, and this VM's link may be a small one: the server's bound
-		// on the whole answer would cut off the last of them.
-		if err := transfer.Write(w, body, peerSilence); err != nil {
-			log.Info("configuration not given", zap.String(telemetry.FieldPeer, r.RemoteAddr), zap.Error(err))
+		// Several nodes may send requests at once, and this VM's link may be slow: with the
+		// server's limit on the whole response the last of them would be cut off.
+		if err := transfer.Write(w, body, stallTimeout); err != nil {
+			log.Info("configuration not sent", zap.String(telemetry.FieldPeer, r.RemoteAddr), zap.Error(err))
 		}
 	})
 	return mux
--- a/fleet/configcopy/configcopy_test.go
+++ b/fleet/configcopy/configcopy_test.go
@@ -20,17 +20,17 @@
 func TestMain(m *testing.M) { testseed.Main(m) }
 
 const (
-	// narrowLink is the link of a small balancer VM, 10 Mbit/s, in bytes a second.
-	narrowLink = 1_250_000
-	// grownRoutes make a configuration of 0.7 MB.
-	grownRoutes = 4300
+	// slowLinkRate is the link rate of a small balancer VM, 10 Mbit/s, in bytes per second.
+	slowLinkRate = 1_250_000
+	// largeRouteCount is the number of routes of a configuration of 0.7 MB.
+	largeRouteCount = 4300
 )
 
-// grown is a configuration of many routes with names that hardly compress.
-func grown() []byte {
+// largeConfiguration returns a configuration of many routes with names that hardly compress.
+func largeConfiguration() []byte {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var b bytes.Buffer
-	for range grownRoutes {
+	for range largeRouteCount {
 		fmt.Fprintf(&b, `{"name":"r-%016x%016x%016x%016x%016x","host":"198.18.0.1","prefix":"/443/","service":"alpha"},`,
 			rnd.Uint64(), rnd.Uint64(), rnd.Uint64(), rnd.Uint64(), rnd.Uint64())
 	}
@@ -45,9 +45,10 @@
 	return server, netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// TestConfigurationsTravelCompressed, and plain to one that does not ask for it.
-func TestConfigurationsTravelCompressed(t *testing.T) {
-	raw := grown()
+// TestHandlerCompressesOnRequest checks that a configuration is sent compressed if the client
+// accepts it, and as it is stored otherwise.
+func TestHandlerCompressesOnRequest(t *testing.T) {
+	raw := largeConfiguration()
 	size := len(raw)
 	server, address := serve(t, Stored(raw))
 	got, err := NewClient(nil).Fetch(t.Context(), address)
@@ -57,41 +58,41 @@
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, server.URL+Path, nil)
 		require.NoError(t, err)
 		req.Header.Set("Accept-Encoding", encoding)
-		answer, err := http.DefaultClient.Do(req)
+		response, err := http.DefaultClient.Do(req)
 		require.NoError(t, err)
-		require.NoError(t, answer.Body.Close())
-		require.GreaterOrEqual(t, answer.ContentLength, int64(want.least), encoding)
-		require.LessOrEqual(t, answer.ContentLength, int64(want.most), encoding)
+		require.NoError(t, response.Body.Close())
+		require.GreaterOrEqual(t, response.ContentLength, int64(want.least), encoding)
+		require.LessOrEqual(t, response.ContentLength, int64(want.most), encoding)
 	}
 }
 
-// TestPeersAreAskedOverSlowLinks: what hardly compresses takes longer than a
-// balancer may take to begin its answer.
-func TestPeersAreAskedOverSlowLinks(t *testing.T) {
+// TestFetchOverASlowLink guards against a fetch that is aborted although data arrives: on a
+// slow link an incompressible configuration takes longer than beginTimeout.
+func TestFetchOverASlowLink(t *testing.T) {
 	raw := make([]byte, 1<<20)
 	for i := range raw {
 		raw[i] = byte(rand.Uint32())
 	}
 	_, address := serve(t, Stored(raw))
-	client := NewClient(standin.NewLink(narrowLink).DialContext)
+	client := NewClient(standin.NewLink(slowLinkRate).DialContext)
 
 	began := time.Now()
 	got, err := client.Fetch(t.Context(), address)
 	require.NoError(t, err)
 	require.Equal(t, raw, got)
-	require.Greater(t, time.Since(began), peerTimeout, "the link was slow enough")
+	require.Greater(t, time.Since(began), beginTimeout, "the link is slow enough for this test")
 }
 
-// TestCopiesArePassedOnAsTheyCame: an agent's copy, unpacked nowhere on the way, serves
-// the same configuration; one that was damaged is found by who unpacks it.
+// TestCopiesArePassedOnAsTheyCame checks that a copy which an agent keeps compressed serves
+// the same configuration, and that the node that decompresses a damaged one gets an error.
 func TestCopiesArePassedOnAsTheyCame(t *testing.T) {
-	raw := grown()
+	raw := largeConfiguration()
 	_, origin := serve(t, Stored(raw))
 	client := NewClient(nil)
-	kept, err := client.FetchCopy(t.Context(), origin)
+	fetched, err := client.FetchCopy(t.Context(), origin)
 	require.NoError(t, err)
-	require.Less(t, len(kept.Packed()), len(raw)*2/3)
-	server, agent := serve(t, kept)
+	require.Less(t, len(fetched.Packed()), len(raw)*2/3)
+	server, agent := serve(t, fetched)
 	got, err := client.Fetch(t.Context(), agent)
 	require.NoError(t, err)
 	require.Equal(t, raw, got)
@@ -99,10 +100,10 @@
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, server.URL+Path, nil)
 	require.NoError(t, err)
 	req.Header.Set("Accept-Encoding", "identity")
-	answer, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
-	require.NoError(t, answer.Body.Close())
-	require.Equal(t, http.StatusNotAcceptable, answer.StatusCode)
+	require.NoError(t, response.Body.Close())
+	require.Equal(t, http.StatusNotAcceptable, response.StatusCode)
 
 	for name, damage := range map[string]func([]byte) []byte{
 		"half":    func(b []byte) []byte { return b[:len(b)/2] },
@@ -110,11 +111,11 @@
 		"nothing": func([]byte) []byte { return []byte{} },
 		"foreign": func([]byte) []byte { return []byte("no gzip") },
 	} {
-		_, poisoned := serve(t, &Copy{packed: damage(bytes.Clone(kept.Packed()))})
-		_, err := client.Fetch(t.Context(), poisoned)
+		_, damaged := serve(t, &Copy{compressed: damage(bytes.Clone(fetched.Packed()))})
+		_, err := client.Fetch(t.Context(), damaged)
 		require.Error(t, err, name)
 	}
-	_, none := serve(t, nil)
-	_, err = client.FetchCopy(t.Context(), none)
+	_, empty := serve(t, nil)
+	_, err = client.FetchCopy(t.Context(), empty)
 	require.Error(t, err)
 }
