--- a/fleet/zonecast/doc.go
+++ b/fleet/zonecast/doc.go
@@ -8,8 +8,8 @@
 // sequence number of their sender, so that duplicates are harmless.
 //
 // A relayed message only refreshes state that the receiver got from the same process of
-// the node itself (fleet.Present). A node that is new or overdue is asked directly. Changes
-// of state are not sent through relays.
+// the node itself (fleet.Present). A node that is new or overdue is probed directly.
+// Changes of state are not sent through relays.
 //
 // Bounds: a round sends Copies messages to each large zone, so that cross-zone traffic
 // grows with the nodes times the zones, not with the nodes of both zones. A relay buffers
--- a/fleet/zonecast/greetings.go
+++ b/fleet/zonecast/greetings.go
@@ -19,7 +19,7 @@
 // Greetings limits the rate of introductions to nodes that are known from other nodes only.
 // It is not safe for concurrent use.
 type Greetings struct {
-	// Max is the maximum number of nodes that are tracked.
+	// Max is the maximum number of nodes that are tracked; beyond it the record is cleared.
 	Max int
 
 	sentAt map[flow.IPv4]time.Time
--- a/flow/envelope/envelope.go
+++ b/flow/envelope/envelope.go
@@ -71,7 +71,8 @@
 	// MaxCandidates is the maximum number of candidates of a search; it limits the length
 	// of an envelope.
 	MaxCandidates = 32
-	// MaxHops ends forwarding loops.
+	// MaxHops is the number of hops after which a packet is not passed on; it ends forwarding
+	// loops.
 	MaxHops = MaxCandidates + 8
 	// PrefixLen is the length of magic, version and kind.
 	PrefixLen    = 4
