--- a/admission/admission.go
+++ b/admission/admission.go
@@ -149,12 +149,12 @@
 	}
 	best.streams++
 	c.running[ticket] = &running{target: best, service: o.Service, class: Stream, since: now}
-	return Decision{Ticket: ticket, Verb: Run, Target: best.name}
+	return Decision{Ticket: ticket, Action: Run, Target: best.name}
 }
 
 func (c *Controller) offerRequest(now time.Time, ticket Ticket, s *service, o Offer) []Decision {
 	dropped := s.enqueue(waiter{ticket: ticket, offer: o, since: now})
-	out := []Decision{{Ticket: ticket, Verb: Wait}}
+	out := []Decision{{Ticket: ticket, Action: Wait}}
 	for _, w := range dropped {
 		d := c.refusal(w.ticket, Overloaded, s.waiting)
 		if w.ticket == ticket {
@@ -191,7 +191,7 @@
 			continue
 		}
 		c.start(now, id, s, t, w, ws)
-		out = append(out, Decision{Ticket: w.ticket, Verb: Run, Target: t.name})
+		out = append(out, Decision{Ticket: w.ticket, Action: Run, Target: t.name})
 	}
 	return out
 }
@@ -304,7 +304,7 @@
 func (c *Controller) refusal(t Ticket, reason Reason, waiting int) Decision {
 	pressure := 1 + float64(waiting)/float64(max(c.opts.MaxQueue, 1))
 	after := time.Duration(float64(c.opts.RetryAfter) * pressure * (1 + 2*c.rnd.Float64()))
-	return Decision{Ticket: t, Verb: Refuse, Reason: reason, RetryAfter: after}
+	return Decision{Ticket: t, Action: Refuse, Reason: reason, RetryAfter: after}
 }
 
 func (c *Controller) ready(s *service) []*target {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -38,7 +38,7 @@
 				state := m.state[d.Ticket]
 				require.NotEqual(t, "over", state, "a second decision on ticket %d", d.Ticket)
 				require.NotEqual(t, "running", state, "a second decision on ticket %d", d.Ticket)
-				switch d.Verb {
+				switch d.Action {
 				case Wait:
 					m.state[d.Ticket] = "waiting"
 				case Refuse:
@@ -137,7 +137,7 @@
 	var tickets []Ticket
 	for i := range 3 {
 		d := c.Offer(t0, Offer{Service: 1, Class: Stream})[0]
-		require.Equal(t, i < 2, d.Verb == Run)
+		require.Equal(t, i < 2, d.Action == Run)
 		tickets = append(tickets, d.Ticket)
 	}
 	c.SetTarget(t0, "a", TargetSpec{Slots: 1, Requests: 1, Streams: 2, Ready: false})
@@ -153,9 +153,9 @@
 func TestPromotedStreamFreesItsSlot(t *testing.T) {
 	c := newTestController(1, 1, 2)
 	first := c.Offer(t0, Offer{Service: 1})[0]
-	require.Equal(t, Run, first.Verb)
+	require.Equal(t, Run, first.Action)
 	second := c.Offer(t0, Offer{Service: 1})[0]
-	require.Equal(t, Wait, second.Verb)
+	require.Equal(t, Wait, second.Action)
 	granted := c.Promote(t0, first.Ticket)
 	require.Len(t, granted, 1)
 	require.Equal(t, second.Ticket, granted[0].Ticket)
--- a/admission/types.go
+++ b/admission/types.go
@@ -87,12 +87,12 @@
 // Ticket identifies a request in a controller.
 type Ticket uint64
 
-// Verb is the action that a Decision asks for.
-type Verb uint8
+// Action is the action that a Decision asks for.
+type Action uint8
 
 const (
 	// Refuse means that the request is refused and has not run.
-	Refuse Verb = iota
+	Refuse Action = iota
 	// Run means that the request is to be dispatched to Target.
 	Run
 	// Wait means that the request is queued until another Decision for its ticket.
@@ -102,7 +102,7 @@
 // Decision is the decision of a controller on one ticket.
 type Decision struct {
 	Ticket     Ticket
-	Verb       Verb
+	Action     Action
 	Target     string
 	Reason     Reason
 	RetryAfter time.Duration
--- a/agent/gate.go
+++ b/agent/gate.go
@@ -50,7 +50,7 @@
 	return &gate{
 		now:      now,
 		ctrl:     admission.New(admission.Defaults(), rnd),
-		detector: outlier.New(outlier.Defaults(), outlier.DefaultJudge()),
+		detector: outlier.New(outlier.Defaults(), outlier.DefaultPolicy()),
 		waiting:  map[admission.Ticket]chan admission.Decision{},
 		targets:  map[string]gateTarget{},
 		ejected:  map[string]bool{},
@@ -72,7 +72,7 @@
 	if wait != nil {
 		d = g.await(ctx, d.Ticket, wait)
 	}
-	if d.Verb != admission.Run {
+	if d.Action != admission.Run {
 		return nil, refusal(ctx, d)
 	}
 	g.mu.Lock()
@@ -86,7 +86,7 @@
 	decisions := g.ctrl.Offer(g.now(), o)
 	g.deliver(decisions[1:])
 	own := decisions[0]
-	if own.Verb != admission.Wait {
+	if own.Action != admission.Wait {
 		return own, nil
 	}
 	ch := make(chan admission.Decision, 1)
@@ -108,7 +108,7 @@
 	}
 	delete(g.waiting, t)
 	g.ctrl.Cancel(t)
-	return admission.Decision{Ticket: t, Verb: admission.Refuse, Reason: admission.Deadline}
+	return admission.Decision{Ticket: t, Action: admission.Refuse, Reason: admission.Deadline}
 }
 
 // deliver hands decisions to waiting requests; it runs under mu.
--- a/agent/packetfront/admission.go
+++ b/agent/packetfront/admission.go
@@ -53,13 +53,13 @@
 // requestParamsOf reads the terms of a flow from its opening packet and the envelope
 // around it. What the packet says of an outage is noted first.
 func (c *Core) requestParamsOf(now time.Time, h *flow.Header) requestParams {
-	if c.env.Flags&envelope.Repeated == 0 {
+	if c.env.Flags&envelope.Retransmitted == 0 {
 		c.outage.Opened(now, h.Ack)
 	}
-	began := now.Add(-backlog.Age(h.Ack))
+	began := now.Add(-backlog.RetransmissionAge(h.Ack))
 	return requestParams{
 		priority: c.env.Priority, objective: c.env.Objective, deadline: c.env.Deadline,
-		began: began, hidden: c.outage.Hidden(began),
+		began: began, hidden: c.outage.UnseenTry(began),
 	}
 }
 
@@ -92,7 +92,7 @@
 func (c *Core) targetLimit() int {
 	slots := c.target.slots()
 	working := slots + int(targetQueuePerSlot*float64(slots))
-	return int(float64(working) / c.pace.Share())
+	return int(float64(working) / c.estimate.WorkShare())
 }
 
 // full tells that there are as many requests as the target should have, those that
@@ -104,10 +104,10 @@
 func (c *Core) expectedWait(now time.Time) time.Duration {
 	busy := c.flows.busy
 	if c.overload.active {
-		busy -= c.queue.Len() - c.queue.InTime(now, c.pace)
+		busy -= c.queue.Len() - c.queue.CountInTime(now, c.estimate)
 	}
-	ahead := float64(busy)*c.pace.Share() - float64(c.target.slots()) + 1
-	return time.Duration(max(ahead, 0) * float64(c.pace.Each()))
+	ahead := float64(busy)*c.estimate.WorkShare() - float64(c.target.slots()) + 1
+	return time.Duration(max(ahead, 0) * float64(c.estimate.AnswerInterval()))
 }
 
 // admitWhenFull decides on a new flow for which the target has no room at once. While
@@ -130,9 +130,9 @@
 		c.decline(now, key, h, packet, "target overloaded")
 		return false
 	}
-	if c.env.Flags&envelope.Settle == 0 {
-		if c.env.Best == 0 || wait < c.env.BestWait {
-			c.env.Best, c.env.BestWait = c.opts.Self, wait
+	if c.env.Flags&envelope.ShortestWait == 0 {
+		if c.env.ShortestWaitTarget == 0 || wait < c.env.ShortestWaitTime {
+			c.env.ShortestWaitTarget, c.env.ShortestWaitTime = c.opts.Self, wait
 		}
 		c.sendToShortestWait()
 		if c.env.Count > 0 {
@@ -144,7 +144,7 @@
 		c.decline(now, key, h, packet, "no target can serve it in time")
 		return false
 	}
-	if retransmittedBefore(wait, h) && !c.queue.GoesFirst(now, c.requestParamsOf(now, h).nextRequest(now), c.pace) {
+	if retransmittedBefore(wait, h) && !c.queue.GoesFirst(now, c.requestParamsOf(now, h).nextRequest(now), c.estimate) {
 		c.countArrival(now, h)
 		c.events.Postponed(key, wait)
 		return false
@@ -155,11 +155,11 @@
 // sendToShortestWait makes the last candidate of a new flow send it on to the one with the
 // shortest wait, once, unless that is this one or none was full.
 func (c *Core) sendToShortestWait() {
-	best := c.env.Best
-	if c.env.Count > 0 || c.env.Flags&envelope.Settle != 0 || best == 0 || best == c.opts.Self {
+	best := c.env.ShortestWaitTarget
+	if c.env.Count > 0 || c.env.Flags&envelope.ShortestWait != 0 || best == 0 || best == c.opts.Self {
 		return
 	}
-	c.env.Flags |= envelope.Settle
+	c.env.Flags |= envelope.ShortestWait
 	c.env.SetCandidates([]flow.Candidate{{Target: best, Service: c.env.Service}})
 }
 
@@ -169,14 +169,14 @@
 	if c.env.Deadline == 0 {
 		return true
 	}
-	return c.queue.Len() < maxQueued && backlog.Age(h.Ack)+wait+c.pace.Took() <= c.env.Deadline
+	return c.queue.Len() < maxQueued && backlog.RetransmissionAge(h.Ack)+wait+c.estimate.ResponseTime() <= c.env.Deadline
 }
 
 // retransmittedBefore tells whether a new flow's next opening packet comes before the target
 // would have a slot for its request, served in order. Until then targets may come
 // back, or others be faster; a flow that is open is bound to its target.
 func retransmittedBefore(wait time.Duration, h *flow.Header) bool {
-	next, more := backlog.NextCopy(h.Ack)
+	next, more := backlog.NextRetransmission(h.Ack)
 	return more && next < wait
 }
 
@@ -208,7 +208,7 @@
 func (t requestParams) nextRequest(now time.Time) backlog.Request {
 	request := backlog.Request{Priority: t.priority, Began: now, Objective: t.objective, Deadline: t.deadline}
 	if !t.began.IsZero() {
-		request.Began, request.Hidden = t.began, t.hidden
+		request.Began, request.UnseenTry = t.began, t.hidden
 	}
 	return request
 }
--- a/agent/packetfront/admission_test.go
+++ b/agent/packetfront/admission_test.go
@@ -58,7 +58,7 @@
 func (f *fixture) opened(client int) bool {
 	for _, p := range f.port.target {
 		h, err := platform.DecodePacket(p)
-		if err == nil && h.IsOpening() && h.FromClient() == keyOf(client) {
+		if err == nil && h.IsOpening() && h.KeyFromClient() == keyOf(client) {
 			return true
 		}
 	}
@@ -141,7 +141,7 @@
 
 // TestCopiesOfPostponedFlowsAreNoOutage: somebody has seen the first one.
 func TestCopiesOfPostponedFlowsAreNoOutage(t *testing.T) {
-	for flags, hidden := range map[envelope.Flags]time.Duration{0: backlog.TryTime + backlog.RetryPause, envelope.Repeated: 0} {
+	for flags, hidden := range map[envelope.Flags]time.Duration{0: backlog.ConnectTimeout + backlog.MaxRetryPause, envelope.Retransmitted: 0} {
 		f := newFixture()
 		e := load(2)
 		e.Flags = flags
@@ -159,24 +159,24 @@
 	f.opens(100, e, 2)
 	passed := f.port.Last()
 	require.Equal(t, nextIP, passed.To)
-	require.Equal(t, flow.IPv4(9), passed.Env.Best, "it was offered here first")
-	require.Equal(t, f.expectedWait(f.now).Truncate(time.Millisecond), passed.Env.BestWait)
+	require.Equal(t, flow.IPv4(9), passed.Env.ShortestWaitTarget, "it was offered here first")
+	require.Equal(t, f.expectedWait(f.now).Truncate(time.Millisecond), passed.Env.ShortestWaitTime)
 
 	last := load(2)
-	last.Best, last.BestWait = nextIP, 10*time.Millisecond
+	last.ShortestWaitTarget, last.ShortestWaitTime = nextIP, 10*time.Millisecond
 	f.opens(101, last, 2)
 	sent := f.port.Last()
 	require.Equal(t, nextIP, sent.To)
-	require.NotZero(t, sent.Env.Flags&envelope.Settle)
+	require.NotZero(t, sent.Env.Flags&envelope.ShortestWait)
 	require.False(t, f.opened(101))
 
-	last.BestWait = time.Second
+	last.ShortestWaitTime = time.Second
 	f.opens(102, last, 2)
 	require.True(t, f.opened(102), "here the wait is shorter")
 
 	settled := load(2)
-	settled.Flags = envelope.Settle
-	settled.Best, settled.BestWait = nextIP, time.Millisecond
+	settled.Flags = envelope.ShortestWait
+	settled.ShortestWaitTarget, settled.ShortestWaitTime = nextIP, time.Millisecond
 	f.opens(103, settled, 2)
 	require.True(t, f.opened(103), "it was sent on once")
 }
@@ -226,7 +226,7 @@
 	f := newFixture()
 	f.fill()
 	client := 100
-	for ; f.expectedWait(f.now) <= 1900*time.Millisecond-f.pace.Took(); client++ {
+	for ; f.expectedWait(f.now) <= 1900*time.Millisecond-f.estimate.ResponseTime(); client++ {
 		f.opens(client, load(2), 2)
 		f.asks(client)
 	}
--- a/agent/packetfront/cold.go
+++ b/agent/packetfront/cold.go
@@ -32,7 +32,7 @@
 	if c.cold.rate <= 0 || !c.isCold(now) {
 		return 0, false
 	}
-	return c.cold.window.Room(now, c.cold.rate), true
+	return c.cold.window.Headroom(now, c.cold.rate), true
 }
 
 // tooCold tells whether the target may not get a new flow now because it is cold.
--- a/agent/packetfront/cold_test.go
+++ b/agent/packetfront/cold_test.go
@@ -200,7 +200,7 @@
 						within++
 					}
 				}
-				if f.now.Before(coldUntil) && within > coldstart.Most(coldRate) {
+				if f.now.Before(coldUntil) && within > coldstart.MaxPerWindow(coldRate) {
 					t.Fatalf("%d new flows within a second", within)
 				}
 			}
--- a/agent/packetfront/core.go
+++ b/agent/packetfront/core.go
@@ -82,7 +82,7 @@
 	cold       cold
 	configCopy configCopy
 	queue      backlog.Queue[flow.Key]
-	pace       backlog.Pace
+	estimate   backlog.ServiceEstimate
 	// lastAnswerAt is when an answer was observed last.
 	lastAnswerAt time.Time
 	outage       backlog.Outage
@@ -117,17 +117,17 @@
 // New returns a core that knows neither target nor balancers yet.
 func New(now time.Time, opts Options, port Port, codec flow.Codec, events Events) *Core {
 	if opts.RelayFrom == 0 {
-		opts.RelayFrom = zonecast.From
+		opts.RelayFrom = zonecast.RelayThreshold
 	}
 	c := &Core{
 		opts: opts, port: port, codec: codec, events: events,
 		view: fleet.NewView(), deliveries: newDeliveryRing(), acks: newAcks(), health: newHealth(),
-		pace: backlog.NewPace(defaultWork, defaultSlots),
-		buf:  make([]byte, 0, 2048), relays: newRelays(opts, events.ZoneRelayed),
+		estimate: backlog.NewServiceEstimate(defaultWork, defaultSlots),
+		buf:      make([]byte, 0, 2048), relays: newRelays(opts, events.ZoneRelayed),
 	}
 	c.flows = newFlows(func(r *queuedRequest) { c.queue.Remove(r.key) })
-	c.cold.window.Blind(now)
-	c.overload.Outage(now)
+	c.cold.window.AssumeFull(now)
+	c.overload.NoteOutage(now)
 	return c
 }
 
@@ -186,7 +186,7 @@
 
 // handleSYN gives a SYN to the target, or to the next candidate.
 func (c *Core) handleSYN(now time.Time, h *flow.Header, packet []byte) {
-	key := h.FromClient()
+	key := h.KeyFromClient()
 	reason, ok := c.refusal()
 	if ok && c.health.ejected && c.env.Count > 0 {
 		reason, ok = "target ejected", false
@@ -208,8 +208,8 @@
 
 // admit gives a SYN to the target.
 func (c *Core) admit(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
-	c.cold.window.Give(now)
-	if r := c.flows.get(key); r != nil && r.supersededBy(now, now.Add(-backlog.Age(h.Ack))) {
+	c.cold.window.Add(now)
+	if r := c.flows.get(key); r != nil && r.supersededBy(now, now.Add(-backlog.RetransmissionAge(h.Ack))) {
 		r.request = c.requestParamsOf(now, h)
 	}
 	if c.flows.get(key) == nil {
@@ -249,7 +249,7 @@
 // deliverToFlow gives a packet of an open flow to the target if it may be the
 // target's, and passes it on otherwise.
 func (c *Core) deliverToFlow(now time.Time, h *flow.Header, packet []byte) {
-	key := h.FromClient()
+	key := h.KeyFromClient()
 	r := c.flows.get(key)
 	if r == nil || !r.holds(h) {
 		c.deliverUnknownFlow(now, key, h, packet)
@@ -344,7 +344,7 @@
 // there is none. sure tells that this target certainly does not hold the flow.
 func (c *Core) passToNextCandidate(packet []byte, sure bool) {
 	if !sure {
-		c.env.Flags |= envelope.Unsure
+		c.env.Flags |= envelope.Uncertain
 	}
 	c.env.Hops++
 	next, ok := c.env.Pop()
@@ -354,10 +354,10 @@
 		return
 	}
 	if ok {
-		c.env.Flags |= envelope.Unsure
+		c.env.Flags |= envelope.Uncertain
 	}
 	if c.env.Flags&envelope.Search != 0 {
-		c.env.Flags |= envelope.Searched
+		c.env.Flags |= envelope.SearchExhausted
 	}
 	c.env.Kind = envelope.Returned
 	c.sendEnvelope(c.env.Balancer, packet)
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -228,7 +228,7 @@
 	last := f.port.Last()
 	require.Equal(t, balancerIP, last.To)
 	require.Equal(t, envelope.Returned, last.Kind)
-	require.Equal(t, envelope.Search|envelope.Searched, last.Env.Flags, "sure: the agent saw its target start")
+	require.Equal(t, envelope.Search|envelope.SearchExhausted, last.Env.Flags, "sure: the agent saw its target start")
 }
 
 func TestAFreshAgentAsksItsTarget(t *testing.T) {
@@ -239,7 +239,7 @@
 	require.Len(t, f.port.target, 1)
 	f.bounce()
 	require.Equal(t, envelope.Returned, f.port.Last().Kind)
-	require.Zero(t, f.port.Last().Env.Flags&envelope.Unsure, "a bounce is a certain no")
+	require.Zero(t, f.port.Last().Env.Flags&envelope.Uncertain, "a bounce is a certain no")
 }
 
 // TestALateSYNDoesNotSetAFlowBack: the target answers it again; the flow stays
--- a/agent/packetfront/flows.go
+++ b/agent/packetfront/flows.go
@@ -83,13 +83,13 @@
 // says nothing new; began is when that flow began. All copies are sent within a try.
 func (r *record) supersededBy(now, began time.Time) bool {
 	_, abandoned := r.abandoned(now)
-	later := !r.request.began.IsZero() && began.Sub(r.request.began) > backlog.TryTime
+	later := !r.request.began.IsZero() && began.Sub(r.request.began) > backlog.ConnectTimeout
 	return abandoned || later || r.stage == closed || r.stage == dead
 }
 
 // holds tells whether a client's packet belongs to this record's flow.
 func (r *record) holds(h *flow.Header) bool {
-	return r.stage != offered && flow.SameFlow(h.Ack, r.targetSeq)
+	return r.stage != offered && flow.WithinSequenceWindow(h.Ack, r.targetSeq)
 }
 
 // awaitsAnswer tells that a request of the flow has no answer yet. The first one's answer
--- a/agent/packetfront/fromtarget.go
+++ b/agent/packetfront/fromtarget.go
@@ -15,7 +15,7 @@
 		c.handleBounced(now, h, packet)
 		return
 	}
-	key := h.FromTarget()
+	key := h.KeyFromTarget()
 	c.recordTargetPacket(now, key, h, packet)
 	c.updateSlots(now)
 	c.dispatchQueued(now)
@@ -52,34 +52,34 @@
 		return
 	}
 	c.overload.Answered(now)
-	if answer != flow.AnswerGiven {
+	if answer != flow.AnswerCompleted {
 		return
 	}
-	served := backlog.Served{Took: now.Sub(r.runningAt), Work: now.Sub(r.deliveredAt), Among: r.concurrent}
+	served := backlog.Completion{ResponseTime: now.Sub(r.runningAt), ServiceTime: now.Sub(r.deliveredAt), Concurrency: r.concurrent}
 	if !c.lastAnswerAt.IsZero() {
-		served.Gap = now.Sub(c.lastAnswerAt)
+		served.SincePrevious = now.Sub(c.lastAnswerAt)
 	}
 	c.lastAnswerAt = now
-	c.pace.Done(served, c.target.slots())
+	c.estimate.Observe(served, c.target.slots())
 }
 
-// paceTTL is how long what was observed of an idle target's work holds. A target that was
+// estimateTTL is how long what was observed of an idle target's work holds. A target that was
 // slow gets hardly any work, and shows only by work that it is not any more: then it is
 // judged like the typical one and tried again, one that is slow still a few requests each
 // time.
-const paceTTL = 2 * time.Second
+const estimateTTL = 2 * time.Second
 
-// expirePace forgets an observation of a target that has had no work for long.
-func (c *Core) expirePace(now time.Time) {
-	if c.flows.busy == 0 && now.Sub(c.lastAnswerAt) > paceTTL {
-		c.pace.Doubt()
+// expireEstimate forgets an observation of a target that has had no work for long.
+func (c *Core) expireEstimate(now time.Time) {
+	if c.flows.busy == 0 && now.Sub(c.lastAnswerAt) > estimateTTL {
+		c.estimate.MarkStale()
 	}
 }
 
 // recordSYNACK notes a SYN+ACK. A balancer whose SYN was passed on learns where
 // it went. The answer to a late copy of the SYN does not set an open flow back.
 func (c *Core) recordSYNACK(now time.Time, key flow.Key, r *record, h *flow.Header) {
-	if (r.stage == halfOpen || r.stage == open) && flow.SameFlow(h.Seq, r.targetSeq) {
+	if (r.stage == halfOpen || r.stage == open) && flow.WithinSequenceWindow(h.Seq, r.targetSeq) {
 		return
 	}
 	if r.stage != offered {
@@ -123,7 +123,7 @@
 
 // handleBounced takes back a packet that the target did not accept.
 func (c *Core) handleBounced(now time.Time, h *flow.Header, packet []byte) {
-	key := h.FromClient()
+	key := h.KeyFromClient()
 	c.codec.Unmark(packet)
 	env := c.deliveries.take(h.Echo, key)
 	r := c.flows.get(key)
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -58,7 +58,7 @@
 	// sent counts what goes to other nodes.
 	sent      *telemetry.SentTraffic
 	isolation fleet.Alone
-	entry     *registry.Registry
+	entry     *registry.Registration
 	// configCopy is the copy of the configuration, nil before the first.
 	configCopy *configcopy.Copy
 	// peers fetches it from balancers.
@@ -161,7 +161,7 @@
 	presence := fleet.PresenceUnknown
 	f.locked(func(now time.Time) { presence = f.core.Presence(now) })
 	if presence != fleet.PresenceUnknown {
-		f.entry.Want(presence)
+		f.entry.SetPresence(presence)
 	}
 }
 
@@ -171,7 +171,7 @@
 	leaves := false
 	f.locked(func(time.Time) { leaves = f.core.RemovesEntry() })
 	if leaves {
-		f.entry.Leave()
+		f.entry.Deregister()
 	}
 	f.locked(f.core.Stop)
 }
@@ -271,8 +271,8 @@
 			f.log.Warn("registry not read", zap.Error(err))
 			return
 		}
-		if balancers.Passed > 0 {
-			f.log.Warn("invalid registry entries", zap.Int("entries", balancers.Passed))
+		if balancers.Skipped > 0 {
+			f.log.Warn("invalid registry entries", zap.Int("entries", balancers.Skipped))
 		}
 		f.locked(func(now time.Time) { f.core.Contact(now, fleet.Addresses(balancers.Entries)) })
 	})
--- a/agent/packetfront/health.go
+++ b/agent/packetfront/health.go
@@ -75,7 +75,7 @@
 const maxDoublings = 8
 
 func newHealth() health {
-	return health{detector: outlier.New(outlier.Defaults(), outlier.DefaultJudge())}
+	return health{detector: outlier.New(outlier.Defaults(), outlier.DefaultPolicy())}
 }
 
 // recordAnswerOutcome takes the answer to a request. That a target sheds what it would have to
@@ -85,7 +85,7 @@
 		c.events.Failed()
 		return
 	}
-	c.recordOutcome(now, a != flow.AnswerGiven)
+	c.recordOutcome(now, a != flow.AnswerCompleted)
 }
 
 // recordOutcome takes the recordOutcome of a request.
--- a/agent/packetfront/keepconfig.go
+++ b/agent/packetfront/keepconfig.go
@@ -92,7 +92,7 @@
 			f.configCopy = stored
 		}
 	})
-	f.log.Info("copy of the configuration kept", append(fields, zap.Int(telemetry.FieldBytes, len(stored.Packed())))...)
+	f.log.Info("copy of the configuration kept", append(fields, zap.Int(telemetry.FieldBytes, len(stored.Compressed())))...)
 }
 
 // currentCopy returns the currentCopy that is kept, nil before the first.
--- a/agent/packetfront/load_test.go
+++ b/agent/packetfront/load_test.go
@@ -72,7 +72,7 @@
 // calls lets a new caller open its flow, which the target answers at once.
 func (l *randomLoad) calls(terms envelope.Envelope, copies uint32) *caller {
 	id := len(l.callers) + 1
-	c := &caller{key: keyOf(id), terms: terms, targetSeq: uint32(id) << 20, opened: l.now.Add(-backlog.Age(copies))}
+	c := &caller{key: keyOf(id), terms: terms, targetSeq: uint32(id) << 20, opened: l.now.Add(-backlog.RetransmissionAge(copies))}
 	l.callers = append(l.callers, c)
 	l.byKey[c.key] = c
 	before := len(l.port.target)
@@ -142,7 +142,7 @@
 		h, err := platform.DecodePacket(l.port.target[l.seen])
 		require.NoError(t, err)
 		if h.Len > 0 {
-			l.checkGiven(t, l.byKey[h.FromClient()], int(h.Seq)/requestLen)
+			l.checkGiven(t, l.byKey[h.KeyFromClient()], int(h.Seq)/requestLen)
 		}
 	}
 	l.checkCounts(t)
--- a/agent/packetfront/nodes.go
+++ b/agent/packetfront/nodes.go
@@ -34,7 +34,7 @@
 // the store is away.
 func (c *Core) compareEvacuations(now time.Time, from flow.IPv4, heard flow.Evacuations) {
 	former := c.evacuations
-	newer, differ := c.evacuations.TakeOver(heard)
+	newer, differ := c.evacuations.ReplaceIfNewer(heard)
 	switch {
 	case newer:
 		if heard.Has(c.opts.Zone) != former.Has(c.opts.Zone) || former.Revision == 0 {
@@ -67,7 +67,7 @@
 // a beacon.
 func (c *Core) contact(now time.Time, balancers []flow.IPv4, wantPeers bool) {
 	for _, ip := range balancers {
-		if !c.view.KnowsBalancer(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
+		if !c.view.KnowsBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.announceTo(now, ip, wantPeers)
 		}
 	}
@@ -81,7 +81,7 @@
 		c.endFlows(now, "its target has left")
 	}
 	c.checkHealth(now)
-	c.expirePace(now)
+	c.expireEstimate(now)
 	c.expire(now)
 	c.expirePendingOpens(now)
 	c.expireQueued(now)
@@ -236,10 +236,10 @@
 
 // loadReport are what the balancers hear of the target's work.
 func (c *Core) loadReport(now time.Time) fleet.Readings {
-	if !c.pace.Observed() {
+	if !c.estimate.Observed() {
 		return fleet.Readings{}
 	}
-	return fleet.Readings{Wait: c.expectedWait(now), Each: c.pace.Each(), Took: c.pace.Took(), Overloaded: c.overload.active}
+	return fleet.Readings{Wait: c.expectedWait(now), Each: c.estimate.AnswerInterval(), Took: c.estimate.ResponseTime(), Overloaded: c.overload.active}
 }
 
 // incarnation tells the target's life from others, zero while it is not known.
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -195,7 +195,7 @@
 		o.overloads.Inc()
 	}
 	o.Log.Info(what, zap.Float64("arrived_per_s", load.Arrived), zap.Float64("answered_per_s", load.Answered),
-		zap.Float64("full", load.Full), zap.Duration("behind", load.Behind), zap.Duration("lasted", load.Lasted), zap.Int("held", held), zap.Duration("wait", wait))
+		zap.Float64("full", load.FullShare), zap.Duration("behind", load.Lag), zap.Duration("lasted", load.BacklogAge), zap.Int("held", held), zap.Duration("wait", wait))
 }
 
 // PeerChanged implements Events.
--- a/agent/packetfront/overload.go
+++ b/agent/packetfront/overload.go
@@ -26,7 +26,7 @@
 // others pass their flows on to has these to answer, not those that pass them on. A flow
 // that a balancer sends again is the same arrival.
 func (c *Core) countArrival(now time.Time, h *flow.Header) {
-	if c.env.Flags&envelope.Repeated == 0 {
+	if c.env.Flags&envelope.Retransmitted == 0 {
 		c.overload.Arrived(now, c.env.Deadline, h.Ack > 0)
 	}
 }
@@ -44,26 +44,26 @@
 // packet.
 func (c *Core) countLaterRequest(now time.Time, r *record) {
 	if r.pendingAt.IsZero() && r.request.began.IsZero() {
-		c.overload.ArrivedLater(now, r.request.deadline)
+		c.overload.ArrivedOnOpenFlow(now, r.request.deadline)
 	}
 }
 
 // updateSlots notes whether the target has a free slot: requests whose bodies are on their
 // way keep none.
 func (c *Core) updateSlots(now time.Time) {
-	working := float64(c.flows.running) * c.pace.Share()
-	c.overload.Slots(now, working < float64(c.target.slots()))
+	working := float64(c.flows.running) * c.estimate.WorkShare()
+	c.overload.SetSlotFree(now, working < float64(c.target.slots()))
 }
 
 // updateOverload tells balancers at once when an overload stands, and when it does no
 // longer: they refuse for all others what it means for this target alone.
 func (c *Core) updateOverload(now time.Time) {
 	if c.target.warmup(now) > 0 || c.target.state() == fleet.Absent {
-		c.overload.Outage(now)
+		c.overload.NoteOutage(now)
 	}
 	c.updateSlots(now)
 	wait := c.expectedWait(now)
-	stands := c.overload.Stands(now, wait)
+	stands := c.overload.Active(now, wait)
 	if stands == c.overload.active {
 		return
 	}
@@ -82,14 +82,14 @@
 	if c.env.Objective == 0 {
 		return c.canMeetDeadline(wait, h)
 	}
-	expected := fleet.Readings{Wait: wait, Took: c.pace.Took()}
-	return c.queue.Len() < maxQueued && expected.InTime(backlog.Age(h.Ack), c.env.Objective)
+	expected := fleet.Readings{Wait: wait, Took: c.estimate.ResponseTime()}
+	return c.queue.Len() < maxQueued && expected.InTime(backlog.RetransmissionAge(h.Ack), c.env.Objective)
 }
 
 // nextQueued takes out the request that gets the next slot.
 func (c *Core) nextQueued(now time.Time) (flow.Key, bool) {
 	if c.overload.active {
-		return c.queue.NextInTime(now, c.pace)
+		return c.queue.NextInTime(now, c.estimate)
 	}
-	return c.queue.Next(now, c.pace)
+	return c.queue.Next(now, c.estimate)
 }
--- a/agent/packetfront/overload_test.go
+++ b/agent/packetfront/overload_test.go
@@ -201,7 +201,7 @@
 	f.uploads(20*time.Second, period, gap, work, packets)
 	require.Greater(t, f.peak, 2*f.target.slots())
 	require.Zero(t, f.tally.overloads)
-	require.Less(t, f.overload.Load(f.now).Full, 0.1)
+	require.Less(t, f.overload.Load(f.now).FullShare, 0.1)
 }
 
 // TestALastCandidateSendsAFlowToOneThatCanTakeIt: that it takes none itself, as it is
@@ -215,13 +215,13 @@
 		prepare(f)
 		e := load(2)
 		e.Objective = time.Millisecond
-		e.Best, e.BestWait = nextIP, 10*time.Millisecond
+		e.ShortestWaitTarget, e.ShortestWaitTime = nextIP, 10*time.Millisecond
 		f.opens(100, e, 0)
 		sent := f.port.Last()
 		require.Equal(t, nextIP, sent.To, name)
 		require.Equal(t, envelope.Deliver, sent.Kind, name)
-		require.NotZero(t, sent.Env.Flags&envelope.Settle, name)
-		e.Flags = envelope.Settle
+		require.NotZero(t, sent.Env.Flags&envelope.ShortestWait, name)
+		e.Flags = envelope.ShortestWait
 		f.opens(101, e, 0)
 		require.Equal(t, envelope.Returned, f.port.Last().Kind, "%s: it was sent on once", name)
 	}
--- a/agent/packetfront/pace_test.go
+++ b/agent/packetfront/pace_test.go
@@ -74,7 +74,7 @@
 		f.requestAtOnce(i, after(280*time.Millisecond, served))
 	}
 	require.Greater(t, f.announcement(f.now).Each, 5*usual)
-	f.now = f.now.Add(paceTTL + time.Millisecond)
+	f.now = f.now.Add(estimateTTL + time.Millisecond)
 	f.Tick(f.now)
 	require.Equal(t, fleet.Readings{}, f.announcement(f.now).Readings, "taken for typical, so it gets flows")
 	for i := range 8 {
@@ -87,7 +87,7 @@
 func TestABusyTargetKeepsItsPace(t *testing.T) {
 	f := paced()
 	f.ask(100)
-	f.now = f.now.Add(paceTTL + time.Millisecond)
+	f.now = f.now.Add(estimateTTL + time.Millisecond)
 	f.Tick(f.now)
 	require.NotZero(t, f.announcement(f.now).Each)
 }
--- a/agent/packetfront/relay.go
+++ b/agent/packetfront/relay.go
@@ -13,7 +13,7 @@
 const (
 	// relayFreshness is how lately a balancer was heard that is asked to relay messages: two
 	// of the periods in which agents hear of those of other zones, and a round.
-	relayFreshness = 2*zonecast.AgentFlushPeriod + zonecast.Period
+	relayFreshness = 2*zonecast.AgentFlushPeriod + zonecast.RelayPeriod
 	// probeBalancersAfter is how long a balancer of another zone may stay unheard before it
 	// is asked; it is forgotten after fleet.Forget, and changes would not reach it then.
 	probeBalancersAfter = fleet.Forget / 2
@@ -26,19 +26,19 @@
 	// planner plans how other zones are told.
 	planner zonecast.Planner
 	// introduced are balancers that others named.
-	introduced zonecast.Greetings
+	introduced zonecast.IntroductionLimiter
 }
 
 func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) crossZone {
 	return crossZone{
-		introduced: zonecast.Greetings{Max: maxIntroduced},
-		planner:    zonecast.Planner{Self: opts.Self, Zone: opts.Zone, From: opts.RelayFrom, Within: relayFreshness, Report: report},
+		introduced: zonecast.IntroductionLimiter{MaxNodes: maxIntroduced},
+		planner:    zonecast.Planner{Self: opts.Self, Zone: opts.Zone, RelayThreshold: opts.RelayFrom, RecentWithin: relayFreshness, OnChange: report},
 	}
 }
 
 // announceCrossZone repeats the announcement to other zones.
 func (c *Core) announceCrossZone(now time.Time) {
-	c.relays.planner.Begin()
+	c.relays.planner.StartRound()
 	plan := c.relays.planner.Plan(now, c.view)
 	c.crossZonePeriod = plan.Period
 	c.nextCrossZone = fleet.NextRound(now, c.crossZonePeriod, c.opts.Self)
@@ -96,7 +96,7 @@
 
 // probeNamed greets a balancer that others name, which then announces itself.
 func (c *Core) probeNamed(now time.Time, ip flow.IPv4) {
-	if c.relays.introduced.May(now, ip, zonecast.NamedPause) {
+	if c.relays.introduced.Allow(now, ip, zonecast.RelayedIntroductionPause) {
 		c.probeBalancer(now, ip)
 	}
 }
--- a/agent/packetfront/relay_test.go
+++ b/agent/packetfront/relay_test.go
@@ -37,7 +37,7 @@
 // TestALargeZoneIsToldThroughRelays, a small one directly; both copies of a round are the
 // same announcement.
 func TestALargeZoneIsToldThroughRelays(t *testing.T) {
-	for count, relayed := range map[int]bool{zonecast.From - 1: false, zonecast.From: true, 40: true} {
+	for count, relayed := range map[int]bool{zonecast.RelayThreshold - 1: false, zonecast.RelayThreshold: true, 40: true} {
 		f := newFixture()
 		f.meetsZone(count)
 		f.announceCrossZone(f.now)
@@ -48,7 +48,7 @@
 		}
 		require.Empty(t, f.port.OfKind(envelope.Announce))
 		sent := f.port.OfKind(envelope.Relay)
-		require.Len(t, sent, zonecast.Copies)
+		require.Len(t, sent, zonecast.RelayCopies)
 		require.Equal(t, sent[0].Raw, sent[1].Raw)
 	}
 }
@@ -81,7 +81,7 @@
 		require.Len(t, f.port.OfKind(envelope.Announce), c.direct, name)
 		f.pass(0)
 		if c.direct == 0 {
-			require.Len(t, f.port.OfKind(envelope.Relay), zonecast.Copies, name)
+			require.Len(t, f.port.OfKind(envelope.Relay), zonecast.RelayCopies, name)
 		}
 	}
 }
--- a/agent/packetfront/reusedports_test.go
+++ b/agent/packetfront/reusedports_test.go
@@ -49,7 +49,7 @@
 		require.Equal(t, 1, f.flows.running)
 		f.now = f.now.Add(20 * time.Millisecond)
 		f.targetSends(100, flow.ACK, 1_000_001, 10)
-		require.Equal(t, 20*time.Millisecond, f.pace.Took())
+		require.Equal(t, 20*time.Millisecond, f.estimate.ResponseTime())
 		require.Zero(t, f.Busy())
 	})
 	t.Run("a request waited", func(t *testing.T) {
--- a/agent/registry_test.go
+++ b/agent/registry_test.go
@@ -122,11 +122,11 @@
 						able++
 					}
 				}
-				if d.Verb == admission.Run {
+				if d.Action == admission.Run {
 					require.True(t, serves(d.Target, serviceNames[id-1]), "%s got a request", d.Target)
 					return
 				}
-				if d.Verb == admission.Refuse && d.Reason == admission.NoTarget {
+				if d.Action == admission.Refuse && d.Reason == admission.NoTarget {
 					require.Zero(t, able)
 				}
 			},
--- a/backlog/coldstart/coldstart.go
+++ b/backlog/coldstart/coldstart.go
@@ -34,32 +34,32 @@
 	fullUntil time.Time
 }
 
-// Blind makes the window count as full for one span, because deliveries before now are
+// AssumeFull makes the window count as full for one span, because deliveries before now are
 // unknown.
-func (w *Window) Blind(now time.Time) { w.fullUntil = now.Add(span) }
+func (w *Window) AssumeFull(now time.Time) { w.fullUntil = now.Add(span) }
 
-// Give records an opening packet delivered to the target.
-func (w *Window) Give(now time.Time) {
+// Add records an opening packet delivered to the target.
+func (w *Window) Add(now time.Time) {
 	w.prune(now)
 	if len(w.times) >= maxRemembered {
-		w.Blind(now)
+		w.AssumeFull(now)
 		w.times = w.times[:0]
 	}
 	w.times = append(w.times, now)
 }
 
-// Room returns how many more opening packets may be delivered now to a target that sustains
+// Headroom returns how many more opening packets may be delivered now to a target that sustains
 // rate requests per second. Rates below one count as one.
-func (w *Window) Room(now time.Time, rate float64) int {
+func (w *Window) Headroom(now time.Time, rate float64) int {
 	w.prune(now)
 	if now.Before(w.fullUntil) {
 		return 0
 	}
-	return max(Most(rate)-len(w.times), 0)
+	return max(MaxPerWindow(rate)-len(w.times), 0)
 }
 
-// Most returns the number of requests per second that a rate allows, at least one.
-func Most(rate float64) int { return int(min(max(math.Floor(rate), 1), maxRemembered)) }
+// MaxPerWindow returns the number of requests per second that a rate allows, at least one.
+func MaxPerWindow(rate float64) int { return int(min(max(math.Floor(rate), 1), maxRemembered)) }
 
 // prune removes times older than the window.
 func (w *Window) prune(now time.Time) {
--- a/backlog/coldstart/coldstart_test.go
+++ b/backlog/coldstart/coldstart_test.go
@@ -33,26 +33,26 @@
 		rate := rapid.Float64Range(0.1, 60).Draw(t, "rate")
 		now, latest := t0, t0
 		var w Window
-		w.Blind(now)
+		w.AssumeFull(now)
 		o := oracle{}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 7, 19, 40, 300}).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 30).Draw(t, "what") {
 			case 0:
 				w = Window{}
-				w.Blind(now)
+				w.AssumeFull(now)
 			default:
-				if w.Room(now, rate) == 0 {
+				if w.Headroom(now, rate) == 0 {
 					continue
 				}
-				w.Give(now)
+				w.Add(now)
 				arrives := now.Add(time.Duration(rapid.IntRange(0, 15).Draw(t, "delay")) * time.Millisecond)
 				if arrives.Before(latest) {
 					arrives = latest
 				}
 				latest = arrives
 				o.arrivals = append(o.arrivals, arrives)
-				if got := o.within(arrives); got > Most(rate) {
+				if got := o.within(arrives); got > MaxPerWindow(rate) {
 					t.Fatalf("%d requests within a second, rate %v", got, rate)
 				}
 			}
@@ -66,8 +66,8 @@
 	given := 0
 	for ms := range 10_000 {
 		now := t0.Add(time.Duration(ms) * time.Millisecond)
-		if w.Room(now, 20) > 0 {
-			w.Give(now)
+		if w.Headroom(now, 20) > 0 {
+			w.Add(now)
 			given++
 		}
 	}
@@ -76,14 +76,14 @@
 
 func TestWindowCountsAsFullAfterAgentStart(t *testing.T) {
 	var w Window
-	w.Blind(t0)
-	require.Zero(t, w.Room(t0.Add(span-1), 5))
-	require.Equal(t, 5, w.Room(t0.Add(span), 5))
+	w.AssumeFull(t0)
+	require.Zero(t, w.Headroom(t0.Add(span-1), 5))
+	require.Equal(t, 5, w.Headroom(t0.Add(span), 5))
 }
 
 func TestRateBelowOneAllowsOne(t *testing.T) {
 	for rate, want := range map[float64]int{0.1: 1, 1: 1, 2.9: 2, 1e9: maxRemembered} {
-		require.Equal(t, want, Most(rate))
+		require.Equal(t, want, MaxPerWindow(rate))
 	}
 }
 
@@ -92,10 +92,10 @@
 func TestWindowMemoryIsBounded(t *testing.T) {
 	var w Window
 	for range 3 * maxRemembered {
-		w.Give(t0)
+		w.Add(t0)
 	}
 	require.LessOrEqual(t, len(w.times), maxRemembered)
-	require.Zero(t, w.Room(t0, 1e9))
+	require.Zero(t, w.Headroom(t0, 1e9))
 }
 
 func BenchmarkWindow(b *testing.B) {
@@ -103,8 +103,8 @@
 	now := t0
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		if w.Room(now, 500) > 0 {
-			w.Give(now)
+		if w.Headroom(now, 500) > 0 {
+			w.Add(now)
 		}
 	}
 }
--- a/backlog/outage.go
+++ b/backlog/outage.go
@@ -4,10 +4,10 @@
 
 // Client timing, from which the age of a request is inferred; fixed by the platform's protocol.
 const (
-	// TryTime is how long a caller tries to open a flow.
-	TryTime = 1400 * time.Millisecond
-	// RetryPause is the longest pause before a caller retries; pauses from 0.1 s on were observed.
-	RetryPause = 200 * time.Millisecond
+	// ConnectTimeout is how long a caller tries to open a flow.
+	ConnectTimeout = 1400 * time.Millisecond
+	// MaxRetryPause is the longest pause before a caller retries; pauses from 0.1 s on were observed.
+	MaxRetryPause = 200 * time.Millisecond
 	// maxRetransmissions is how many retransmissions follow the first opening packet.
 	maxRetransmissions = 2
 )
@@ -16,12 +16,12 @@
 // 0 is the first packet itself.
 var retransmissionAge = [maxRetransmissions + 1]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
-// Age returns how long after the first opening packet the n-th retransmission is sent.
-func Age(n uint32) time.Duration { return retransmissionAge[min(n, maxRetransmissions)] }
+// RetransmissionAge returns how long after the first opening packet the n-th retransmission is sent.
+func RetransmissionAge(n uint32) time.Duration { return retransmissionAge[min(n, maxRetransmissions)] }
 
-// NextCopy returns the delay from the given retransmission to the next opening packet of the
+// NextRetransmission returns the delay from the given retransmission to the next opening packet of the
 // same flow, and false after the last one.
-func NextCopy(retransmission uint32) (time.Duration, bool) {
+func NextRetransmission(retransmission uint32) (time.Duration, bool) {
 	if retransmission >= maxRetransmissions {
 		return 0, false
 	}
@@ -41,16 +41,16 @@
 	if retransmission == 0 {
 		return
 	}
-	if lost := now.Add(Age(retransmission-1) - Age(retransmission)); lost.After(o.until) {
+	if lost := now.Add(RetransmissionAge(retransmission-1) - RetransmissionAge(retransmission)); lost.After(o.until) {
 		o.until = lost
 	}
 }
 
-// Hidden returns how much earlier than its present try a caller may have begun, by a try
+// UnseenTry returns how much earlier than its present try a caller may have begun, by a try
 // whose packets were all lost. The last packet of that try was sent 0.8 s before it ended.
-func (o *Outage) Hidden(began time.Time) time.Duration {
-	if began.Add(retransmissionAge[maxRetransmissions] - TryTime - RetryPause).After(o.until) {
+func (o *Outage) UnseenTry(began time.Time) time.Duration {
+	if began.Add(retransmissionAge[maxRetransmissions] - ConnectTimeout - MaxRetryPause).After(o.until) {
 		return 0
 	}
-	return TryTime + RetryPause
+	return ConnectTimeout + MaxRetryPause
 }
--- a/backlog/outage_test.go
+++ b/backlog/outage_test.go
@@ -10,25 +10,25 @@
 func TestOutageEndIsInferredFromRetransmissions(t *testing.T) {
 	var o Outage
 	o.Opened(at(0), 0)
-	require.Zero(t, o.Hidden(at(0)), "a first opening packet is no sign of a loss")
+	require.Zero(t, o.UnseenTry(at(0)), "a first opening packet is no sign of a loss")
 	// The second retransmission is sent 0.4 s after the first one.
 	o.Opened(at(time.Second), 2)
-	last := 600*time.Millisecond + TryTime - Age(2) + RetryPause
-	require.Equal(t, TryTime+RetryPause, o.Hidden(at(last)))
-	require.Zero(t, o.Hidden(at(last+time.Millisecond)))
+	last := 600*time.Millisecond + ConnectTimeout - RetransmissionAge(2) + MaxRetryPause
+	require.Equal(t, ConnectTimeout+MaxRetryPause, o.UnseenTry(at(last)))
+	require.Zero(t, o.UnseenTry(at(last+time.Millisecond)))
 	o.Opened(at(900*time.Millisecond), 1)
-	require.Equal(t, TryTime+RetryPause, o.Hidden(at(last+100*time.Millisecond)), "the first retransmission is sent after 0.2 s")
+	require.Equal(t, ConnectTimeout+MaxRetryPause, o.UnseenTry(at(last+100*time.Millisecond)), "the first retransmission is sent after 0.2 s")
 	o.Opened(at(850*time.Millisecond), 2)
-	require.Equal(t, TryTime+RetryPause, o.Hidden(at(last+100*time.Millisecond)), "the latest loss counts")
+	require.Equal(t, ConnectTimeout+MaxRetryPause, o.UnseenTry(at(last+100*time.Millisecond)), "the latest loss counts")
 }
 
 func TestNextRetransmission(t *testing.T) {
 	for copies, want := range []time.Duration{200 * time.Millisecond, 400 * time.Millisecond} {
-		next, more := NextCopy(uint32(copies))
+		next, more := NextRetransmission(uint32(copies))
 		require.True(t, more)
 		require.Equal(t, want, next)
 	}
-	_, more := NextCopy(2)
+	_, more := NextRetransmission(2)
 	require.False(t, more)
-	require.Equal(t, 600*time.Millisecond, Age(7), "a number that no caller sends")
+	require.Equal(t, 600*time.Millisecond, RetransmissionAge(7), "a number that no caller sends")
 }
--- a/backlog/overload.go
+++ b/backlog/overload.go
@@ -38,7 +38,7 @@
 	idleFullShare = 0.5
 	// outageRetryTime is how long after a sign of an outage its callers still arrive: those of
 	// its last moment have retried by then, and the counts reflect it one window later.
-	outageRetryTime = TryTime + RetryPause + OverloadWindow
+	outageRetryTime = ConnectTimeout + MaxRetryPause + OverloadWindow
 )
 
 // Overload detects from the arrivals and answers of a target whether its backlog is an
@@ -73,18 +73,18 @@
 // deadline of its requests, zero where the route states none. lost reports that the flow's
 // first opening packet was lost: a sign of an outage at a target that was idle until now.
 func (o *Overload) Arrived(now time.Time, deadline time.Duration, lost bool) {
-	o.ArrivedLater(now, deadline)
+	o.ArrivedOnOpenFlow(now, deadline)
 	o.opened++
 	if lost {
 		o.lost++
 	}
 	if o.lost >= max(outageLossShare*o.opened, 1) && o.fullShare < idleFullShare {
-		o.Outage(now)
+		o.NoteOutage(now)
 	}
 }
 
-// ArrivedLater records a later request of an open flow.
-func (o *Overload) ArrivedLater(now time.Time, deadline time.Duration) {
+// ArrivedOnOpenFlow records a later request of an open flow.
+func (o *Overload) ArrivedOnOpenFlow(now time.Time, deadline time.Duration) {
 	o.advance(now)
 	o.arrived++
 	o.unanswered++
@@ -103,8 +103,8 @@
 	o.unanswered = max(o.unanswered-1, 0)
 }
 
-// Slots records whether the target has a free slot from now on.
-func (o *Overload) Slots(now time.Time, free bool) {
+// SetSlotFree records whether the target has a free slot from now on.
+func (o *Overload) SetSlotFree(now time.Time, free bool) {
 	o.advance(now)
 	if !free && !o.slotsFull {
 		o.slotsFullSince = now
@@ -112,14 +112,14 @@
 	o.slotsFull = !free
 }
 
-// Outage records a sign of an outage that may be the cause of the present arrivals: the
+// NoteOutage records a sign of an outage that may be the cause of the present arrivals: the
 // target or its agent has just started, or opening packets of callers were lost.
-func (o *Overload) Outage(now time.Time) { o.outageAt = now }
+func (o *Overload) NoteOutage(now time.Time) { o.outageAt = now }
 
-// Stands reports whether an overload is active: the target has more to do than it can
+// Active reports whether an overload is active: the target has more to do than it can
 // answer, and the backlog does not pass. wait is how long a request that arrives now would
 // wait for a slot.
-func (o *Overload) Stands(now time.Time, wait time.Duration) bool {
+func (o *Overload) Active(now time.Time, wait time.Duration) bool {
 	o.advance(now)
 	outage := now.Sub(o.outageAt) <= outageRetryTime
 	if outage {
@@ -153,10 +153,10 @@
 func (o *Overload) Load(now time.Time) Load {
 	o.advance(now)
 	l := Load{
-		Arrived: o.arrived / OverloadWindow.Seconds(), Answered: o.answered / OverloadWindow.Seconds(), Full: o.fullShare, Behind: o.lag(),
+		Arrived: o.arrived / OverloadWindow.Seconds(), Answered: o.answered / OverloadWindow.Seconds(), FullShare: o.fullShare, Lag: o.lag(),
 	}
 	if !o.backlogSince.IsZero() {
-		l.Lasted = now.Sub(o.backlogSince)
+		l.BacklogAge = now.Sub(o.backlogSince)
 	}
 	return l
 }
@@ -165,13 +165,13 @@
 type Load struct {
 	// Arrived and Answered are rates per second.
 	Arrived, Answered float64
-	// Full is the share of time without a free slot, from 0 to 1.
-	Full float64
-	// Behind is how long the target needs for the requests that arrived since the slots filled
+	// FullShare is the share of time without a free slot, from 0 to 1.
+	FullShare float64
+	// Lag is how long the target needs for the requests that arrived since the slots filled
 	// and are not answered.
-	Behind time.Duration
-	// Lasted is the age of the backlog, zero without one.
-	Lasted time.Duration
+	Lag time.Duration
+	// BacklogAge is the age of the backlog, zero without one.
+	BacklogAge time.Duration
 }
 
 // advance brings the decaying counts and the backlog state up to now.
--- a/backlog/overload_test.go
+++ b/backlog/overload_test.go
@@ -36,7 +36,7 @@
 	active := time.Duration(0)
 	for i := range int(span / step) {
 		f.now = f.now.Add(step)
-		f.o.Slots(f.now, free(i))
+		f.o.SetSlotFree(f.now, free(i))
 		for f.arrivals += arrived * step.Seconds(); f.arrivals >= 1; f.arrivals-- {
 			f.lost += f.lostShare
 			lost := f.lost >= 1
@@ -51,7 +51,7 @@
 			f.queued = max(f.queued-1, 0)
 		}
 		f.wait = time.Duration(f.queued / answered * float64(time.Second))
-		if f.o.Stands(f.now, f.wait) && active == 0 {
+		if f.o.Active(f.now, f.wait) && active == 0 {
 			active = time.Duration(i+1) * step
 		}
 	}
@@ -74,9 +74,9 @@
 		require.NotZero(t, detected, deadline)
 		require.Greater(t, detected, deadline/4, deadline)
 		require.Less(t, detected, most, deadline)
-		require.True(t, f.o.Stands(f.now, f.wait))
+		require.True(t, f.o.Active(f.now, f.wait))
 		f.run(300*time.Millisecond, 50, 50, func(i int) bool { return i%2 == 0 })
-		require.False(t, f.o.Stands(f.now, f.wait), "slots are free again")
+		require.False(t, f.o.Active(f.now, f.wait), "slots are free again")
 	}
 }
 
@@ -130,7 +130,7 @@
 func TestNoOverloadWithoutDeadline(t *testing.T) {
 	f := newLoadFeed(0)
 	require.Zero(t, f.run(20*time.Second, 180, 80, never))
-	require.Positive(t, f.o.Load(f.now).Lasted)
+	require.Positive(t, f.o.Load(f.now).BacklogAge)
 	require.InDelta(t, 180, f.o.Load(f.now).Arrived, 10)
 	require.InDelta(t, 80, f.o.Load(f.now).Answered, 10)
 }
@@ -150,14 +150,14 @@
 				o.Answered(now)
 			case 2:
 				free := rapid.Bool().Draw(t, "free")
-				o.Slots(now, free)
+				o.SetSlotFree(now, free)
 				if free {
 					freeSince = now
 				}
 			}
-			if o.Stands(now, time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait"))*time.Millisecond) {
+			if o.Active(now, time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait"))*time.Millisecond) {
 				require.False(t, !o.slotsFull && now.Sub(freeSince) > OverloadWindow, "slots were free for a window")
-				require.Positive(t, o.Load(now).Lasted)
+				require.Positive(t, o.Load(now).BacklogAge)
 			}
 		}
 	})
@@ -221,8 +221,8 @@
 			c.waiting++
 		}
 		c.dispatch()
-		c.o.Slots(c.now, len(c.completions) < c.slots)
-		if c.o.Stands(c.now, time.Duration(c.waiting)*c.work/time.Duration(c.slots)) {
+		c.o.SetSlotFree(c.now, len(c.completions) < c.slots)
+		if c.o.Active(c.now, time.Duration(c.waiting)*c.work/time.Duration(c.slots)) {
 			active += time.Millisecond
 		}
 	}
--- a/backlog/pace.go
+++ b/backlog/pace.go
@@ -15,9 +15,9 @@
 	maxWeight     = 1.0 / 4
 )
 
-// Pace estimates the service rate of a target and the times that its requests take, from
+// ServiceEstimate estimates the service rate of a target and the times that its requests take, from
 // the answers observed.
-type Pace struct {
+type ServiceEstimate struct {
 	// answerInterval is the mean time between two answers of a fully used target, responseTime
 	// that from the delivery of a request to its answer, and serviceTime the part of it after
 	// the whole request was delivered; all in nanoseconds.
@@ -25,59 +25,59 @@
 	observations                              int
 }
 
-// NewPace returns the initial estimate, used until answers are observed, for a target that
+// NewServiceEstimate returns the initial estimate, used until answers are observed, for a target that
 // works on slots requests at once, each for serviceTime.
-func NewPace(serviceTime time.Duration, slots int) Pace {
-	return Pace{answerInterval: float64(serviceTime) / float64(max(slots, 1)), responseTime: float64(serviceTime), serviceTime: float64(serviceTime)}
+func NewServiceEstimate(serviceTime time.Duration, slots int) ServiceEstimate {
+	return ServiceEstimate{answerInterval: float64(serviceTime) / float64(max(slots, 1)), responseTime: float64(serviceTime), serviceTime: float64(serviceTime)}
 }
 
-// Served describes one answered request.
-type Served struct {
-	// Took is the time from the delivery of the first packet of the request to its answer, Work
+// Completion describes one answered request.
+type Completion struct {
+	// ResponseTime is the time from the delivery of the first packet of the request to its answer, ServiceTime
 	// that from the delivery of its last packet.
-	Took, Work time.Duration
-	// Gap is the time since the previous answer, zero for the first one.
-	Gap time.Duration
-	// Among is how many requests the target had when this one was delivered, itself included.
-	Among int
+	ResponseTime, ServiceTime time.Duration
+	// SincePrevious is the time since the previous answer, zero for the first one.
+	SincePrevious time.Duration
+	// Concurrency is how many requests the target had when this one was delivered, itself included.
+	Concurrency int
 }
 
-// Done records an answer of a target with the given number of slots. By Little's law a target
+// Observe records an answer of a target with the given number of slots. By Little's law a target
 // that works on n requests at a time, each for t, sends an answer every t/n. A target with
 // fewer requests than slots counts as working on as many as it has slots, as it could.
-func (p *Pace) Done(s Served, slots int) {
-	working := max(float64(s.Among)*p.Share(), float64(slots), 1)
+func (p *ServiceEstimate) Observe(s Completion, slots int) {
+	working := max(float64(s.Concurrency)*p.WorkShare(), float64(slots), 1)
 	p.observations++
-	sparse := min(s.Gap.Seconds()/averagingTime.Seconds(), maxWeight)
+	sparse := min(s.SincePrevious.Seconds()/averagingTime.Seconds(), maxWeight)
 	weight := max(1/float64(p.observations), minWeight, sparse)
-	p.answerInterval += weight * (float64(s.Work)/working - p.answerInterval)
-	p.responseTime += weight * (float64(s.Took) - p.responseTime)
-	p.serviceTime += weight * (float64(s.Work) - p.serviceTime)
+	p.answerInterval += weight * (float64(s.ServiceTime)/working - p.answerInterval)
+	p.responseTime += weight * (float64(s.ResponseTime) - p.responseTime)
+	p.serviceTime += weight * (float64(s.ServiceTime) - p.serviceTime)
 }
 
 // Observed reports whether enough answers were observed to rely on the estimate: the spread
 // of a single request's service time equals its mean, that of the mean of minObservations is
 // a third of it.
-func (p Pace) Observed() bool { return p.observations >= minObservations }
+func (p ServiceEstimate) Observed() bool { return p.observations >= minObservations }
 
 // minObservations is the least number of answers that make an estimate reliable.
 const minObservations = 8
 
-// Doubt makes the next answers count as the first ones, because the target was idle for so
+// MarkStale makes the next answers count as the first ones, because the target was idle for so
 // long that its service time may have changed. Until then the estimate stays.
-func (p *Pace) Doubt() { p.observations = 0 }
+func (p *ServiceEstimate) MarkStale() { p.observations = 0 }
 
-// Each returns the mean time between two answers of a fully used target.
-func (p Pace) Each() time.Duration { return time.Duration(p.answerInterval) }
+// AnswerInterval returns the mean time between two answers of a fully used target.
+func (p ServiceEstimate) AnswerInterval() time.Duration { return time.Duration(p.answerInterval) }
 
-// Took returns the mean response time, from the delivery of a request to its answer.
-func (p Pace) Took() time.Duration { return time.Duration(p.responseTime) }
+// ResponseTime returns the mean response time, from the delivery of a request to its answer.
+func (p ServiceEstimate) ResponseTime() time.Duration { return time.Duration(p.responseTime) }
 
-// Share returns the share of a request's response time, above 0 and up to 1, in which the
+// WorkShare returns the share of a request's response time, above 0 and up to 1, in which the
 // target may work on it; before that its body is still in transfer. By Little's law it is
 // also the share of the delivered requests that the target may work on at any moment,
 // whatever slows the bodies down.
-func (p Pace) Share() float64 {
+func (p ServiceEstimate) WorkShare() float64 {
 	if p.responseTime <= 0 {
 		return 1
 	}
--- a/backlog/queue.go
+++ b/backlog/queue.go
@@ -11,8 +11,8 @@
 	Priority uint8
 	// Began is when the caller sent the first packet of its present try.
 	Began time.Time
-	// Hidden is how much earlier the caller may have begun, by a try whose packets were all lost.
-	Hidden time.Duration
+	// UnseenTry is how much earlier the caller may have begun, by a try whose packets were all lost.
+	UnseenTry time.Duration
 	// Objective is the route's latency objective, Deadline the time after which callers give up;
 	// zero where the route states none.
 	Objective, Deadline time.Duration
@@ -33,7 +33,7 @@
 // as long as that leaves time for an answer.
 func (r Request) due(now time.Time, responseTime time.Duration) time.Time {
 	last := r.expires()
-	if early := last.Add(-r.Hidden); !early.Before(now.Add(responseTime)) {
+	if early := last.Add(-r.UnseenTry); !early.Before(now.Add(responseTime)) {
 		return early
 	}
 	return last
@@ -47,8 +47,8 @@
 
 // inTime reports whether a request is served before the others during an overload: the time
 // left until the end of its objective exceeds the mean response time by overloadMargin.
-func (r Request) inTime(now time.Time, est Pace) bool {
-	return r.meetsObjective(now.Add(scale(est.Took(), overloadMargin)))
+func (r Request) inTime(now time.Time, est ServiceEstimate) bool {
+	return r.meetsObjective(now.Add(scale(est.ResponseTime(), overloadMargin)))
 }
 
 // Queue holds waiting requests in no particular order; Next selects one. K identifies them.
@@ -120,17 +120,17 @@
 )
 
 // Next removes and returns the request to be served now; est describes the target.
-func (q *Queue[K]) Next(now time.Time, est Pace) (K, bool) {
+func (q *Queue[K]) Next(now time.Time, est ServiceEstimate) (K, bool) {
 	if len(q.items) == 0 {
 		var none K
 		return none, false
 	}
-	done := now.Add(est.Took())
-	q.sortByDue(now, est.Took())
-	if at, ok := q.bestWithinObjective(done); ok && q.othersCanWait(at, done, scale(est.Each(), objectiveMargin)) {
+	done := now.Add(est.ResponseTime())
+	q.sortByDue(now, est.ResponseTime())
+	if at, ok := q.bestWithinObjective(done); ok && q.othersCanWait(at, done, scale(est.AnswerInterval(), objectiveMargin)) {
 		return q.removeAt(at), true
 	}
-	q.keepFeasible(done, scale(est.Each(), deadlineMargin))
+	q.keepFeasible(done, scale(est.AnswerInterval(), deadlineMargin))
 	if len(q.order) > 0 {
 		return q.removeAt(q.order[0]), true
 	}
@@ -141,7 +141,7 @@
 // whose objective ends first. The others wait: in an overload, serving the oldest first makes
 // all requests late, and a request left with only the mean response time is often late, in a
 // slot that could have answered another one in time.
-func (q *Queue[K]) NextInTime(now time.Time, est Pace) (K, bool) {
+func (q *Queue[K]) NextInTime(now time.Time, est ServiceEstimate) (K, bool) {
 	best := noItem
 	for i := range q.items {
 		if q.items[i].inTime(now, est) && (best == noItem || q.items[i].softDue().Before(q.items[best].softDue())) {
@@ -154,9 +154,9 @@
 	return q.removeAt(best), true
 }
 
-// InTime returns how many requests are served before a request that arrives now during an
+// CountInTime returns how many requests are served before a request that arrives now during an
 // overload.
-func (q *Queue[K]) InTime(now time.Time, est Pace) int {
+func (q *Queue[K]) CountInTime(now time.Time, est ServiceEstimate) int {
 	count := 0
 	for i := range q.items {
 		if q.items[i].inTime(now, est) {
@@ -168,13 +168,13 @@
 
 // GoesFirst reports whether a request that is not in the queue yet would get the next free
 // slot of the target: it can meet its objective, and all others can wait.
-func (q *Queue[K]) GoesFirst(now time.Time, r Request, est Pace) bool {
-	done := now.Add(est.Took())
+func (q *Queue[K]) GoesFirst(now time.Time, r Request, est ServiceEstimate) bool {
+	done := now.Add(est.ResponseTime())
 	if !r.meetsObjective(done) {
 		return false
 	}
-	q.sortByDue(now, est.Took())
-	return q.othersCanWait(noItem, done, scale(est.Each(), objectiveMargin))
+	q.sortByDue(now, est.ResponseTime())
+	return q.othersCanWait(noItem, done, scale(est.AnswerInterval(), objectiveMargin))
 }
 
 // noItem is the index of no item.
@@ -259,8 +259,8 @@
 	switch {
 	case i.Priority != other.Priority:
 		return i.Priority > other.Priority
-	case (i.Hidden > 0) != (other.Hidden > 0):
-		return i.Hidden > 0
+	case (i.UnseenTry > 0) != (other.UnseenTry > 0):
+		return i.UnseenTry > 0
 	default:
 		return i.Began.Before(other.Began)
 	}
--- a/backlog/queue_test.go
+++ b/backlog/queue_test.go
@@ -14,7 +14,7 @@
 
 // steadyEstimate describes a target that answers a request every 10 ms, each 40 ms after its
 // delivery.
-func steadyEstimate() Pace { return NewPace(40*time.Millisecond, 4) }
+func steadyEstimate() ServiceEstimate { return NewServiceEstimate(40*time.Millisecond, 4) }
 
 func read(began time.Duration) Request {
 	return Request{Priority: 2, Began: at(began), Objective: 150 * time.Millisecond, Deadline: 2500 * time.Millisecond}
@@ -23,7 +23,7 @@
 // withUnseenTry is a read whose caller may have begun one try earlier.
 func withUnseenTry(began time.Duration) Request {
 	r := read(began)
-	r.Hidden = TryTime + RetryPause
+	r.UnseenTry = ConnectTimeout + MaxRetryPause
 	return r
 }
 
@@ -75,7 +75,7 @@
 
 func TestUnseenTryIsAssumedWhileAnswerCanArriveInTime(t *testing.T) {
 	r := read(0)
-	r.Hidden = TryTime + RetryPause
+	r.UnseenTry = ConnectTimeout + MaxRetryPause
 	require.Equal(t, at(900*time.Millisecond), r.due(at(500*time.Millisecond), 40*time.Millisecond))
 	require.Equal(t, at(2500*time.Millisecond), r.due(at(870*time.Millisecond), 40*time.Millisecond), "a caller of an earlier try has given up by now")
 }
@@ -104,7 +104,7 @@
 		n := rapid.IntRange(1, 60).Draw(t, "n")
 		for i := range n {
 			// The i-th request has time for twice the work of those before it, and its own.
-			least := time.Duration(objectiveMargin*float64(i)*float64(each)) + 2*steadyEstimate().Took()
+			least := time.Duration(objectiveMargin*float64(i)*float64(each)) + 2*steadyEstimate().ResponseTime()
 			left := least + time.Duration(rapid.IntRange(0, 300).Draw(t, "ms"))*time.Millisecond
 			r := Request{Priority: uint8(rapid.IntRange(0, 2).Draw(t, "priority")), Began: start, Objective: 100 * time.Millisecond, Deadline: left}
 			if rapid.Bool().Draw(t, "fresh") {
@@ -118,7 +118,7 @@
 		for range n {
 			i, ok := q.Next(at(now), steadyEstimate())
 			require.True(t, ok)
-			require.LessOrEqual(t, now+steadyEstimate().Took(), due[i], "request %d of %d", i, n)
+			require.LessOrEqual(t, now+steadyEstimate().ResponseTime(), due[i], "request %d of %d", i, n)
 			now += each
 		}
 		require.Zero(t, q.Len())
@@ -206,7 +206,7 @@
 			r = waiting[i]
 			waiting = append(waiting[:i], waiting[i+1:]...)
 		}
-		done := at(now).Add(steadyEstimate().Took())
+		done := at(now).Add(steadyEstimate().ResponseTime())
 		switch {
 		case done.After(r.expires()):
 			out.lost++
--- a/balancer/operator/source.go
+++ b/balancer/operator/source.go
@@ -240,7 +240,7 @@
 		if !s.State.SetConfig(now, c) {
 			return
 		}
-		s.stored = configcopy.Stored(raw)
+		s.stored = configcopy.NewCopy(raw)
 		s.Transfers.setInForce(c.Version, len(raw))
 		s.Log.Info("configuration in force", zap.Int64(telemetry.FieldConfig, c.Version), zap.Int64("former", previous),
 			zap.Int("routes", len(c.Routes)), zap.Int(telemetry.FieldBytes, len(raw)), zap.Stringer("from", from))
--- a/balancer/operator/state.go
+++ b/balancer/operator/state.go
@@ -112,7 +112,7 @@
 // where they came from.
 func (s *State) SetEvacuations(now time.Time, next flow.Evacuations, from Origin) {
 	previous := s.evacuations
-	if _, differ := s.evacuations.TakeOver(next); differ {
+	if _, differ := s.evacuations.ReplaceIfNewer(next); differ {
 		s.listener.EvacuationsChanged(now, next, previous, from)
 	}
 }
--- a/balancer/packetfront/bench_test.go
+++ b/balancer/packetfront/bench_test.go
@@ -75,8 +75,8 @@
 	b.SetBytes(int64(raw.Len()))
 	packed := 0
 	for b.Loop() {
-		s := configcopy.Stored(raw.Bytes())
-		packed = len(s.Packed())
+		s := configcopy.NewCopy(raw.Bytes())
+		packed = len(s.Compressed())
 	}
 	b.ReportMetric(float64(packed)/float64(raw.Len()), "ratio")
 }
--- a/balancer/packetfront/core.go
+++ b/balancer/packetfront/core.go
@@ -126,7 +126,7 @@
 // New returns a core that knows nothing yet.
 func New(now time.Time, opts Options, port Port, codec flow.Codec, events Events, rnd *rand.Rand) *Core {
 	if opts.RelayFrom == 0 {
-		opts.RelayFrom = zonecast.From
+		opts.RelayFrom = zonecast.RelayThreshold
 	}
 	c := &Core{
 		opts: opts, port: port, codec: codec, events: events, rnd: rnd,
@@ -185,7 +185,7 @@
 
 // HandleClient takes a packet that a client sent.
 func (c *Core) HandleClient(now time.Time, h *flow.Header, packet []byte) {
-	c.route(now, h.FromClient(), h, packet)
+	c.route(now, h.KeyFromClient(), h, packet)
 }
 
 // route sends a client's packet on its way, or keeps it while that is not known.
@@ -268,7 +268,7 @@
 		Objective: route.Objective, Deadline: route.Deadline, ColdRate: c.operator.Config().ColdRates[backend.Tag],
 	}
 	if repeated {
-		c.env.Flags |= envelope.Repeated
+		c.env.Flags |= envelope.Retransmitted
 	}
 	c.env.SetCandidates(candidates[1:])
 	c.send(chosen.Target, packet)
--- a/balancer/packetfront/core_test.go
+++ b/balancer/packetfront/core_test.go
@@ -24,7 +24,7 @@
 	require.Equal(t, 1, sent[0].Env.Count, "the other target, in case this one refuses")
 	require.Equal(t, alpha, sent[0].Env.Service)
 	require.Zero(t, sent[0].Env.Flags)
-	require.Equal(t, envelope.Repeated, sent[1].Env.Flags)
+	require.Equal(t, envelope.Retransmitted, sent[1].Env.Flags)
 
 	lone := newFixture()
 	lone.client(packet(true, 2))
@@ -233,7 +233,7 @@
 	fleet.Names{Idle: []flow.IPv4{other}}.Append(nil, func(msg []byte) { fresh.HandleNode(fresh.now, peer, msg) })
 	require.Equal(t, other, fresh.port.Nodes[0].To, "greeted")
 	fresh.client(packet(false, 9))
-	fresh.answer(targetB, envelope.Searched, packet(false, 9))
+	fresh.answer(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Len(t, fresh.port.Resets, 1)
 }
 
@@ -251,7 +251,7 @@
 // flow.
 func FuzzHandleNode(f *testing.F) {
 	f.Add([]byte("nonsense"))
-	e := envelope.Envelope{Kind: envelope.Returned, Flags: envelope.Searched}
+	e := envelope.Envelope{Kind: envelope.Returned, Flags: envelope.SearchExhausted}
 	f.Add(append(e.Append(nil), packet(false, 9)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		x := newFixture()
--- a/balancer/packetfront/finder.go
+++ b/balancer/packetfront/finder.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	key := h.FromClient()
+	key := h.KeyFromClient()
 	if h.IsOpening() {
 		c.refuseReturned(now, key, &h)
 		return nil
--- a/balancer/packetfront/finder_test.go
+++ b/balancer/packetfront/finder_test.go
@@ -60,7 +60,7 @@
 		want    Uncertainty
 	}{
 		"all said no":                {want: ""},
-		"one was unsure":             {flags: envelope.Unsure, want: search.UncertainTarget},
+		"one was unsure":             {flags: envelope.Uncertain, want: search.UncertainTarget},
 		"an agent is missing":        {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: search.UncertainMissing},
 		"an agent is not registered": {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: search.UncertainRegistry},
 		"the registry was not read":  {prepare: func(f *fixture) { f.started(f.now.Add(-time.Minute)) }, want: search.UncertainSnapshot},
@@ -102,7 +102,7 @@
 			c.prepare(f)
 		}
 		f.client(packet(false, 9))
-		f.answer(targetB, envelope.Searched|c.flags, packet(false, 9))
+		f.answer(targetB, envelope.SearchExhausted|c.flags, packet(false, 9))
 		require.Equal(t, c.want, f.doubt, name)
 		require.Equal(t, c.want == "", len(f.port.Resets) == 1, name)
 	}
--- a/balancer/packetfront/fixture_test.go
+++ b/balancer/packetfront/fixture_test.go
@@ -68,7 +68,7 @@
 // fixtureIn is newFixture in a zone; its targets are in zone zero.
 func fixtureIn(zone flow.Tag) *fixture {
 	f := &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)}
-	opts := Options{Self: self, Zone: zone, Epoch: 1, Weights: choose.Weights{OtherZone: 1, Warming: 1.6}}
+	opts := Options{Self: self, Zone: zone, Epoch: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}}
 	f.Core = New(f.now, opts, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, rand.New(rand.NewPCG(1, 1)))
 	f.SetConfig(f.now, config(5))
 	f.now = f.now.Add(search.SettleTime + time.Second)
--- a/balancer/packetfront/followregistry.go
+++ b/balancer/packetfront/followregistry.go
@@ -38,7 +38,7 @@
 	wanted := false
 	f.locked(func(now time.Time) { wanted = f.core.MustRegister(now) })
 	if wanted {
-		f.entry.Want(fleet.PresenceHere)
+		f.entry.SetPresence(fleet.PresenceHere)
 	}
 }
 
@@ -82,13 +82,13 @@
 }
 
 // page reads the agents of one call, those behind an address.
-func (f *Front) page(ctx context.Context, behind flow.IPv4) (registry.Listed, error) {
+func (f *Front) page(ctx context.Context, behind flow.IPv4) (registry.EntryList, error) {
 	page, err := registry.Page(ctx, f.registry, fleet.RoleAgent, behind)
 	f.logListing(fleet.RoleAgent, page, err)
 	return page, err
 }
 
-func snapshotOf(began, ended time.Time, l registry.Listed) fleet.Survey {
+func snapshotOf(began, ended time.Time, l registry.EntryList) fleet.Survey {
 	return fleet.Survey{Earliest: began, Latest: ended, Revision: l.Revision, Agents: l.Entries}
 }
 
@@ -136,20 +136,20 @@
 }
 
 // list reads the entries of a role.
-func (f *Front) list(ctx context.Context, role fleet.Role) (registry.Listed, error) {
+func (f *Front) list(ctx context.Context, role fleet.Role) (registry.EntryList, error) {
 	listed, err := registry.List(ctx, f.registry, role)
 	f.logListing(role, listed, err)
 	return listed, err
 }
 
 // logListing logs what is wrong with a reading.
-func (f *Front) logListing(role fleet.Role, listed registry.Listed, err error) {
+func (f *Front) logListing(role fleet.Role, listed registry.EntryList, err error) {
 	if err != nil {
 		f.log.Warn("registry not read", zap.String("role", string(role)), zap.Error(err))
 	}
-	if listed.Passed > 0 {
-		f.invalidEntries.Add(float64(listed.Passed))
-		f.log.Warn("invalid registry entries", zap.String("role", string(role)), zap.Int("entries", listed.Passed))
+	if listed.Skipped > 0 {
+		f.invalidEntries.Add(float64(listed.Skipped))
+		f.log.Warn("invalid registry entries", zap.String("role", string(role)), zap.Int("entries", listed.Skipped))
 	}
 }
 
--- a/balancer/packetfront/front.go
+++ b/balancer/packetfront/front.go
@@ -39,7 +39,7 @@
 	registry store.Store
 	// source keeps the operator's state up to date.
 	source *operator.Source
-	entry  *registry.Registry
+	entry  *registry.Registration
 	reg    *prometheus.Registry
 	// sent counts what goes to other nodes.
 	sent *telemetry.SentTraffic
@@ -81,8 +81,8 @@
 	}
 	opts := Options{
 		Self: f.self, Zone: flow.TagOf(cfg.Zone), Seeds: flow.ParseAddrs(cfg.Seeds), Epoch: rand.Uint64() | 1,
-		Weights:         choose.Weights{OtherZone: cfg.OtherZoneCost, OtherZonePrice: cfg.OtherZonePrice.D(), Warming: warmingFactor},
-		LinkMbps:        cfg.LinkMbps,
+		Weights:    choose.Weights{CrossZoneCost: cfg.OtherZoneCost, CrossZonePrice: cfg.OtherZonePrice.D(), Warming: warmingFactor},
+		LinkMbps:   cfg.LinkMbps,
 		FollowTime: operator.FollowTime(cfg.CatchUpWithin.D()),
 	}
 	calls := telemetry.NewStoreCalls(counters)
--- a/balancer/packetfront/front_test.go
+++ b/balancer/packetfront/front_test.go
@@ -239,7 +239,7 @@
 	began := time.Now()
 	for i, raw := range [][]byte{resp.KVs[0].Value, resp.KVs[0].Value[:20]} {
 		address := netip.MustParseAddrPort(fmt.Sprintf("127.0.%d.1:%d", 96+i, f.port))
-		kept := configcopy.Stored(raw)
+		kept := configcopy.NewCopy(raw)
 		ctx, stop := context.WithCancel(t.Context())
 		t.Cleanup(stop)
 		go func() {
--- a/balancer/packetfront/join_test.go
+++ b/balancer/packetfront/join_test.go
@@ -36,9 +36,9 @@
 		f.now = f.now.Add(f.TickPeriod(f.now))
 	}
 	for i := 1; i < len(greeted[seed]); i++ {
-		require.LessOrEqual(t, greeted[seed][i]-greeted[seed][i-1], zonecast.GreetPause+search.BufferRetryInterval)
+		require.LessOrEqual(t, greeted[seed][i]-greeted[seed][i-1], zonecast.IntroductionPause+search.BufferRetryInterval)
 	}
-	require.GreaterOrEqual(t, greeted[seed][len(greeted[seed])-1], search.SettleTime-zonecast.GreetPause-search.BufferRetryInterval)
+	require.GreaterOrEqual(t, greeted[seed][len(greeted[seed])-1], search.SettleTime-zonecast.IntroductionPause-search.BufferRetryInterval)
 	require.Empty(t, greeted[self])
 	early := 0
 	for _, at := range greeted[peer] {
--- a/balancer/packetfront/nodes.go
+++ b/balancer/packetfront/nodes.go
@@ -129,7 +129,7 @@
 		return err
 	}
 	for _, ip := range names.Balancers {
-		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
+		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{})
 		}
 	}
@@ -144,12 +144,12 @@
 // Contact makes the balancer known to nodes that the seeds or the store name.
 func (c *Core) Contact(now time.Time, balancers, agents []flow.IPv4) {
 	for _, ip := range balancers {
-		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
+		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 		}
 	}
 	for _, ip := range agents {
-		if !c.view.KnowsTarget(ip) && c.relays.introduced.May(now, ip, zonecast.GreetPause) {
+		if !c.view.KnowsTarget(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 		}
 	}
--- a/balancer/packetfront/overload_test.go
+++ b/balancer/packetfront/overload_test.go
@@ -48,7 +48,7 @@
 		heard:   &overloadHeard{drops: map[DropReason]int{}},
 	}
 	f.heard.quiet = quiet{&f.doubt, &f.kept}
-	f.Core = New(f.now, Options{Self: self, Zone: 1, Epoch: 1, Weights: choose.Weights{OtherZone: 1, Warming: 1.6}},
+	f.Core = New(f.now, Options{Self: self, Zone: 1, Epoch: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}},
 		f.port, platform.Codec{}, f.heard, rand.New(rand.NewPCG(1, 1)))
 	backends := []flow.Backend{{Name: "alpha", Tag: alpha, Weight: 1}}
 	f.SetConfig(f.now, &flow.Config{Version: 5, Routes: map[flow.Front]*flow.Route{
--- a/balancer/packetfront/plan.go
+++ b/balancer/packetfront/plan.go
@@ -54,12 +54,12 @@
 		if h.Zone == c.opts.Zone {
 			ranking = p.sameZone
 		}
-		ranking.Offer(flow.Score(hash, h.IP), flow.Candidate{Target: h.IP, Service: service})
+		ranking.Add(flow.Score(hash, h.IP), flow.Candidate{Target: h.IP, Service: service})
 	}
 	c.offers, c.offerOf = c.offers[:0], c.offerOf[:0]
-	c.addOffers(now, p.sameZone.Items())
-	c.addOffers(now, p.crossZone.Items())
-	typical := choose.TypicalService(c.offers)
+	c.addOffers(now, p.sameZone.Candidates())
+	c.addOffers(now, p.crossZone.Candidates())
+	typical := choose.TypicalServiceTime(c.offers)
 	for len(c.offers) > 0 && len(p.out) < openTries {
 		i := c.opts.Weights.Cheapest(c.offers, typical, c.rnd)
 		if len(p.out) == 0 {
@@ -104,8 +104,8 @@
 	for _, item := range list {
 		h, _ := c.view.Target(item.Target)
 		c.offers = append(c.offers, choose.Offer{
-			Busy: int(h.Busy), Sent: h.Sent, Slots: int(h.Slots), Each: h.Each,
-			OtherZone: h.Zone != c.opts.Zone,
+			Busy: int(h.Busy), Sent: h.Sent, Slots: int(h.Slots), AnswerInterval: h.Each,
+			CrossZone: h.Zone != c.opts.Zone,
 			Warming:   h.WarmupMillis > 0 && now.Sub(h.HeardAt) < time.Duration(h.WarmupMillis)*time.Millisecond,
 			Avoid:     h.Quiet(now),
 		})
--- a/balancer/packetfront/relay.go
+++ b/balancer/packetfront/relay.go
@@ -14,7 +14,7 @@
 const (
 	// relayFreshness is how lately a balancer was heard that is asked to relay messages: two
 	// rounds and what the relays add.
-	relayFreshness = 2*zonecast.Period + zonecast.FlushPeriod
+	relayFreshness = 2*zonecast.RelayPeriod + zonecast.FlushPeriod
 	// probeCheckPeriod is how often nodes are looked for that have fallen silent.
 	probeCheckPeriod = 200 * time.Millisecond
 	// maxIntroduced bounds the nodes whose greeting is remembered.
@@ -24,12 +24,12 @@
 // crossZone is what a balancer has to relay to the nodes of its zone, and what it
 // hears of nodes of other zones in the same way.
 type crossZone struct {
-	forBalancers, forAgents zonecast.Held
+	forBalancers, forAgents zonecast.RelayBuffer
 	nextProbe               time.Time
 	// usesRelays tells that the own zone is told through relays.
 	usesRelays bool
 	// introduced are nodes that others named.
-	introduced zonecast.Greetings
+	introduced zonecast.IntroductionLimiter
 	// planner plans how other zones are told.
 	planner zonecast.Planner
 }
@@ -37,17 +37,17 @@
 func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) crossZone {
 	self := opts.Self
 	return crossZone{
-		forBalancers: zonecast.Held{Pause: zonecast.FlushPeriod, Self: self},
-		forAgents:    zonecast.Held{Pause: zonecast.AgentFlushPeriod, Self: self},
-		introduced:   zonecast.Greetings{Max: maxIntroduced},
-		planner:      zonecast.Planner{Self: self, Zone: opts.Zone, From: opts.RelayFrom, Within: relayFreshness, Report: report},
+		forBalancers: zonecast.RelayBuffer{FlushPeriod: zonecast.FlushPeriod, Self: self},
+		forAgents:    zonecast.RelayBuffer{FlushPeriod: zonecast.AgentFlushPeriod, Self: self},
+		introduced:   zonecast.IntroductionLimiter{MaxNodes: maxIntroduced},
+		planner:      zonecast.Planner{Self: self, Zone: opts.Zone, RelayThreshold: opts.RelayFrom, RecentWithin: relayFreshness, OnChange: report},
 	}
 }
 
 // sendCrossZoneBeacons tells the nodes of other zones: agents less often, and only where no
 // relay does.
 func (c *Core) sendCrossZoneBeacons(now time.Time) {
-	round := c.relays.planner.Begin()
+	round := c.relays.planner.StartRound()
 	plan := c.relays.planner.Plan(now, c.view)
 	c.crossZonePeriod = plan.Period
 	c.nextCrossZone = fleet.NextRound(now, c.crossZonePeriod, c.opts.Self)
@@ -64,7 +64,7 @@
 	var out []flow.IPv4
 	for _, ip := range c.view.Targets() {
 		h, _ := c.view.Target(ip)
-		if !c.relays.planner.Relays(h.Zone) && !slices.Contains(except, h.Zone) {
+		if !c.relays.planner.UsesRelays(h.Zone) && !slices.Contains(except, h.Zone) {
 			out = append(out, ip)
 		}
 	}
@@ -134,7 +134,7 @@
 	}
 }
 
-func (c *Core) flushRelayed(now time.Time, held *zonecast.Held, to []flow.IPv4) {
+func (c *Core) flushRelayed(now time.Time, held *zonecast.RelayBuffer, to []flow.IPv4) {
 	messages, old := held.Take(now)
 	for range old {
 		c.events.Dropped(DropNotRelayed)
--- a/balancer/packetfront/relay_test.go
+++ b/balancer/packetfront/relay_test.go
@@ -22,7 +22,7 @@
 func farAnnouncement(epoch uint64, seq uint32, state fleet.State) fleet.Announcement {
 	return fleet.Announcement{
 		Identity: fleet.Identity{Epoch: epoch, Seq: seq}, Zone: farZone, Service: alpha, State: state, Slots: 4,
-		Listing: fleet.ListingThere, Period: zonecast.Period,
+		Listing: fleet.ListingThere, Period: zonecast.RelayPeriod,
 	}
 }
 
--- a/balancer/packetfront/relayed.go
+++ b/balancer/packetfront/relayed.go
@@ -32,9 +32,9 @@
 	if err != nil {
 		return err
 	}
-	if id, e := fleet.IdentityOf(r.Message); e == nil && c.relays.forBalancers.Relayed(r.From, id) {
+	if id, e := fleet.IdentityOf(r.Message); e == nil && c.relays.forBalancers.Discard(r.From, id) {
 		// Who was first tells the agents too.
-		c.relays.forAgents.Relayed(r.From, id)
+		c.relays.forAgents.Discard(r.From, id)
 	}
 	if kind == envelope.Announce {
 		return c.handleRelayedAnnouncement(now, r)
@@ -87,7 +87,7 @@
 
 // probeNamed greets a node that others name, or tell something new of, which then announces itself.
 func (c *Core) probeNamed(now time.Time, ip flow.IPv4) {
-	if c.relays.introduced.May(now, ip, zonecast.NamedPause) {
+	if c.relays.introduced.Allow(now, ip, zonecast.RelayedIntroductionPause) {
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
 }
--- a/balancer/packetfront/survey_test.go
+++ b/balancer/packetfront/survey_test.go
@@ -116,7 +116,7 @@
 		f.announce(targetB, fleet.Ready)
 		f.Tick(f.now)
 		f.client(packet(false, 9))
-		f.answer(targetB, envelope.Searched, packet(false, 9))
+		f.answer(targetB, envelope.SearchExhausted, packet(false, 9))
 		require.Equal(t, search.UncertainFresh, f.doubt)
 		f.now = settled.Add(-1)
 		f.Tick(f.now)
@@ -139,7 +139,7 @@
 	older.Revision = 7
 	f.TakeSnapshot(f.now, older)
 	f.client(packet(false, 9))
-	f.answer(targetB, envelope.Searched, packet(false, 9))
+	f.answer(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Equal(t, search.UncertainMissing, f.doubt)
 }
 
--- a/balancer/search/buffer_test.go
+++ b/balancer/search/buffer_test.go
@@ -135,7 +135,7 @@
 	f := newFixture()
 	f.client(packet(false, 9))
 	f.client(packet(false, 10))
-	f.returnLast(targetB, envelope.Searched, packet(false, 9))
+	f.returnLast(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Len(t, f.port.Resets, 1)
 	require.Zero(t, f.buffer.packets)
 	f.advance(time.Second)
--- a/balancer/search/fixture_test.go
+++ b/balancer/search/fixture_test.go
@@ -171,7 +171,7 @@
 		check(err)
 		h, err := platform.DecodePacket(packet)
 		check(err)
-		f.HandleReturned(now, from, h.FromClient(), env, &h, packet)
+		f.HandleReturned(now, from, h.KeyFromClient(), env, &h, packet)
 	case envelope.Announce:
 		a, err := fleet.DecodeAnnouncement(datagram)
 		check(err)
@@ -222,7 +222,7 @@
 func (f *fixture) client(p []byte) {
 	h, err := platform.DecodePacket(p)
 	check(err)
-	testPort{f}.Route(f.now, h.FromClient(), &h, p)
+	testPort{f}.Route(f.now, h.KeyFromClient(), &h, p)
 }
 
 // returnLast returns the last packet sent to a target, as an agent would.
--- a/balancer/search/proof_test.go
+++ b/balancer/search/proof_test.go
@@ -20,7 +20,7 @@
 		want    Uncertainty
 	}{
 		"all denied":     {want: ""},
-		"one was unsure": {flags: envelope.Unsure, want: UncertainTarget},
+		"one was unsure": {flags: envelope.Uncertain, want: UncertainTarget},
 		"a target ended": {during: func(f *fixture) { f.announce(targetA, fleet.Gone) }, want: ""},
 		"no other balancer seen, seeds configured": {
 			prepare: func(f *fixture) {
@@ -195,7 +195,7 @@
 	f := newFixture()
 	f.startedAt = f.now
 	f.client(packet(false, 9))
-	f.returnLast(targetB, envelope.Searched, packet(false, 9))
+	f.returnLast(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Equal(t, UncertainFresh, f.uncertainty)
 	f.client(packet(false, 9))
 	f.advance(FreshTime / 2)
@@ -240,7 +240,7 @@
 		if during {
 			f.announce(other, fleet.Ready)
 		}
-		f.returnLast(targetB, envelope.Searched, packet(false, 9))
+		f.returnLast(targetB, envelope.SearchExhausted, packet(false, 9))
 		if !during {
 			f.announce(other, fleet.Ready)
 		}
@@ -253,7 +253,7 @@
 		f.startedAt = f.now.Add(-FreshTime)
 		f.advance(searchRetryInterval / 2)
 		require.Empty(t, f.port.Resets, "%s: no answer yet", name)
-		f.returnLast(other, envelope.Searched, packet(false, 9))
+		f.returnLast(other, envelope.SearchExhausted, packet(false, 9))
 		require.Len(t, f.port.Resets, 1, name)
 	}
 }
@@ -266,10 +266,10 @@
 	late := f.port.Delivered()[0]
 	f.advance(searchRetryInterval + tickPeriod)
 	require.Len(t, f.port.Delivered(), 2, "repeated")
-	late.Env.Kind, late.Env.Count, late.Env.Flags = envelope.Returned, 0, envelope.Search|envelope.Searched|envelope.Unsure
+	late.Env.Kind, late.Env.Count, late.Env.Flags = envelope.Returned, 0, envelope.Search|envelope.SearchExhausted|envelope.Uncertain
 	f.HandleNode(f.now, targetB, append(late.Env.Append(nil), packet(false, 9)...))
 	require.Empty(t, f.port.Resets)
-	f.returnLast(targetB, envelope.Searched, packet(false, 9))
+	f.returnLast(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Len(t, f.port.Resets, 1)
 }
 
@@ -279,7 +279,7 @@
 	f := newFixture()
 	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
 	f.client(packet(false, 9))
-	f.returnLast(targetB, envelope.Searched, packet(false, 9))
+	f.returnLast(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Equal(t, UncertainMissing, f.uncertainty)
 	f.advance(bufferTTL - searchRetryInterval)
 	require.Len(t, f.port.Delivered(), 1)
@@ -299,10 +299,10 @@
 	former.client(packet(false, 9))
 	f.client(packet(false, 9))
 	late := former.port.Delivered()[0]
-	late.Env.Kind, late.Env.Count, late.Env.Flags = envelope.Returned, 0, envelope.Search|envelope.Searched
+	late.Env.Kind, late.Env.Count, late.Env.Flags = envelope.Returned, 0, envelope.Search|envelope.SearchExhausted
 	f.HandleNode(f.now, targetB, append(late.Env.Append(nil), packet(false, 9)...))
 	require.Empty(t, f.port.Resets)
-	f.returnLast(targetB, envelope.Searched, packet(false, 9))
+	f.returnLast(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Len(t, f.port.Resets, 1)
 }
 
--- a/balancer/search/search.go
+++ b/balancer/search/search.go
@@ -263,7 +263,7 @@
 		return
 	}
 	delete(b.probes, env.SearchID)
-	b.unsure = b.unsure || env.Flags&envelope.Unsure != 0
+	b.unsure = b.unsure || env.Flags&envelope.Uncertain != 0
 	if len(b.probes) > 0 {
 		return
 	}
--- a/balancer/search/search_test.go
+++ b/balancer/search/search_test.go
@@ -41,7 +41,7 @@
 func (f *fixture) returnProbe(s envelopetest.Sent, flags envelope.Flags) {
 	e := s.Env
 	e.Kind, e.Count = envelope.Returned, 0
-	e.Flags |= envelope.Searched | flags
+	e.Flags |= envelope.SearchExhausted | flags
 	f.HandleNode(f.now, s.To, append(e.Append(nil), packet(false, 9)...))
 }
 
@@ -105,7 +105,7 @@
 	reversed := slices.Delete(slices.Clone(lost), 2, 3)
 	slices.Reverse(reversed)
 	require.Equal(t, reversed, targetsOf(repeated...), "in reverse order, so that a dead VM is visited last")
-	f.returnProbe(probes[0], envelope.Unsure)
+	f.returnProbe(probes[0], envelope.Uncertain)
 	require.Empty(t, f.port.Resets, "a probe from before the repetition does not count")
 	f.returnProbe(repeated[0], 0)
 	require.Len(t, f.port.Resets, 1)
@@ -141,7 +141,7 @@
 	for i, s := range f.outstandingProbes() {
 		flags := envelope.Flags(0)
 		if i == 3 {
-			flags = envelope.Unsure
+			flags = envelope.Uncertain
 		}
 		f.returnProbe(s, flags)
 	}
--- a/choose/choose.go
+++ b/choose/choose.go
@@ -44,8 +44,8 @@
 	Capacity int
 }
 
-// Reading is the load report of a host, possibly late and misleading.
-type Reading struct {
+// LoadReport is the load report of a host, possibly late and misleading.
+type LoadReport struct {
 	Open int
 	// Busy is the load in thousandths of the host's limit; over BusyFull the host is beyond its
 	// limit.
@@ -57,7 +57,7 @@
 
 type hostState struct {
 	Host
-	report   Reading
+	report   LoadReport
 	reportAt time.Time
 	// sentSince counts the flows sent to the host since the report.
 	sentSince int
@@ -115,7 +115,7 @@
 
 // Observe records a load report of a host from the data path; it also shows that the host is
 // alive.
-func (s *Set) Observe(now time.Time, addr netip.AddrPort, r Reading) {
+func (s *Set) Observe(now time.Time, addr netip.AddrPort, r LoadReport) {
 	st, ok := s.index[addr]
 	if !ok {
 		return
--- a/choose/offer.go
+++ b/choose/offer.go
@@ -14,11 +14,11 @@
 	Busy, Sent int
 	// Slots is the number of requests that the target works on at once.
 	Slots int
-	// Each is the mean time between two answers of the target when it is fully used, as observed
+	// AnswerInterval is the mean time between two answers of the target when it is fully used, as observed
 	// by its agent; zero before the first observation.
-	Each time.Duration
-	// OtherZone marks targets in another zone: traffic between zones has a cost.
-	OtherZone bool
+	AnswerInterval time.Duration
+	// CrossZone marks targets in another zone: traffic between zones has a cost.
+	CrossZone bool
 	// Warming marks targets that are still slow after their start.
 	Warming bool
 	// Avoid marks targets that are overdue or refused a flow lately: the last resort.
@@ -27,12 +27,12 @@
 
 // Weights are the policy's parameters.
 type Weights struct {
-	// OtherZone is the cost of crossing zones, in service times of the typical target: at 1.0 an
+	// CrossZoneCost is the cost of crossing zones, in service times of the typical target: at 1.0 an
 	// idle target in another zone equals an equally fast one in the local zone whose slots are all
 	// taken.
-	OtherZone float64
-	// OtherZonePrice replaces OtherZone as the cost of crossing zones unless it is zero.
-	OtherZonePrice time.Duration
+	CrossZoneCost float64
+	// CrossZonePrice replaces OtherZone as the cost of crossing zones unless it is zero.
+	CrossZonePrice time.Duration
 	// Warming multiplies the expected delay at a warming target.
 	Warming float64
 }
@@ -41,15 +41,15 @@
 // matters only in comparison with OtherZonePrice.
 const defaultServiceTime = 50 * time.Millisecond
 
-// TypicalService returns the median of the observed service times, which is assumed for
+// TypicalServiceTime returns the median of the observed service times, which is assumed for
 // targets without an observation. Of an even number it is the higher of the middle two: the
 // cost of crossing zones is proportional to it, and if half of the targets are fast, a low
 // value makes zones with headroom send flows to other zones.
-func TypicalService(offers []Offer) time.Duration {
+func TypicalServiceTime(offers []Offer) time.Duration {
 	var seen [maxObserved]time.Duration
 	n := 0
 	for _, o := range offers {
-		if o.Each > 0 && n < maxObserved {
+		if o.AnswerInterval > 0 && n < maxObserved {
 			seen[n] = o.serviceTime(0)
 			n++
 		}
@@ -67,8 +67,8 @@
 // serviceTime returns how long the target works on a request if all its slots are equally
 // fast, and typical where that was not observed.
 func (o Offer) serviceTime(typical time.Duration) time.Duration {
-	if o.Each > 0 {
-		return o.Each * time.Duration(max(o.Slots, 1))
+	if o.AnswerInterval > 0 {
+		return o.AnswerInterval * time.Duration(max(o.Slots, 1))
 	}
 	return typical
 }
@@ -92,12 +92,12 @@
 // crossZoneDelay returns the cost of crossing zones to reach the target, as a delay.
 func (w Weights) crossZoneDelay(o Offer, typical time.Duration) time.Duration {
 	switch {
-	case !o.OtherZone:
+	case !o.CrossZone:
 		return 0
-	case w.OtherZonePrice > 0:
-		return w.OtherZonePrice
+	case w.CrossZonePrice > 0:
+		return w.CrossZonePrice
 	default:
-		return time.Duration(w.OtherZone * float64(typical))
+		return time.Duration(w.CrossZoneCost * float64(typical))
 	}
 }
 
@@ -124,7 +124,7 @@
 	seen := 0
 	for pass := range 2 {
 		for i, o := range offers {
-			if o.OtherZone != otherZone || o.Avoid != (pass == 1) {
+			if o.CrossZone != otherZone || o.Avoid != (pass == 1) {
 				continue
 			}
 			seen++
--- a/choose/offer_test.go
+++ b/choose/offer_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var weights = Weights{OtherZone: 1, Warming: 1.6}
+var weights = Weights{CrossZoneCost: 1, Warming: 1.6}
 
 const typical = 50 * time.Millisecond
 
@@ -19,10 +19,10 @@
 		"busy":          {Slots: 4, Busy: 3},
 		"sent to since": {Slots: 4, Sent: 1},
 		"fewer slots":   {Slots: 2},
-		"other zone":    {Slots: 4, OtherZone: true},
+		"other zone":    {Slots: 4, CrossZone: true},
 		"warming":       {Slots: 4, Warming: true},
 		"to be avoided": {Slots: 400, Avoid: true},
-		"slower":        {Slots: 4, Each: 20 * time.Millisecond},
+		"slower":        {Slots: 4, AnswerInterval: 20 * time.Millisecond},
 		"no slots":      {},
 	} {
 		require.Greater(t, weights.Delay(worse, typical), weights.Delay(idle, typical), name)
@@ -31,7 +31,7 @@
 
 func TestCheapestPrefersLocalZoneUntilSlotsAreTaken(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	local, remote := Offer{Slots: 4, Busy: 3}, Offer{Slots: 4, OtherZone: true}
+	local, remote := Offer{Slots: 4, Busy: 3}, Offer{Slots: 4, CrossZone: true}
 	require.Equal(t, 0, weights.Cheapest([]Offer{local, remote}, typical, rnd))
 	local.Busy = 5
 	require.Equal(t, 1, weights.Cheapest([]Offer{local, remote}, typical, rnd))
@@ -45,7 +45,7 @@
 		for range rapid.IntRange(1, 12).Draw(t, "targets") {
 			o := Offer{
 				Slots: 4, Busy: rapid.IntRange(0, 40).Draw(t, "busy"),
-				OtherZone: rapid.Bool().Draw(t, "other"), Avoid: rapid.Bool().Draw(t, "avoid"),
+				CrossZone: rapid.Bool().Draw(t, "other"), Avoid: rapid.Bool().Draw(t, "avoid"),
 			}
 			usable = usable || !o.Avoid
 			offers = append(offers, o)
@@ -88,12 +88,12 @@
 	for name, c := range map[string]struct {
 		better, worse Offer
 	}{
-		"both idle":                     {Offer{Slots: 3, Each: fast}, Offer{Slots: 3, Each: slow}},
-		"fast one twice as busy":        {Offer{Slots: 3, Each: fast, Busy: 4}, Offer{Slots: 3, Each: slow, Busy: 2}},
-		"fast one three times as busy":  {Offer{Slots: 3, Each: slow, Busy: 2}, Offer{Slots: 3, Each: fast, Busy: 9}},
-		"unknown against a slow one":    {Offer{Slots: 3}, Offer{Slots: 3, Each: slow}},
-		"a fast one against an unknown": {Offer{Slots: 3, Each: fast}, Offer{Slots: 3}},
-		"sent since":                    {Offer{Slots: 3, Each: slow}, Offer{Slots: 3, Each: fast, Sent: 3}},
+		"both idle":                     {Offer{Slots: 3, AnswerInterval: fast}, Offer{Slots: 3, AnswerInterval: slow}},
+		"fast one twice as busy":        {Offer{Slots: 3, AnswerInterval: fast, Busy: 4}, Offer{Slots: 3, AnswerInterval: slow, Busy: 2}},
+		"fast one three times as busy":  {Offer{Slots: 3, AnswerInterval: slow, Busy: 2}, Offer{Slots: 3, AnswerInterval: fast, Busy: 9}},
+		"unknown against a slow one":    {Offer{Slots: 3}, Offer{Slots: 3, AnswerInterval: slow}},
+		"a fast one against an unknown": {Offer{Slots: 3, AnswerInterval: fast}, Offer{Slots: 3}},
+		"sent since":                    {Offer{Slots: 3, AnswerInterval: slow}, Offer{Slots: 3, AnswerInterval: fast, Sent: 3}},
 	} {
 		require.Less(t, weights.Delay(c.better, typical), weights.Delay(c.worse, typical), name)
 	}
@@ -105,12 +105,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		each := time.Duration(rapid.IntRange(0, 1000).Draw(t, "each")) * 100 * time.Microsecond
 		offer := func(name string) Offer {
-			return Offer{Slots: 4, Busy: rapid.IntRange(0, 100).Draw(t, name), Each: each, OtherZone: rapid.Bool().Draw(t, name+" other zone")}
+			return Offer{Slots: 4, Busy: rapid.IntRange(0, 100).Draw(t, name), AnswerInterval: each, CrossZone: rapid.Bool().Draw(t, name+" other zone")}
 		}
 		a, b := offer("a"), offer("b")
-		at := TypicalService([]Offer{a, b})
+		at := TypicalServiceTime([]Offer{a, b})
 		load := func(o Offer) int {
-			if o.OtherZone {
+			if o.CrossZone {
 				return o.Busy + o.Slots
 			}
 			return o.Busy
@@ -120,18 +120,18 @@
 }
 
 func TestTypicalService(t *testing.T) {
-	require.Equal(t, defaultServiceTime, TypicalService(nil))
-	require.Equal(t, defaultServiceTime, TypicalService([]Offer{{Slots: 4}}))
-	offers := []Offer{{Slots: 4}, {Slots: 4, Each: time.Millisecond}, {Slots: 2, Each: 30 * time.Millisecond}, {Slots: 4, Each: 10 * time.Millisecond}}
-	require.Equal(t, 40*time.Millisecond, TypicalService(offers))
-	require.Equal(t, 60*time.Millisecond, TypicalService(offers[:3]), "the higher one of two")
-	require.NotPanics(t, func() { TypicalService(make([]Offer, 3*maxObserved)) })
+	require.Equal(t, defaultServiceTime, TypicalServiceTime(nil))
+	require.Equal(t, defaultServiceTime, TypicalServiceTime([]Offer{{Slots: 4}}))
+	offers := []Offer{{Slots: 4}, {Slots: 4, AnswerInterval: time.Millisecond}, {Slots: 2, AnswerInterval: 30 * time.Millisecond}, {Slots: 4, AnswerInterval: 10 * time.Millisecond}}
+	require.Equal(t, 40*time.Millisecond, TypicalServiceTime(offers))
+	require.Equal(t, 60*time.Millisecond, TypicalServiceTime(offers[:3]), "the higher one of two")
+	require.NotPanics(t, func() { TypicalServiceTime(make([]Offer, 3*maxObserved)) })
 }
 
 // TestAvoidedTargetsKeepTheirOrder: avoided targets come after all others, however slow those
 // are, and are ordered by delay.
 func TestAvoidedTargetsKeepTheirOrder(t *testing.T) {
-	remote := Offer{Slots: 1, Busy: 1 << 15, Each: 6 * time.Second, OtherZone: true}
+	remote := Offer{Slots: 1, Busy: 1 << 15, AnswerInterval: 6 * time.Second, CrossZone: true}
 	idle, busy := Offer{Slots: 4, Avoid: true}, Offer{Slots: 4, Busy: 9, Avoid: true}
 	require.Less(t, weights.Delay(remote, typical), weights.Delay(idle, typical))
 	require.Less(t, weights.Delay(idle, typical), weights.Delay(busy, typical))
@@ -141,10 +141,10 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	offers := make([]Offer, 8)
 	for i := range offers {
-		offers[i] = Offer{Slots: 3, Each: time.Duration(i) * time.Millisecond}
+		offers[i] = Offer{Slots: 3, AnswerInterval: time.Duration(i) * time.Millisecond}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		weights.Cheapest(offers, TypicalService(offers), rnd)
+		weights.Cheapest(offers, TypicalServiceTime(offers), rnd)
 	}
 }
--- a/choose/zones_test.go
+++ b/choose/zones_test.go
@@ -57,7 +57,7 @@
 			for due[zone] += load[zone] * capacity[zone] * simStep.Seconds(); due[zone] >= 1; due[zone]-- {
 				view := reports[2*rnd.IntN(balancers)+zone]
 				offers := offersOf(now, targets, view, zone, rnd)
-				i := w.Cheapest(offers, TypicalService(offers), rnd)
+				i := w.Cheapest(offers, TypicalServiceTime(offers), rnd)
 				view[i].sent++
 				targets[i].queue++
 				sent[zone]++
@@ -101,7 +101,7 @@
 			}
 			*r = simReport{busy: t.queue, next: now.Add(age)}
 		}
-		offers[i] = Offer{Busy: r.busy, Sent: r.sent, Slots: simSlots, Each: t.answerInterval, OtherZone: t.zone != zone}
+		offers[i] = Offer{Busy: r.busy, Sent: r.sent, Slots: simSlots, AnswerInterval: t.answerInterval, CrossZone: t.zone != zone}
 	}
 	return offers
 }
@@ -139,11 +139,11 @@
 // TestOtherZonePrice: a stated price is the extra delay from which on a flow crosses zones,
 // whatever the service time.
 func TestOtherZonePrice(t *testing.T) {
-	local := Offer{Slots: 4, Busy: 7, Each: 10 * time.Millisecond}
-	remote := Offer{Slots: 4, Each: 10 * time.Millisecond, OtherZone: true}
+	local := Offer{Slots: 4, Busy: 7, AnswerInterval: 10 * time.Millisecond}
+	remote := Offer{Slots: 4, AnswerInterval: 10 * time.Millisecond, CrossZone: true}
 	for price, want := range map[time.Duration]int{0: 1, 60 * time.Millisecond: 1, 80 * time.Millisecond: 0} {
-		w := Weights{OtherZone: 1, OtherZonePrice: price, Warming: 1.6}
+		w := Weights{CrossZoneCost: 1, CrossZonePrice: price, Warming: 1.6}
 		offers := []Offer{local, remote}
-		require.Equal(t, want, w.Cheapest(offers, TypicalService(offers), rand.New(rand.NewPCG(1, 1))), price)
+		require.Equal(t, want, w.Cheapest(offers, TypicalServiceTime(offers), rand.New(rand.NewPCG(1, 1))), price)
 	}
 }
--- a/e2e/packets/client_test.go
+++ b/e2e/packets/client_test.go
@@ -99,7 +99,7 @@
 // take is what a client does with a packet.
 func (c *client) take(p []byte) {
 	h, err := platform.DecodePacket(p)
-	if err != nil || h.FromTarget() != c.key {
+	if err != nil || h.KeyFromTarget() != c.key {
 		c.w.violate("a client got a packet that is not its own")
 		return
 	}
@@ -107,7 +107,7 @@
 	case h.Flags.Has(flow.RST):
 		// A reset of the system's own is valid near the client's last
 		// acknowledgement, or while the flow is not open.
-		if c.state == opening || flow.SameFlow(h.Seq, c.lastAck()) {
+		if c.state == opening || flow.WithinSequenceWindow(h.Seq, c.lastAck()) {
 			c.reset()
 		}
 	case h.Flags.Has(flow.SYN | flow.ACK):
--- a/e2e/packets/mesh_test.go
+++ b/e2e/packets/mesh_test.go
@@ -101,7 +101,7 @@
 // TestRelayedMessagesShareDatagrams: a balancer gets what is relayed in as many datagrams as
 // the active relays send while these have room, however many balancers its zone has.
 func TestRelayedMessagesShareDatagrams(t *testing.T) {
-	const most = float64(zonecast.Active) * float64(time.Second) / float64(zonecast.FlushPeriod)
+	const most = float64(zonecast.ActiveRelays) * float64(time.Second) / float64(zonecast.FlushPeriod)
 	for _, nodes := range []int{150, 450} {
 		kinds := datagramsHeard(nodes)
 		t.Logf("%d nodes: %v", nodes, kinds)
--- a/e2e/packets/target_test.go
+++ b/e2e/packets/target_test.go
@@ -124,13 +124,13 @@
 		a.w.violate("a target got a malformed packet")
 		return
 	}
-	key := head.FromClient()
+	key := head.KeyFromClient()
 	if head.IsOpening() {
 		a.targetOpens(h, key, &head, packet)
 		return
 	}
 	f, ok := h.flows[key]
-	if !ok || !flow.SameFlow(head.Ack, f.seq) || head.Ack < f.seq {
+	if !ok || !flow.WithinSequenceWindow(head.Ack, f.seq) || head.Ack < f.seq {
 		a.Bounce(packet)
 		return
 	}
@@ -184,7 +184,7 @@
 			within++
 		}
 	}
-	if within > coldstart.Most(rate) {
+	if within > coldstart.MaxPerWindow(rate) {
 		a.w.violate("%d new flows within a second at cold target %s", within, h.id)
 	}
 }
--- a/fleet/configcopy/configcopy.go
+++ b/fleet/configcopy/configcopy.go
@@ -54,13 +54,13 @@
 	compressed   []byte
 }
 
-// Stored returns a Copy of the stored bytes of a configuration.
-func Stored(raw []byte) *Copy { return &Copy{raw: raw} }
+// NewCopy returns a Copy of the stored bytes of a configuration.
+func NewCopy(raw []byte) *Copy { return &Copy{raw: raw} }
 
-// Packed returns the compressed configuration. It compresses at the first call, as most
+// Compressed returns the compressed configuration. It compresses at the first call, as most
 // balancers never get a request, and with the fastest level, as a balancer may have a
 // twentieth of a core and get requests of several others at once.
-func (c *Copy) Packed() []byte {
+func (c *Copy) Compressed() []byte {
 	c.compressOnce.Do(func() {
 		if c.compressed != nil {
 			return
@@ -143,7 +143,7 @@
 		switch {
 		case strings.Contains(r.Header.Get("Accept-Encoding"), encodingGzip):
 			w.Header().Set("Content-Encoding", encodingGzip)
-			body = c.Packed()
+			body = c.Compressed()
 		case body == nil:
 			http.Error(w, "only compressed", http.StatusNotAcceptable)
 			return
--- a/fleet/configcopy/configcopy_test.go
+++ b/fleet/configcopy/configcopy_test.go
@@ -50,7 +50,7 @@
 func TestHandlerCompressesOnRequest(t *testing.T) {
 	raw := largeConfiguration()
 	size := len(raw)
-	server, address := serve(t, Stored(raw))
+	server, address := serve(t, NewCopy(raw))
 	got, err := NewClient(nil).Fetch(t.Context(), address)
 	require.NoError(t, err)
 	require.Equal(t, raw, got)
@@ -73,7 +73,7 @@
 	for i := range raw {
 		raw[i] = byte(rand.Uint32())
 	}
-	_, address := serve(t, Stored(raw))
+	_, address := serve(t, NewCopy(raw))
 	client := NewClient(standin.NewLink(slowLinkRate).DialContext)
 
 	began := time.Now()
@@ -87,11 +87,11 @@
 // the same configuration, and that the node that decompresses a damaged one gets an error.
 func TestCopiesArePassedOnAsTheyCame(t *testing.T) {
 	raw := largeConfiguration()
-	_, origin := serve(t, Stored(raw))
+	_, origin := serve(t, NewCopy(raw))
 	client := NewClient(nil)
 	fetched, err := client.FetchCopy(t.Context(), origin)
 	require.NoError(t, err)
-	require.Less(t, len(fetched.Packed()), len(raw)*2/3)
+	require.Less(t, len(fetched.Compressed()), len(raw)*2/3)
 	server, agent := serve(t, fetched)
 	got, err := client.Fetch(t.Context(), agent)
 	require.NoError(t, err)
@@ -111,7 +111,7 @@
 		"nothing": func([]byte) []byte { return []byte{} },
 		"foreign": func([]byte) []byte { return []byte("no gzip") },
 	} {
-		_, damaged := serve(t, &Copy{compressed: damage(bytes.Clone(fetched.Packed()))})
+		_, damaged := serve(t, &Copy{compressed: damage(bytes.Clone(fetched.Compressed()))})
 		_, err := client.Fetch(t.Context(), damaged)
 		require.Error(t, err, name)
 	}
--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -48,8 +48,8 @@
 	removeTimeout = 200 * time.Millisecond
 )
 
-// Registry maintains the entry of one node.
-type Registry struct {
+// Registration maintains the entry of one node.
+type Registration struct {
 	store       store.Store
 	role        fleet.Role
 	self        flow.IPv4
@@ -67,12 +67,12 @@
 
 // New returns a registry for the process of the given incarnation at an address. onApplied
 // is called each time that the store has reached the desired presence.
-func New(s store.Store, role fleet.Role, self flow.IPv4, incarnation uint64, log *zap.Logger, onApplied func(fleet.Presence)) *Registry {
-	return &Registry{store: s, role: role, self: self, incarnation: incarnation, log: log, onApplied: onApplied, changed: make(chan struct{}, 1)}
+func New(s store.Store, role fleet.Role, self flow.IPv4, incarnation uint64, log *zap.Logger, onApplied func(fleet.Presence)) *Registration {
+	return &Registration{store: s, role: role, self: self, incarnation: incarnation, log: log, onApplied: onApplied, changed: make(chan struct{}, 1)}
 }
 
-// Want sets the desired presence of the node in the registry.
-func (r *Registry) Want(p fleet.Presence) {
+// SetPresence sets the desired presence of the node in the registry.
+func (r *Registration) SetPresence(p fleet.Presence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.desired == p {
@@ -86,14 +86,14 @@
 	}
 }
 
-func (r *Registry) desiredPresence() fleet.Presence {
+func (r *Registration) desiredPresence() fleet.Presence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.desired
 }
 
 // Run keeps the entry in line with the desired presence until ctx ends.
-func (r *Registry) Run(ctx context.Context) error {
+func (r *Registration) Run(ctx context.Context) error {
 	applied, pause := fleet.PresenceUnknown, retryPause
 	for ctx.Err() == nil {
 		desired := r.desiredPresence()
@@ -117,7 +117,7 @@
 
 // wait waits for about d and then returns true. It returns false earlier if the desired
 // presence changes or ctx ends.
-func (r *Registry) wait(ctx context.Context, d time.Duration) bool {
+func (r *Registration) wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(worker.Jitter(d))
 	defer timer.Stop()
 	select {
@@ -130,7 +130,7 @@
 }
 
 // apply writes or removes the entry according to p.
-func (r *Registry) apply(ctx context.Context, p fleet.Presence) error {
+func (r *Registration) apply(ctx context.Context, p fleet.Presence) error {
 	switch p {
 	case fleet.PresenceHere:
 		return r.writeEntry(ctx)
@@ -142,21 +142,21 @@
 }
 
 // writeEntry writes the entry with the incarnation of this process.
-func (r *Registry) writeEntry(ctx context.Context) error {
+func (r *Registration) writeEntry(ctx context.Context) error {
 	put := store.Put{Key: entryKey(r.role, r.self), Value: encodeIncarnation(r.incarnation)}
 	_, err := r.store.Txn(ctx, store.Txn{Puts: []store.Put{put}})
 	return err
 }
 
 // removeEntry removes the entry, whichever process wrote it.
-func (r *Registry) removeEntry(ctx context.Context) error {
+func (r *Registration) removeEntry(ctx context.Context) error {
 	_, err := r.store.Txn(ctx, store.Txn{Removes: []string{entryKey(r.role, r.self)}})
 	return err
 }
 
 // entryMissing reports whether the store has answered without a valid entry. Any replica may
 // answer: an entry that is newer than the replica's state is only written once more.
-func (r *Registry) entryMissing(ctx context.Context) bool {
+func (r *Registration) entryMissing(ctx context.Context) bool {
 	if r.desiredPresence() != fleet.PresenceHere {
 		return false
 	}
@@ -172,8 +172,8 @@
 	return !ok
 }
 
-// Leave removes the entry of a node that is gone for good.
-func (r *Registry) Leave() {
+// Deregister removes the entry of a node that is gone for good.
+func (r *Registration) Deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), removeTimeout)
 	defer cancel()
 	if err := r.removeEntry(ctx); err != nil {
@@ -183,28 +183,28 @@
 	r.onApplied(fleet.PresenceEnded)
 }
 
-// Listed is a list of the entries of a role.
-type Listed struct {
+// EntryList is a list of the entries of a role.
+type EntryList struct {
 	Entries []fleet.Entry
 	// Revision is the store's revision when the read began.
 	Revision int64
-	// Passed is the number of invalid entries, which are skipped.
-	Passed int
+	// Skipped is the number of invalid entries, which are skipped.
+	Skipped int
 	// More reports whether further entries follow.
 	More bool
 }
 
-func (l *Listed) add(role fleet.Role, kv store.KV) {
+func (l *EntryList) add(role fleet.Role, kv store.KV) {
 	if e, ok := decode(role, kv); ok {
 		l.Entries = append(l.Entries, e)
 	} else {
-		l.Passed++
+		l.Skipped++
 	}
 }
 
 // List returns all entries of a role.
-func List(ctx context.Context, s store.Store, role fleet.Role) (Listed, error) {
-	var out Listed
+func List(ctx context.Context, s store.Store, role fleet.Role) (EntryList, error) {
+	var out EntryList
 	req := store.RangeRequest{Key: keyPrefix(role), End: store.PrefixEnd(keyPrefix(role))}
 	revision, err := store.ReadAll(ctx, s, req, func(kv store.KV) error {
 		out.add(role, kv)
@@ -216,16 +216,16 @@
 
 // Page returns the entries of one call to the store: the first ones if after is zero,
 // otherwise those that follow the address after.
-func Page(ctx context.Context, s store.Store, role fleet.Role, after flow.IPv4) (Listed, error) {
+func Page(ctx context.Context, s store.Store, role fleet.Role, after flow.IPv4) (EntryList, error) {
 	req := store.RangeRequest{Key: keyPrefix(role), End: store.PrefixEnd(keyPrefix(role))}
 	if after != 0 {
 		req.Key = entryKey(role, after) + "\x00"
 	}
 	resp, err := s.Range(ctx, req)
 	if err != nil {
-		return Listed{}, err
+		return EntryList{}, err
 	}
-	out := Listed{Revision: resp.Revision, More: resp.More}
+	out := EntryList{Revision: resp.Revision, More: resp.More}
 	for _, kv := range resp.KVs {
 		out.add(role, kv)
 	}
--- a/fleet/registry/registry_test.go
+++ b/fleet/registry/registry_test.go
@@ -35,9 +35,9 @@
 }
 
 // startRegistry starts a registry; the returned function stops it.
-func startRegistry(s store.Store, incarnation uint64) (r *Registry, stop func()) {
+func startRegistry(s store.Store, incarnation uint64) (r *Registration, stop func()) {
 	r = New(s, fleet.RoleAgent, self, incarnation, zap.NewNop(), func(fleet.Presence) {})
-	r.Want(fleet.PresenceHere)
+	r.SetPresence(fleet.PresenceHere)
 	return r, worker.Start(r.Run)
 }
 
@@ -57,7 +57,7 @@
 	r, stop := startRegistry(s, 8)
 	waitForEntry(t, s, 8)
 	stop()
-	r.Leave()
+	r.Deregister()
 	require.Empty(t, listEntries(t, s))
 }
 
@@ -68,9 +68,9 @@
 	r, stop := startRegistry(s, 7)
 	defer stop()
 	waitForEntry(t, s, 7)
-	r.Want(fleet.PresenceEnded)
+	r.SetPresence(fleet.PresenceEnded)
 	require.Eventually(t, func() bool { return len(listEntries(t, s)) == 0 }, 5*time.Second, 5*time.Millisecond)
-	r.Want(fleet.PresenceHere)
+	r.SetPresence(fleet.PresenceHere)
 	waitForEntry(t, s, 7)
 }
 
@@ -118,15 +118,15 @@
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
 	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {})
-	r.Want(fleet.PresenceHere)
+	r.SetPresence(fleet.PresenceHere)
 	require.NoError(t, r.writeEntry(ctx))
 	require.False(t, r.entryMissing(ctx))
 	s.Down(true)
 	require.False(t, r.entryMissing(ctx), "the store does not answer")
 	s.Down(false)
-	r.Leave()
+	r.Deregister()
 	require.True(t, r.entryMissing(ctx))
-	r.Want(fleet.PresenceEnded)
+	r.SetPresence(fleet.PresenceEnded)
 	require.False(t, r.entryMissing(ctx), "the desired presence is absent")
 }
 
@@ -201,7 +201,7 @@
 		s.Operator(foreign)
 		got, err := List(ctx, s, fleet.RoleAgent)
 		require.NoError(t, err, name)
-		require.Equal(t, 1, got.Passed, name)
+		require.Equal(t, 1, got.Skipped, name)
 		require.Len(t, got.Entries, 1, name)
 		require.Equal(t, self, got.Entries[0].IP, name)
 
@@ -209,7 +209,7 @@
 		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, fleet.Entry{IP: self + 1}), name)
 		got, err = List(ctx, s, fleet.RoleAgent)
 		require.NoError(t, err, name)
-		require.Equal(t, 1, got.Passed, "%s: not removed", name)
+		require.Equal(t, 1, got.Skipped, "%s: not removed", name)
 	}
 }
 
@@ -226,7 +226,7 @@
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
 	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {})
-	r.Want(fleet.PresenceHere)
+	r.SetPresence(fleet.PresenceHere)
 	require.NoError(t, r.writeEntry(ctx))
 	s.Operator(store.Put{Key: entryKey(fleet.RoleAgent, self), Value: []byte("no epoch")})
 	require.True(t, r.entryMissing(ctx))
--- a/fleet/zonecast/greetings.go
+++ b/fleet/zonecast/greetings.go
@@ -8,33 +8,33 @@
 
 // Minimum pauses between two introductions to a node from which no message was received.
 const (
-	// NamedPause applies to a node that is known from relayed messages, or whose relayed
+	// RelayedIntroductionPause applies to a node that is known from relayed messages, or whose relayed
 	// message contains something new.
-	NamedPause = 500 * time.Millisecond
-	// GreetPause applies to a node that is known from a list. It is far more than a round
+	RelayedIntroductionPause = 500 * time.Millisecond
+	// IntroductionPause applies to a node that is known from a list. It is far more than a round
 	// trip: nodes that start are named to each other by many nodes at once.
-	GreetPause = 50 * time.Millisecond
+	IntroductionPause = 50 * time.Millisecond
 )
 
-// Greetings limits the rate of introductions to nodes that are known from other nodes only.
+// IntroductionLimiter limits the rate of introductions to nodes that are known from other nodes only.
 // It is not safe for concurrent use.
-type Greetings struct {
-	// Max is the maximum number of nodes that are tracked; beyond it the record is cleared.
-	Max int
+type IntroductionLimiter struct {
+	// MaxNodes is the maximum number of nodes that are tracked; beyond it the record is cleared.
+	MaxNodes int
 
 	sentAt map[flow.IPv4]time.Time
 }
 
-// May reports whether an introduction may be sent to a node now, at most one per pause, and
+// Allow reports whether an introduction may be sent to a node now, at most one per pause, and
 // records it if so.
-func (g *Greetings) May(now time.Time, ip flow.IPv4, pause time.Duration) bool {
+func (g *IntroductionLimiter) Allow(now time.Time, ip flow.IPv4, pause time.Duration) bool {
 	if now.Sub(g.sentAt[ip]) < pause {
 		return false
 	}
 	if g.sentAt == nil {
 		g.sentAt = map[flow.IPv4]time.Time{}
 	}
-	if len(g.sentAt) >= g.Max {
+	if len(g.sentAt) >= g.MaxNodes {
 		clear(g.sentAt)
 	}
 	g.sentAt[ip] = now
--- a/fleet/zonecast/held.go
+++ b/fleet/zonecast/held.go
@@ -12,14 +12,14 @@
 // maxBuffered is the maximum number of buffered messages: 0.4 MB.
 const maxBuffered = 4096
 
-// Held buffers the messages that a relay has to send on, one per node. The zero value is
+// RelayBuffer buffers the messages that a relay has to send on, one per node. The zero value is
 // empty. It is not safe for concurrent use.
-type Held struct {
-	// Pause is the maximum time for which messages are buffered. Self is the address of the
+type RelayBuffer struct {
+	// FlushPeriod is the maximum time for which messages are buffered. Self is the address of the
 	// relay; it sets the phase at which the buffer is flushed, so that relays do not all
 	// send at once.
-	Pause time.Duration
-	Self  flow.IPv4
+	FlushPeriod time.Duration
+	Self        flow.IPv4
 
 	messages map[flow.IPv4]bufferedMessage
 	due      time.Time
@@ -33,7 +33,7 @@
 
 // Put buffers a copy of a node's message, which replaces an earlier one of the node. It
 // returns false if the buffer is full.
-func (h *Held) Put(now time.Time, from flow.IPv4, id fleet.Identity, message []byte) bool {
+func (h *RelayBuffer) Put(now time.Time, from flow.IPv4, id fleet.Identity, message []byte) bool {
 	if h.messages == nil {
 		h.messages = map[flow.IPv4]bufferedMessage{}
 	}
@@ -42,15 +42,15 @@
 		return false
 	}
 	if len(h.messages) == 0 {
-		h.due = fleet.NextRound(now, h.Pause, h.Self)
+		h.due = fleet.NextRound(now, h.FlushPeriod, h.Self)
 	}
 	h.messages[from] = bufferedMessage{id: id, message: append(earlier.message[:0], message...), receivedAt: now}
 	return true
 }
 
-// Relayed drops the node's message with the given identity, which another relay has sent.
+// Discard drops the node's message with the given identity, which another relay has sent.
 // It reports whether the message was buffered.
-func (h *Held) Relayed(from flow.IPv4, id fleet.Identity) bool {
+func (h *RelayBuffer) Discard(from flow.IPv4, id fleet.Identity) bool {
 	m, buffered := h.messages[from]
 	if !buffered || m.id != id {
 		return false
@@ -60,17 +60,17 @@
 }
 
 // Due reports whether there are messages to be relayed now.
-func (h *Held) Due(now time.Time) bool { return len(h.messages) > 0 && !now.Before(h.due) }
+func (h *RelayBuffer) Due(now time.Time) bool { return len(h.messages) > 0 && !now.Before(h.due) }
 
 // Take removes and returns the messages that are to be relayed now, ordered by node. It
 // drops and counts stale ones: a process that was frozen must not relay messages of nodes
 // that may be gone by now.
-func (h *Held) Take(now time.Time) (messages []fleet.RelayedMessage, stale int) {
+func (h *RelayBuffer) Take(now time.Time) (messages []fleet.RelayedMessage, stale int) {
 	if !h.Due(now) {
 		return nil, 0
 	}
 	for _, ip := range slices.Sorted(maps.Keys(h.messages)) {
-		if m := h.messages[ip]; now.Sub(m.receivedAt) > 2*h.Pause {
+		if m := h.messages[ip]; now.Sub(m.receivedAt) > 2*h.FlushPeriod {
 			stale++
 		} else {
 			messages = append(messages, fleet.RelayedMessage{From: ip, Message: m.message})
--- a/fleet/zonecast/plan.go
+++ b/fleet/zonecast/plan.go
@@ -11,21 +11,21 @@
 
 // Parameters of relaying.
 const (
-	// Copies is the number of a zone's balancers that are asked to relay a message.
-	Copies = 2
-	// From is the minimum number of a zone's balancers for the use of relays: with fewer,
+	// RelayCopies is the number of a zone's balancers that are asked to relay a message.
+	RelayCopies = 2
+	// RelayThreshold is the minimum number of a zone's balancers for the use of relays: with fewer,
 	// sending directly is as cheap or allows a shorter period.
-	From = 10
-	// Active is the number of a zone's balancers that are relays at the same time: the fewer
+	RelayThreshold = 10
+	// ActiveRelays is the number of a zone's balancers that are relays at the same time: the fewer
 	// there are, the more messages share a datagram to each balancer of the zone.
-	Active = 10
+	ActiveRelays = 10
 	// rotationInterval is the time for which the same balancers are relays.
 	rotationInterval = 10 * time.Second
 	// rotationSpread is the time over which the nodes switch to the next relays.
 	rotationSpread = time.Second
-	// Period is the pause between two rounds that use relays: with the delay that the relays
+	// RelayPeriod is the pause between two rounds that use relays: with the delay that the relays
 	// add, load reports are as fresh as with direct messages at their longest period.
-	Period = 1800 * time.Millisecond
+	RelayPeriod = 1800 * time.Millisecond
 	// FlushPeriod is the maximum time for which a relay buffers messages for the balancers
 	// of its zone, AgentFlushPeriod that for the agents, which need to know which
 	// balancers are alive.
@@ -69,7 +69,7 @@
 	}
 	p.Period = fleet.FarPeriod(len(p.Direct) + len(p.Relays))
 	if len(p.Relays) > 0 {
-		p.Period = max(p.Period, Period)
+		p.Period = max(p.Period, RelayPeriod)
 	}
 	return p
 }
@@ -94,11 +94,11 @@
 // balancers, and nodes start at different ones of these, so that the load is spread evenly.
 func selectRelays(balancers []flow.IPv4, self flow.IPv4, rotation int64, round int) []flow.IPv4 {
 	var out []flow.IPv4
-	count, active := uint64(len(balancers)), uint64(min(Active, len(balancers)))
+	count, active := uint64(len(balancers)), uint64(min(ActiveRelays, len(balancers)))
 	first := uint64(rotation) % count * active % count
 	offset := flow.Score(0, self) % active
-	for i := range min(Copies, len(balancers)) {
-		position := offset + uint64(round)*Copies + uint64(i)
+	for i := range min(RelayCopies, len(balancers)) {
+		position := offset + uint64(round)*RelayCopies + uint64(i)
 		out = append(out, balancers[(first+position%active)%count])
 	}
 	return out
--- a/fleet/zonecast/zonecast_test.go
+++ b/fleet/zonecast/zonecast_test.go
@@ -41,7 +41,7 @@
 		},
 		"large zones": {
 			map[flow.Tag][]flow.IPv4{a: addresses(100, 28), b: addresses(200, 28)}, map[flow.Tag][]flow.IPv4{a: addresses(100, 28), b: addresses(200, 28)},
-			nil, 4, Period,
+			nil, 4, RelayPeriod,
 		},
 		"one of each": {
 			map[flow.Tag][]flow.IPv4{a: addresses(100, 9), b: addresses(200, 28)}, map[flow.Tag][]flow.IPv4{a: addresses(100, 9), b: addresses(200, 28)},
@@ -52,11 +52,11 @@
 			addresses(100, 28), 0, fleet.FarPeriod(28),
 		},
 	} {
-		p := NewPlan(c.known, c.recent, From, 7, 0, 3)
+		p := NewPlan(c.known, c.recent, RelayThreshold, 7, 0, 3)
 		require.Equal(t, c.direct, p.Direct, name)
 		require.Len(t, p.Relays, c.relays, name)
 		require.Equal(t, c.period, p.Period, name)
-		require.Len(t, p.RelayedZones, c.relays/Copies, name)
+		require.Len(t, p.RelayedZones, c.relays/RelayCopies, name)
 	}
 }
 
@@ -78,8 +78,8 @@
 		rounds := map[flow.IPv4]int{}
 		for rotation := range count {
 			selected := map[flow.IPv4]bool{}
-			for round := range Active {
-				relays := NewPlan(zone, zone, From, self, int64(rotation), round).Relays
+			for round := range ActiveRelays {
+				relays := NewPlan(zone, zone, RelayThreshold, self, int64(rotation), round).Relays
 				require.NotEqual(t, relays[0], relays[1])
 				rounds[relays[0]]++
 				rounds[relays[1]]++
@@ -88,11 +88,11 @@
 					first[relays[0]]++
 				}
 			}
-			require.Len(t, selected, Active, "relays of a rotation interval")
+			require.Len(t, selected, ActiveRelays, "relays of a rotation interval")
 		}
 		require.Len(t, rounds, count)
 		for ip, n := range rounds {
-			require.Equal(t, Copies*Active, n, "%v of %v", ip, self)
+			require.Equal(t, RelayCopies*ActiveRelays, n, "%v of %v", ip, self)
 		}
 	}
 	for ip, n := range first {
@@ -100,7 +100,7 @@
 	}
 }
 
-func newBuffer() *Held { return &Held{Pause: FlushPeriod} }
+func newBuffer() *RelayBuffer { return &RelayBuffer{FlushPeriod: FlushPeriod} }
 
 func TestMessagesAreBufferedAndRelayedOnce(t *testing.T) {
 	h := newBuffer()
@@ -132,9 +132,9 @@
 func TestMessageSentByAnotherRelayIsDropped(t *testing.T) {
 	h := newBuffer()
 	h.Put(start, 1, fleet.Identity{Epoch: 1, Seq: 5}, []byte("word"))
-	require.False(t, h.Relayed(1, fleet.Identity{Epoch: 1, Seq: 4}))
-	require.False(t, h.Relayed(2, fleet.Identity{Epoch: 1, Seq: 5}))
-	require.True(t, h.Relayed(1, fleet.Identity{Epoch: 1, Seq: 5}))
+	require.False(t, h.Discard(1, fleet.Identity{Epoch: 1, Seq: 4}))
+	require.False(t, h.Discard(2, fleet.Identity{Epoch: 1, Seq: 5}))
+	require.True(t, h.Discard(1, fleet.Identity{Epoch: 1, Seq: 5}))
 	messages, _ := h.Take(start.Add(FlushPeriod))
 	require.Empty(t, messages)
 }
--- a/flow/envelope/envelope.go
+++ b/flow/envelope/envelope.go
@@ -54,16 +54,16 @@
 	// Search marks a packet of a flow whose target the balancer does not know; the target
 	// that holds the flow answers with an Owner message.
 	Search Flags = 1 << iota
-	// Searched marks a Returned packet whose search has ended at its last candidate.
-	Searched
-	// Unsure marks a search in which a target could not rule out that it holds the flow.
-	Unsure
-	// Settle marks a new flow that was offered to every candidate and is now sent to the
+	// SearchExhausted marks a Returned packet whose search has ended at its last candidate.
+	SearchExhausted
+	// Uncertain marks a search in which a target could not rule out that it holds the flow.
+	Uncertain
+	// ShortestWait marks a new flow that was offered to every candidate and is now sent to the
 	// one with the shortest wait.
-	Settle
-	// Repeated marks a retransmitted SYN of a flow that the balancer knows, because it has
+	ShortestWait
+	// Retransmitted marks a retransmitted SYN of a flow that the balancer knows, because it has
 	// received an earlier SYN of it.
-	Repeated
+	Retransmitted
 )
 
 // Limits of the format.
@@ -105,10 +105,10 @@
 	// Objective and Deadline are those of the route's requests, zero if not configured;
 	// for new flows only.
 	Objective, Deadline time.Duration
-	// Best is the target with the shortest wait among those that have declined a new flow,
+	// ShortestWaitTarget is the target with the shortest wait among those that have declined a new flow,
 	// BestWait its wait; both are zero before the first has declined.
-	Best     flow.IPv4
-	BestWait time.Duration
+	ShortestWaitTarget flow.IPv4
+	ShortestWaitTime   time.Duration
 	// ColdRate is the request rate, in requests per second, that a cold target of the
 	// service can sustain, zero for no limit; for new flows only. It is encoded in tenths.
 	ColdRate float64
@@ -156,8 +156,8 @@
 	b = binary.BigEndian.AppendUint32(b, e.SearchID)
 	b = appendMillis(b, e.Objective)
 	b = appendMillis(b, e.Deadline)
-	b = binary.BigEndian.AppendUint32(b, uint32(e.Best))
-	b = appendMillis(b, e.BestWait)
+	b = binary.BigEndian.AppendUint32(b, uint32(e.ShortestWaitTarget))
+	b = appendMillis(b, e.ShortestWaitTime)
 	b = binary.BigEndian.AppendUint16(b, uint16(min(max(math.Ceil(e.ColdRate*rateScale-rateTolerance), 0), math.MaxUint16)))
 	for _, c := range e.Candidates[:e.Count] {
 		b = binary.BigEndian.AppendUint32(b, uint32(c.Target))
@@ -187,7 +187,7 @@
 	e.Service = flow.Tag(binary.BigEndian.Uint32(b[12:]))
 	e.SearchID = binary.BigEndian.Uint32(b[16:])
 	e.Objective, e.Deadline = decodeMillis(b[20:]), decodeMillis(b[22:])
-	e.Best, e.BestWait = flow.IPv4(binary.BigEndian.Uint32(b[24:])), decodeMillis(b[28:])
+	e.ShortestWaitTarget, e.ShortestWaitTime = flow.IPv4(binary.BigEndian.Uint32(b[24:])), decodeMillis(b[28:])
 	e.ColdRate = float64(binary.BigEndian.Uint16(b[30:])) / rateScale
 	for i := range count {
 		at := b[headerLen+i*candidateLen:]
--- a/flow/evacuations.go
+++ b/flow/evacuations.go
@@ -52,9 +52,9 @@
 // Newer reports whether e has a higher revision than other and so replaces it.
 func (e Evacuations) Newer(other Evacuations) bool { return e.Revision > other.Revision }
 
-// TakeOver replaces e by next if next is newer. It reports whether next is newer, and
+// ReplaceIfNewer replaces e by next if next is newer. It reports whether next is newer, and
 // whether the set of evacuated zones has changed.
-func (e *Evacuations) TakeOver(next Evacuations) (newer, changed bool) {
+func (e *Evacuations) ReplaceIfNewer(next Evacuations) (newer, changed bool) {
 	if !next.Newer(*e) {
 		return false, false
 	}
--- a/flow/evacuations_test.go
+++ b/flow/evacuations_test.go
@@ -65,7 +65,7 @@
 		"restored":                     {evacuations(3, "a"), evacuations(4), true, true},
 	} {
 		got := c.now
-		newer, changed := got.TakeOver(c.next)
+		newer, changed := got.ReplaceIfNewer(c.next)
 		require.Equal(t, []bool{c.newer, c.changed}, []bool{newer, changed}, name)
 		if c.newer {
 			require.Equal(t, c.next, got, name)
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -132,13 +132,13 @@
 	Echo uint32
 }
 
-// FromClient returns the flow key of a packet sent by a client.
-func (h *Header) FromClient() Key {
+// KeyFromClient returns the flow key of a packet sent by a client.
+func (h *Header) KeyFromClient() Key {
 	return Key{ClientIP: h.Src, ClientPort: h.SrcPort, FrontIP: h.Dst, FrontPort: h.DstPort}
 }
 
-// FromTarget returns the flow key of a packet sent by a target.
-func (h *Header) FromTarget() Key {
+// KeyFromTarget returns the flow key of a packet sent by a target.
+func (h *Header) KeyFromTarget() Key {
 	return Key{ClientIP: h.Dst, ClientPort: h.DstPort, FrontIP: h.Src, FrontPort: h.SrcPort}
 }
 
@@ -150,10 +150,10 @@
 // wire protocol accepts a reset within the same distance.
 const sequenceWindow = 64 * 1200
 
-// SameFlow reports whether an acknowledgement number is within sequenceWindow of a
+// WithinSequenceWindow reports whether an acknowledgement number is within sequenceWindow of a
 // target's sequence number. It distinguishes a flow from a later one between the same
 // ports.
-func SameFlow(ack, targetSeq uint32) bool {
+func WithinSequenceWindow(ack, targetSeq uint32) bool {
 	diff := int32(ack - targetSeq)
 	return diff >= -sequenceWindow && diff <= sequenceWindow
 }
@@ -177,9 +177,9 @@
 
 // The answers.
 const (
-	// AnswerGiven: the target has processed the request; this includes a refusal of a
+	// AnswerCompleted: the target has processed the request; this includes a refusal of a
 	// request that is not its own.
-	AnswerGiven Answer = iota
+	AnswerCompleted Answer = iota
 	// AnswerFailed: the target reports a failure.
 	AnswerFailed
 	// AnswerShed: the target sheds the request because it has no capacity at present.
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -33,7 +33,7 @@
 		{5, 0xfffffff0, true}, // around the wrap
 		{0x80000000, 0, false},
 	} {
-		require.Equal(t, c.same, SameFlow(c.ack, c.seq), "%+v", c)
+		require.Equal(t, c.same, WithinSequenceWindow(c.ack, c.seq), "%+v", c)
 	}
 }
 
@@ -50,10 +50,10 @@
 func rankTargets(hash uint64, targets []IPv4, limit int) []IPv4 {
 	r := NewRanking(limit)
 	for _, target := range targets {
-		r.Offer(Score(hash, target), Candidate{Target: target})
+		r.Add(Score(hash, target), Candidate{Target: target})
 	}
 	var out []IPv4
-	for _, c := range r.Items() {
+	for _, c := range r.Candidates() {
 		out = append(out, c.Target)
 	}
 	return out
@@ -97,7 +97,7 @@
 	for b.Loop() {
 		r.Reset()
 		for target := range IPv4(17) {
-			r.Offer(Score(12345, 0x0a000000+target), Candidate{Target: target})
+			r.Add(Score(12345, 0x0a000000+target), Candidate{Target: target})
 		}
 	}
 }
--- a/flow/rank.go
+++ b/flow/rank.go
@@ -37,8 +37,8 @@
 	r.candidates, r.scores = r.candidates[:0], r.scores[:0]
 }
 
-// Offer adds a candidate if its score is among the limit highest.
-func (r *Ranking) Offer(score uint64, c Candidate) {
+// Add adds a candidate if its score is among the limit highest.
+func (r *Ranking) Add(score uint64, c Candidate) {
 	n := len(r.candidates)
 	if n == r.limit && (n == 0 || score <= r.scores[n-1]) {
 		return
@@ -54,5 +54,5 @@
 	}
 }
 
-// Items returns the candidates, best first; valid until the next Reset.
-func (r *Ranking) Items() []Candidate { return r.candidates }
+// Candidates returns the candidates, best first; valid until the next Reset.
+func (r *Ranking) Candidates() []Candidate { return r.candidates }
--- a/measure/choice.go
+++ b/measure/choice.go
@@ -283,7 +283,7 @@
 }
 
 func (o *ours) observe(now time.Time, host, open int) {
-	o.set.Observe(now, o.hosts[host].Addr, choose.Reading{Open: open})
+	o.set.Observe(now, o.hosts[host].Addr, choose.LoadReport{Open: open})
 }
 
 // baseline is a simple policy to compare with.
--- a/measure/ejection.go
+++ b/measure/ejection.go
@@ -57,16 +57,16 @@
 // Judges are the candidates by name.
 var Judges = []struct {
 	Name  string
-	Judge outlier.Judge
+	Judge outlier.Policy
 }{
 	{"threshold 50% of 5", outlier.Threshold{MinTrials: 5, Rate: 0.5}},
 	{"threshold 30% of 10", outlier.Threshold{MinTrials: 10, Rate: 0.3}},
 	{"binomial, alpha 1e-3", outlier.Binomial{Alpha: 1e-3, Prior: outlier.Counts{Trials: 200, Failures: 4}, MinRate: 0.2}},
-	{"binomial (in use)", outlier.DefaultJudge()},
+	{"binomial (in use)", outlier.DefaultPolicy()},
 }
 
 // Ejection runs a judge on a trace.
-func Ejection(judge outlier.Judge, tr Trace) EjectionResult {
+func Ejection(judge outlier.Policy, tr Trace) EjectionResult {
 	var r EjectionResult
 	detected, seconds, falseOnes := 0, 0.0, 0
 	for seed := range ejectionRuns {
@@ -88,7 +88,7 @@
 
 // ejectionRun returns the seconds to eject the bad target, -1 for never, and
 // the number of healthy targets ejected.
-func ejectionRun(judge outlier.Judge, tr Trace, seed uint64) (float64, int) {
+func ejectionRun(judge outlier.Policy, tr Trace, seed uint64) (float64, int) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	d := outlier.New(outlier.Defaults(), judge)
 	onset := choiceStart.Add(ejectionLength / 3)
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -71,17 +71,17 @@
 
 func TestBinomialBeatsThreshold(t *testing.T) {
 	threshold := outlier.Threshold{MinTrials: 5, Rate: 0.5}
-	falseOnes := func(j outlier.Judge) float64 {
+	falseOnes := func(j outlier.Policy) float64 {
 		sum := 0.0
 		for _, tr := range Traces {
 			sum += Ejection(j, tr).FalsePerHour
 		}
 		return sum
 	}
-	require.Less(t, falseOnes(outlier.DefaultJudge()), falseOnes(threshold))
+	require.Less(t, falseOnes(outlier.DefaultPolicy()), falseOnes(threshold))
 	for _, tr := range Traces {
 		if tr.Bad > tr.Base {
-			r := Ejection(outlier.DefaultJudge(), tr)
+			r := Ejection(outlier.DefaultPolicy(), tr)
 			require.Equal(t, 1.0, r.Detected, tr.Name)
 			require.Less(t, r.MeanSeconds, 10.0, tr.Name)
 		}
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -288,11 +288,11 @@
 func (s *overloadSim) take(decisions []admission.Decision) {
 	for _, d := range decisions {
 		j, ok := s.waiting[d.Ticket]
-		if !ok || d.Verb == admission.Wait {
+		if !ok || d.Action == admission.Wait {
 			continue
 		}
 		delete(s.waiting, d.Ticket)
-		if d.Verb == admission.Refuse {
+		if d.Action == admission.Refuse {
 			s.refuse(j, d)
 			continue
 		}
--- a/model/caller.go
+++ b/model/caller.go
@@ -150,13 +150,13 @@
 	a := &attempt{request: q, key: flow.Key{ClientIP: q.ip, ClientPort: r.ports[q.ip], FrontIP: front.IP, FrontPort: front.Port}}
 	r.attempts[a.key], q.last = a, a
 	for copies := range uint32(3) {
-		r.world.After(backlog.Age(copies), func() {
+		r.world.After(backlog.RetransmissionAge(copies), func() {
 			if a.waits() && !a.open {
 				a.send(flow.SYN, 0x1000, copies, nil)
 			}
 		})
 	}
-	r.world.After(backlog.TryTime, func() {
+	r.world.After(backlog.ConnectTimeout, func() {
 		if !a.open {
 			a.fail(true, false)
 		}
@@ -203,7 +203,7 @@
 	if refused {
 		return a.class.Retries + refusedRetries, 0
 	}
-	return a.class.Retries, leastPause + a.run.world.Jitter(backlog.RetryPause-leastPause)
+	return a.class.Retries, leastPause + a.run.world.Jitter(backlog.MaxRetryPause-leastPause)
 }
 
 // send hands a packet to the balancer that the routers choose.
@@ -241,7 +241,7 @@
 	if err != nil {
 		return
 	}
-	a, known := r.attempts[head.FromTarget()]
+	a, known := r.attempts[head.KeyFromTarget()]
 	if !known || a.ended {
 		return
 	}
@@ -252,7 +252,7 @@
 	}
 	switch {
 	case head.Flags.Has(flow.RST):
-		if !a.open || flow.SameFlow(head.Seq, a.targetSeq) {
+		if !a.open || flow.WithinSequenceWindow(head.Seq, a.targetSeq) {
 			a.fail(!a.open, !a.open)
 		}
 	case head.Flags.Has(flow.SYN | flow.ACK):
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -25,7 +25,7 @@
 )
 
 // Weights are those of the product's settings.
-var Weights = choose.Weights{OtherZone: 1, Warming: 1.6}
+var Weights = choose.Weights{CrossZoneCost: 1, Warming: 1.6}
 
 // Balancer is a balancer process.
 type Balancer struct {
--- a/model/target.go
+++ b/model/target.go
@@ -110,12 +110,12 @@
 	if err != nil {
 		return
 	}
-	key := head.FromClient()
+	key := head.KeyFromClient()
 	f, known := h.flows[key]
 	switch {
 	case head.IsOpening():
 		h.open(key)
-	case !known || !flow.SameFlow(head.Ack, f.seq):
+	case !known || !flow.WithinSequenceWindow(head.Ack, f.seq):
 		h.agent.Bounce(packet)
 	case head.Len > 0:
 		h.request(key, f, packet)
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -24,8 +24,8 @@
 	return c.Failures / c.Trials
 }
 
-// Judge decides whether a target with the given counts is ejected, compared with its peers.
-type Judge interface {
+// Policy decides whether a target with the given counts is ejected, compared with its peers.
+type Policy interface {
 	Eject(own, peers Counts) bool
 }
 
@@ -92,8 +92,8 @@
 	}
 }
 
-// DefaultJudge returns the policy in use; docs/DESIGN.md has the figures.
-func DefaultJudge() Judge {
+// DefaultPolicy returns the policy in use; docs/DESIGN.md has the figures.
+func DefaultPolicy() Policy {
 	return Binomial{Alpha: 1e-5, Prior: Counts{Trials: 200, Failures: 4}, MinRate: 0.2}
 }
 
@@ -110,13 +110,13 @@
 // owner holds a lock.
 type Detector struct {
 	opts    Options
-	judge   Judge
+	policy  Policy
 	targets map[string]*window
 }
 
 // New returns a detector without targets.
-func New(opts Options, judge Judge) *Detector {
-	return &Detector{opts: opts, judge: judge, targets: map[string]*window{}}
+func New(opts Options, judge Policy) *Detector {
+	return &Detector{opts: opts, policy: judge, targets: map[string]*window{}}
 }
 
 // Remove removes a target.
@@ -152,7 +152,7 @@
 	peers := d.peerCounts(now, target)
 	for _, bucket := range w.counts {
 		own = own.Add(bucket)
-		if bucket.Failures > 0 && d.judge.Eject(own, peers) {
+		if bucket.Failures > 0 && d.policy.Eject(own, peers) {
 			return true
 		}
 	}
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestEjectionTimeDoublesAndResets(t *testing.T) {
-	d := New(Defaults(), DefaultJudge())
+	d := New(Defaults(), DefaultPolicy())
 	now := t0
 	fail := func() time.Duration {
 		start := now
@@ -69,7 +69,7 @@
 }
 
 func TestBinomialPolicy(t *testing.T) {
-	b := DefaultJudge()
+	b := DefaultPolicy()
 	require.False(t, b.Eject(Counts{100, 0}, Counts{}))
 	require.True(t, b.Eject(Counts{20, 20}, Counts{}), "no peers, all requests fail")
 	require.False(t, b.Eject(Counts{100, 50}, Counts{400, 200}), "all targets fail equally")
