--- a/balancer/packetfront/keeper.go
+++ b/balancer/packetfront/keeper.go
@@ -70,7 +70,7 @@
 		c.events.PeerChanged(e.IP, "forgotten")
 	}
 	targets = append(targets, c.proof.Purge(now)...)
-	balancers = append(balancers, c.registeredBalancers.Purge(now, c.view.KnowsBalancer)...)
+	balancers = append(balancers, c.registeredBalancers.Strike(now, c.view.KnowsBalancer)...)
 	if !c.view.Keeper(now, c.opts.Self) || len(targets)+len(balancers) > c.view.Heard(now) {
 		return
 	}
--- a/balancer/search/proof.go
+++ b/balancer/search/proof.go
@@ -234,4 +234,4 @@
 
 // Purge removes from the last snapshot the agents that were not seen for as long as nodes are
 // remembered, and returns them.
-func (p *Proof) Purge(now time.Time) []fleet.Entry { return p.snapshot.Purge(now, p.view.KnowsTarget) }
+func (p *Proof) Purge(now time.Time) []fleet.Entry { return p.snapshot.Strike(now, p.view.KnowsTarget) }
--- a/fleet/registryreading.go
+++ b/fleet/registryreading.go
@@ -43,9 +43,9 @@
 	return 0, false
 }
 
-// Purge takes those off that were not heard for longer than a node is
+// Strike takes those off that were not heard for longer than a node is
 // remembered, and returns them.
-func (r *RegistryReading) Purge(now time.Time, heard func(flow.IPv4) bool) []Entry {
+func (r *RegistryReading) Strike(now time.Time, heard func(flow.IPv4) bool) []Entry {
 	var dead []Entry
 	r.entries = slices.DeleteFunc(r.entries, func(e Entry) bool {
 		since, unheard := r.unheard[e.IP]
--- a/fleet/registryreading_test.go
+++ b/fleet/registryreading_test.go
@@ -53,7 +53,7 @@
 		ip, missing := r.Missing(now, gone, among(c.heard))
 		require.Equal(t, c.missing, ip, name)
 		require.Equal(t, c.missing != 0, missing, name)
-		require.Len(t, r.Purge(now, among(c.heard)), c.struck, name)
-		require.Empty(t, r.Purge(now, among(c.heard)), "%s: each once", name)
+		require.Len(t, r.Strike(now, among(c.heard)), c.struck, name)
+		require.Empty(t, r.Strike(now, among(c.heard)), "%s: each once", name)
 	}
 }
