--- a/fleet/alone.go
+++ b/fleet/alone.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// aloneTime is how long a node may know no other one before it reads the
-// registry, again after each such time.
-const aloneTime = 1500 * time.Millisecond
+// isolationTimeout is how long a node stays without any known node before it reads the
+// registry, and the interval between further reads.
+const isolationTimeout = 1500 * time.Millisecond
 
-// Alone notes since when a node knows no other one.
+// Alone measures how long a node has known no other node.
 type Alone struct{ since time.Time }
 
-// Due tells whether the registry is to be read, given whether the node is alone
-// now.
+// Due reports whether the registry is to be read now. The argument alone states whether
+// the node currently knows no other node.
 func (a *Alone) Due(now time.Time, alone bool) bool {
 	if !alone {
 		a.since = time.Time{}
@@ -19,7 +19,7 @@
 	if a.since.IsZero() {
 		a.since = now
 	}
-	if now.Sub(a.since) <= aloneTime {
+	if now.Sub(a.since) <= isolationTimeout {
 		return false
 	}
 	a.since = now
--- a/fleet/balancers.go
+++ b/fleet/balancers.go
@@ -6,7 +6,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// ZoneBalancers returns how many other balancers of a zone are known.
+// ZoneBalancers returns the number of other balancers known in a zone.
 func (v *View) ZoneBalancers(zone flow.Tag) int {
 	count := 0
 	for _, p := range v.peers {
@@ -17,13 +17,14 @@
 	return count
 }
 
-// FarBalancers returns the balancers of the other zones, by zone and in order, and
-// those of them that may be relied on: not leaving, and heard within a time.
-func (v *View) FarBalancers(now time.Time, own flow.Tag, within time.Duration) (known, recent map[flow.Tag][]flow.IPv4) {
+// FarBalancers returns the balancers outside the local zone, grouped by zone and sorted by
+// address: all known ones, and those that are not leaving and were last seen within the
+// given time.
+func (v *View) FarBalancers(now time.Time, local flow.Tag, within time.Duration) (known, recent map[flow.Tag][]flow.IPv4) {
 	known, recent = map[flow.Tag][]flow.IPv4{}, map[flow.Tag][]flow.IPv4{}
 	for _, ip := range v.Balancers() {
 		p := v.peers[ip]
-		if p.Zone == own {
+		if p.Zone == local {
 			continue
 		}
 		known[p.Zone] = append(known[p.Zone], ip)
--- a/fleet/batch_test.go
+++ b/fleet/batch_test.go
@@ -11,13 +11,13 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// maxDatagram is what fits a datagram between nodes.
+// maxDatagram is the largest payload of a datagram between nodes.
 const maxDatagram = 1200
 
-func TestWordsTravelInBoundedBatches(t *testing.T) {
+func TestBatchesFitADatagram(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sent, got []RelayedMessage
-		for i := range rapid.IntRange(0, 200).Draw(t, "words") {
+		for i := range rapid.IntRange(0, 200).Draw(t, "messages") {
 			a := announcement(uint64(i+1), 1, alpha, Ready)
 			message := a.Append(nil)
 			if rapid.Bool().Draw(t, "beacon") {
@@ -29,8 +29,8 @@
 			require.LessOrEqual(t, len(b), maxDatagram)
 			messages, err := DecodeBatch(b)
 			require.NoError(t, err)
-			for _, w := range messages {
-				got = append(got, RelayedMessage{w.From, append([]byte(nil), w.Message...)})
+			for _, m := range messages {
+				got = append(got, RelayedMessage{m.From, append([]byte(nil), m.Message...)})
 			}
 			_, err = DecodeBatch(b[:len(b)-1])
 			require.ErrorIs(t, err, ErrMalformed)
@@ -39,19 +39,20 @@
 	})
 }
 
-// TestOnlyWhatNodesSayOfThemselvesIsRelayed.
-func TestOnlyWhatNodesSayOfThemselvesIsRelayed(t *testing.T) {
+// TestOnlyAnnouncementsAndBeaconsAreRelayed guards against relaying of other messages, and of
+// relay requests within relay requests.
+func TestOnlyAnnouncementsAndBeaconsAreRelayed(t *testing.T) {
 	a, b := announcement(7, 8, alpha, Ready), Beacon{Identity: Identity{1, 2}}
 	for name, c := range map[string]struct {
 		message []byte
 		kind    envelope.Kind
 		id      Identity
 	}{
-		"an announcement":    {a.Append(nil), envelope.Announce, a.Identity},
-		"a beacon":           {b.Append(nil), envelope.Beacon, b.Identity},
-		"nothing":            {nil, 0, Identity{}},
-		"a list":             {envelope.AppendPrefix(nil, envelope.Peers), 0, Identity{}},
-		"one that is inside": {AppendRelay(nil, a.Append(nil)), 0, Identity{}},
+		"an announcement":        {a.Append(nil), envelope.Announce, a.Identity},
+		"a beacon":               {b.Append(nil), envelope.Beacon, b.Identity},
+		"nothing":                {nil, 0, Identity{}},
+		"a node list":            {envelope.AppendPrefix(nil, envelope.Peers), 0, Identity{}},
+		"a nested relay request": {AppendRelay(nil, a.Append(nil)), 0, Identity{}},
 	} {
 		kind, message, err := DecodeRelay(AppendRelay(nil, c.message))
 		relayed := RelayedMessage{ip1, c.message}
@@ -71,14 +72,14 @@
 		require.Equal(t, c.id, id, name)
 	}
 	_, _, err := DecodeRelay(a.Append(nil))
-	require.ErrorIs(t, err, ErrMalformed, "not asked to be relayed")
-	_, err = IdentityOf(a.Append(nil)[:envelope.PrefixLen+identityLen-1])
-	require.ErrorIs(t, err, ErrMalformed, "cut off")
+	require.ErrorIs(t, err, ErrMalformed, "without a relay request")
+	_, err = IdentityOf(a.Append(nil)[:envelope.PrefixLen+messageIDLen-1])
+	require.ErrorIs(t, err, ErrMalformed, "truncated")
 }
 
-// TestProcessesAreToldApart: messages of the present process refresh, those of a former one
-// are passed over, an unknown one is asked.
-func TestProcessesAreToldApart(t *testing.T) {
+// TestCurrentAndFormerProcessesAreDistinguished: relayed messages of the current process are
+// applied, those of a former one ignored, and an unknown process is probed first.
+func TestCurrentAndFormerProcessesAreDistinguished(t *testing.T) {
 	v := NewView()
 	require.Equal(t, Unknown, v.TargetProcess(ip1, 1))
 	require.Equal(t, Unknown, v.PeerProcess(ip2, 1))
@@ -92,48 +93,49 @@
 	}
 }
 
-// TestTheEndOfATargetIsTakenFromItsAgent: messages that others relay may be late, and the
-// target may have started since.
-func TestTheEndOfATargetIsTakenFromItsAgent(t *testing.T) {
+// TestRelayedMessagesDoNotEndATarget: a relayed message may be late and the target may have
+// started again since, so the end of a target or the removal of its registry entry is only
+// accepted from the agent itself.
+func TestRelayedMessagesDoNotEndATarget(t *testing.T) {
 	for name, c := range map[string]struct {
-		before, relayed State
-		listed, said    Listing
-		want            State
-		ask             bool
+		before, relayed  State
+		known, announced Listing
+		want             State
+		ask              bool
 	}{
-		"nothing new":     {Ready, Ready, ListingThere, ListingThere, Ready, false},
-		"drains":          {Ready, Draining, ListingThere, ListingThere, Draining, false},
-		"has ended":       {Ready, Gone, ListingThere, ListingThere, Draining, true},
-		"still ended":     {Gone, Gone, ListingTakenAway, ListingTakenAway, Gone, false},
-		"has started":     {Gone, Ready, ListingThere, ListingThere, Ready, false},
-		"entry is taken":  {Gone, Gone, ListingThere, ListingTakenAway, Gone, true},
-		"entry is left":   {Draining, Gone, ListingThere, ListingLeft, Draining, true},
-		"registered anew": {Gone, Ready, ListingTakenAway, ListingThere, Ready, true},
+		"unchanged":         {Ready, Ready, ListingThere, ListingThere, Ready, false},
+		"starts draining":   {Ready, Draining, ListingThere, ListingThere, Draining, false},
+		"ended":             {Ready, Gone, ListingThere, ListingThere, Draining, true},
+		"still ended":       {Gone, Gone, ListingTakenAway, ListingTakenAway, Gone, false},
+		"started again":     {Gone, Ready, ListingThere, ListingThere, Ready, false},
+		"entry removed":     {Gone, Gone, ListingThere, ListingTakenAway, Gone, true},
+		"entry left behind": {Draining, Gone, ListingThere, ListingLeft, Draining, true},
+		"registered again":  {Gone, Ready, ListingTakenAway, ListingThere, Ready, true},
 	} {
-		h := Target{Announcement: announcement(1, 1, alpha, c.before)}
-		h.Listing = c.listed
+		target := Target{Announcement: announcement(1, 1, alpha, c.before)}
+		target.Listing = c.known
 		relayed := announcement(1, 2, alpha, c.relayed)
-		relayed.Listing = c.said
-		got, ask := h.TakeRelayed(relayed)
+		relayed.Listing = c.announced
+		got, ask := target.TakeRelayed(relayed)
 		require.Equal(t, c.want, got.State, name)
-		require.Equal(t, c.listed, got.Listing, name)
+		require.Equal(t, c.known, got.Listing, name)
 		require.Equal(t, c.ask, ask, name)
 	}
 }
 
-// TestSilentNodesAreAsked before they count as quiet, so often and no more, and only
-// where their messages come through others.
-func TestSilentNodesAreAsked(t *testing.T) {
-	const period, own = 2 * time.Second, flow.Tag(1)
+// TestOverdueNodesAreProbed checks that a node whose messages arrive through relays is probed
+// maxProbes times before it counts as overdue, and that other nodes are not probed.
+func TestOverdueNodesAreProbed(t *testing.T) {
+	const period, local = 2 * time.Second, flow.Tag(1)
 	for name, c := range map[string]struct {
 		zone         flow.Tag
 		relayed, all bool
 		want         int
 	}{
-		"heard through others": {2, true, false, askTries},
-		"of a relayed zone":    {2, false, true, askTries},
-		"heard directly":       {2, false, false, 0},
-		"of the own zone":      {own, true, true, 0},
+		"relayed node":                      {2, true, false, maxProbes},
+		"node of a relayed zone":            {2, false, true, maxProbes},
+		"node of another zone, not relayed": {2, false, false, 0},
+		"node of the local zone":            {local, true, true, 0},
 	} {
 		v := NewView()
 		a := announcement(1, 1, alpha, Ready)
@@ -146,32 +148,33 @@
 		}
 		targets, peers := 0, 0
 		for now := start; now.Sub(start) <= 10*time.Second; now = now.Add(100 * time.Millisecond) {
-			asked := v.OverdueTargets(now, own, c.all)
-			require.False(t, len(asked) > 0 && now.Sub(start) <= 3*time.Second, "%s: too early", name)
-			h, _ := v.Target(ip1)
-			require.False(t, len(asked) > 0 && h.Quiet(now), "%s: too late", name)
-			targets += len(asked)
-			peers += len(v.OverduePeers(now, own, 0, c.all))
+			probed := v.OverdueTargets(now, local, c.all)
+			require.False(t, len(probed) > 0 && now.Sub(start) <= 3*time.Second, "%s: too early", name)
+			target, _ := v.Target(ip1)
+			require.False(t, len(probed) > 0 && target.Quiet(now), "%s: too late", name)
+			targets += len(probed)
+			peers += len(v.OverduePeers(now, local, 0, c.all))
 		}
 		require.Equal(t, c.want, targets, name)
 		require.Equal(t, c.want, peers, name)
 		v.Announce(start.Add(20*time.Second), ip1, announcement(1, 2, alpha, Ready))
-		require.Empty(t, v.OverdueTargets(start.Add(20*time.Second), own, c.all), "%s: heard again", name)
+		require.Empty(t, v.OverdueTargets(start.Add(20*time.Second), local, c.all), "%s: seen again", name)
 	}
 }
 
-// TestBalancersByZoneAndLateness.
-func TestBalancersByZoneAndLateness(t *testing.T) {
-	const own, far = flow.Tag(1), flow.Tag(2)
+// TestCrossZoneBalancersAreGroupedByZone checks that balancers of the local zone are left out,
+// and that recent balancers exclude those that are overdue or leaving.
+func TestCrossZoneBalancersAreGroupedByZone(t *testing.T) {
+	const local, other = flow.Tag(1), flow.Tag(2)
 	v := NewView()
-	hear := func(ip flow.IPv4, zone flow.Tag, at time.Duration, leaving bool) {
+	receive := func(ip flow.IPv4, zone flow.Tag, at time.Duration, leaving bool) {
 		v.Beacon(start.Add(at), ip, Beacon{Identity: Identity{uint64(ip), 1}, Zone: zone, Leaving: leaving})
 	}
-	hear(1, own, 5*time.Second, false)
-	hear(2, far, 5*time.Second, false)
-	hear(3, far, 0, false)
-	hear(4, far, 5*time.Second, true)
-	known, recent := v.FarBalancers(start.Add(5*time.Second), own, 4*time.Second)
-	require.Equal(t, map[flow.Tag][]flow.IPv4{far: {2, 3, 4}}, known)
-	require.Equal(t, map[flow.Tag][]flow.IPv4{far: {2}}, recent)
+	receive(1, local, 5*time.Second, false)
+	receive(2, other, 5*time.Second, false)
+	receive(3, other, 0, false)
+	receive(4, other, 5*time.Second, true)
+	known, recent := v.FarBalancers(start.Add(5*time.Second), local, 4*time.Second)
+	require.Equal(t, map[flow.Tag][]flow.IPv4{other: {2, 3, 4}}, known)
+	require.Equal(t, map[flow.Tag][]flow.IPv4{other: {2}}, recent)
 }
--- a/fleet/digest_test.go
+++ b/fleet/digest_test.go
@@ -11,7 +11,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// viewOf is a view of so many nodes, two balancers to five agents.
+// viewOf returns a view of the given number of nodes: two balancers for every five agents.
 func viewOf(now time.Time, nodes int) *View {
 	v := NewView()
 	for i := range nodes {
@@ -37,30 +37,31 @@
 	}
 }
 
-// digestOf is what the digest stands for: all balancers, the owner, and the targets that are
-// not gone or were heard lately.
+// digestOf computes the digest from scratch, over all balancers, the owner, and the targets
+// that are not gone or not overdue.
 func digestOf(v *View, now time.Time, self flow.IPv4) uint32 {
-	sum := member(self, true)
+	sum := memberHash(self, true)
 	for ip := range v.peers {
-		sum ^= member(ip, true)
+		sum ^= memberHash(ip, true)
 	}
-	for ip, h := range v.targets {
-		if h.State != Gone || !h.Quiet(now) {
-			sum ^= member(ip, false)
+	for ip, target := range v.targets {
+		if target.State != Gone || !target.Quiet(now) {
+			sum ^= memberHash(ip, false)
 		}
 	}
 	return sum
 }
 
-// TestTheDigestIsThatOfTheNodesKnown, whoever comes, goes, is back or is forgotten.
-func TestTheDigestIsThatOfTheNodesKnown(t *testing.T) {
+// TestDigestMatchesTheKnownNodes checks the incrementally updated digest while nodes join,
+// leave, return and expire.
+func TestDigestMatchesTheKnownNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, now, seq := NewView(), time.Unix(1_700_000_000, 0), uint32(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			ip := flow.IPv4(rapid.IntRange(1, 8).Draw(t, "node"))
 			seq++
 			id := Identity{Epoch: rapid.Uint64Range(1, 3).Draw(t, "epoch"), Seq: seq}
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0:
 				v.Beacon(now, 100+ip, Beacon{Identity: id})
 			case 1:
@@ -86,7 +87,7 @@
 		})
 		b.Run(fmt.Sprint("first/", nodes), func(b *testing.B) {
 			for b.Loop() {
-				v.FirstTarget(func(h *Target) bool { return h.State == Gone })
+				v.FirstTarget(func(target *Target) bool { return target.State == Gone })
 			}
 		})
 	}
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,18 +1,18 @@
-// Package fleet is what a node knows of the others: targets with their services
-// and load as their agents announce them, and balancers with the configuration
-// that they have in force.
+// Package fleet holds a node's view of the other nodes: the targets, with the service and
+// load that their agents announce, and the balancers, with the configuration version that
+// each has in force.
 //
-// Agents announce their own target to every balancer, at once when its state
-// changes, otherwise once a period; nobody else speaks for a target. What they repeat
-// may be relayed, unchanged, by balancers of the receiver's zone (package zonecast);
-// it refreshes only what was heard from the process itself. Balancers
-// send beacons to balancers and agents, which answer a beacon of an unknown
-// balancer at once, so that a node that starts knows the fleet after one
-// exchange with any member. Messages of one process are ordered by a sequence
-// number under a random epoch; one of an earlier epoch is refused.
+// An agent announces its own target to every balancer, immediately when the target's state
+// changes and otherwise once per period. No other node makes statements about a target.
+// Balancers of the receiver's zone may relay announcements and beacons unchanged (package
+// zonecast); a relayed message only refreshes a process that was seen directly before.
+// Balancers send beacons to balancers and agents. A node answers the beacon of an unknown
+// balancer immediately, so a starting node learns the fleet after one exchange with any
+// member. Messages of one process are ordered by a sequence number within a random process
+// incarnation; messages of a former incarnation are rejected.
 //
-// A target that was not heard for a while leaves the choice for new flows first
-// and the search for open ones later: it may hold flows yet.
+// An overdue target first stops receiving new flows. It is dropped from the search for open
+// flows only later, because it may still hold some.
 //
-// Everything is pure: time is an argument.
+// The package does no I/O and reads no clock: time is an argument.
 package fleet
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -6,7 +6,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Role tells the kinds of nodes apart in the registry.
+// Role is the kind of a node in the registry.
 type Role string
 
 // The roles.
@@ -15,27 +15,25 @@
 	RoleAgent    Role = "agents"
 )
 
-// Entry is a node in the registry: the store's list of who may be there.
+// Entry is a node's entry in the registry, the store's list of nodes that may be running.
 type Entry struct {
 	IP flow.IPv4
-	// Epoch is that of the process that wrote the entry; zero when it is not
-	// known.
+	// Epoch is the incarnation of the process that wrote the entry; zero if unknown.
 	Epoch uint64
-	// Revision is the store's, of the entry's last change; zero when it is not
-	// known.
+	// Revision is the store revision of the entry's last change; zero if unknown.
 	Revision int64
 }
 
-// Presence is what the registry is to show of a node.
+// Presence is the desired state of a node's registry entry.
 type Presence uint8
 
 // The presences.
 const (
-	// PresenceUnknown: what the registry shows stays as it is.
+	// PresenceUnknown leaves the entry as it is.
 	PresenceUnknown Presence = iota
-	// PresenceHere: the entry is to be there.
+	// PresenceHere requires the entry to exist.
 	PresenceHere
-	// PresenceEnded: it is not, whichever process wrote it.
+	// PresenceEnded requires the entry to be absent, whichever process wrote it.
 	PresenceEnded
 )
 
@@ -48,28 +46,28 @@
 	return out
 }
 
-// Heard counts the nodes that were heard lately.
+// Heard returns the number of targets that are not overdue and of eligible balancers.
 func (v *View) Heard(now time.Time) int {
 	count := 0
-	for _, h := range v.targets {
-		if !h.Quiet(now) {
+	for _, t := range v.targets {
+		if !t.Quiet(now) {
 			count++
 		}
 	}
 	for _, p := range v.peers {
-		if p.onDuty(now) {
+		if p.eligible(now) {
 			count++
 		}
 	}
 	return count
 }
 
-// Keeper tells whether the balancer self has to take dead nodes out of the
-// registry: of those heard lately it is the first by address. Two that differ on
-// that do the same work twice.
+// Keeper reports whether the balancer self is the registry reaper, which removes dead nodes
+// from the registry: the eligible balancer with the lowest address. Balancers with
+// different views may both be the reaper; they then only do the same work twice.
 func (v *View) Keeper(now time.Time, self flow.IPv4) bool {
 	for ip, p := range v.peers {
-		if ip < self && p.onDuty(now) {
+		if ip < self && p.eligible(now) {
 			return false
 		}
 	}
--- a/fleet/evacuations.go
+++ b/fleet/evacuations.go
@@ -9,13 +9,13 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// AppendEvacuations appends the message by which an agent tells a balancer of
-// evacuations that the balancer has not heard of.
+// AppendEvacuations appends the message by which an agent passes a balancer evacuations
+// that are newer than the balancer's.
 func AppendEvacuations(b []byte, e flow.Evacuations) []byte {
 	return appendEvacuations(envelope.AppendPrefix(b, envelope.Evacuated), e)
 }
 
-// DecodeEvacuations reads that message.
+// DecodeEvacuations decodes a message written by AppendEvacuations.
 func DecodeEvacuations(b []byte) (flow.Evacuations, error) {
 	if k, err := envelope.KindOf(b); err != nil || k != envelope.Evacuated {
 		return flow.Evacuations{}, ErrMalformed
@@ -23,11 +23,11 @@
 	return readEvacuations(b[envelope.PrefixLen:])
 }
 
-// evacuationsHead is the length of a revision and a count.
-const evacuationsHead = 8 + 1
+// evacuationsHeaderLen is the encoded length of the revision and the number of zones.
+const evacuationsHeaderLen = 8 + 1
 
-// appendEvacuations appends the revision, the number of zones, and each name with its
-// length before it.
+// appendEvacuations appends the revision, the number of zones, and the length-prefixed name
+// of each zone.
 func appendEvacuations(b []byte, e flow.Evacuations) []byte {
 	b = binary.BigEndian.AppendUint64(b, uint64(e.Revision))
 	b = append(b, byte(len(e.Zones())))
@@ -38,16 +38,16 @@
 	return b
 }
 
-// readEvacuations reads evacuations that fill the bytes exactly. What a node would
-// not have sent, names out of order or too many, is no message.
+// readEvacuations decodes evacuations that fill b exactly. It rejects encodings that no
+// node sends, such as zone names out of order or too many of them.
 func readEvacuations(b []byte) (flow.Evacuations, error) {
-	if len(b) < evacuationsHead {
+	if len(b) < evacuationsHeaderLen {
 		return flow.Evacuations{}, ErrMalformed
 	}
-	revision, count := binary.BigEndian.Uint64(b), int(b[evacuationsHead-1])
-	b = b[evacuationsHead:]
+	revision, count := binary.BigEndian.Uint64(b), int(b[evacuationsHeaderLen-1])
+	b = b[evacuationsHeaderLen:]
 	if count == 0 && len(b) == 0 && revision <= math.MaxInt64 {
-		// Nearly every message: nothing is emptied.
+		// Fast path for nearly every message: no zone is evacuated.
 		return flow.Evacuations{Revision: int64(revision)}, nil
 	}
 	zones := make([]string, 0, min(count, flow.MaxEvacuated))
--- a/fleet/evacuations_test.go
+++ b/fleet/evacuations_test.go
@@ -11,9 +11,9 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// TestEvacuationsSurviveTheWire, up to the most and the longest that there may be, in
-// one datagram.
-func TestEvacuationsSurviveTheWire(t *testing.T) {
+// TestEvacuationsRoundTrip checks the encoding up to the maximum number of zones with the
+// longest names, and that a beacon with them fits into a datagram.
+func TestEvacuationsRoundTrip(t *testing.T) {
 	const datagram = 1400
 	for count := range flow.MaxEvacuated + 1 {
 		var zones []string
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestForeignEvacuationsAreRefused(t *testing.T) {
+func TestMalformedEvacuationsAreRejected(t *testing.T) {
 	e, _ := flow.NewEvacuations(9, []string{"a", "b"})
 	good := AppendEvacuations(nil, e)
 	changed := func(at int, b byte) []byte {
@@ -40,18 +40,18 @@
 		return out
 	}
 	for name, wire := range map[string][]byte{
-		"nothing":              good[:envelope.PrefixLen],
-		"cut off":              good[:len(good)-1],
-		"too long":             append(append([]byte(nil), good...), 0),
-		"more than there are":  changed(evacuationsHead-1, 3),
-		"fewer than there are": changed(evacuationsHead-1, 1),
-		"a name twice":         changed(evacuationsHead+3, 'a'),
-		"a name without bytes": changed(evacuationsHead, 0),
-		"a negative revision":  changed(0, 0xff),
+		"empty":             good[:envelope.PrefixLen],
+		"truncated":         good[:len(good)-1],
+		"too long":          append(append([]byte(nil), good...), 0),
+		"count too high":    changed(evacuationsHeaderLen-1, 3),
+		"count too low":     changed(evacuationsHeaderLen-1, 1),
+		"duplicate zone":    changed(evacuationsHeaderLen+3, 'a'),
+		"empty zone name":   changed(evacuationsHeaderLen, 0),
+		"negative revision": changed(0, 0xff),
 	} {
 		_, err := DecodeEvacuations(wire)
 		require.ErrorIs(t, err, ErrMalformed, name)
 	}
 	_, err := DecodeEvacuations((&Beacon{}).Append(nil))
-	require.ErrorIs(t, err, ErrMalformed, "another kind")
+	require.ErrorIs(t, err, ErrMalformed, "other kind of message")
 }
--- a/fleet/feeders.go
+++ b/fleet/feeders.go
@@ -7,21 +7,22 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Sizes of the feeding of configurations.
+// A feeder is a balancer that watches the store for configuration changes. The other
+// balancers fetch new configurations from each other.
 const (
-	// FeedersPerZone is how many balancers of a zone watch the store, so that
-	// its calls grow with the zones and not with the fleet.
+	// FeedersPerZone is how many balancers of a zone watch the store, so that the number of
+	// store calls grows with the zones and not with the fleet.
 	FeedersPerZone = 2
-	// enoughFeeders is how many balancers that feed have to be heard for another
-	// one to rely on them. Each tells a new configuration to all.
-	enoughFeeders = 3
+	// minFeeders is how many eligible feeders a balancer must see to rely on them instead of
+	// watching the store itself. Each feeder announces a new configuration to all nodes.
+	minFeeders = 3
 )
 
-// RegisteredPerZone is how many balancers of a zone the registry names: a node that knows
-// no other one needs one that lives.
+// RegisteredPerZone is how many balancers of a zone are in the registry. A node that knows
+// no other node needs at least one of them to be alive.
 const RegisteredPerZone = 4
 
-// ZoneFeeders returns the other balancers of a zone that watch the store, in order.
+// ZoneFeeders returns the other eligible feeders of a zone, sorted by address.
 func (v *View) ZoneFeeders(now time.Time, zone flow.Tag) []flow.IPv4 {
 	var out []flow.IPv4
 	for _, p := range v.ZonePeers(now, zone) {
@@ -33,35 +34,35 @@
 	return out
 }
 
-// Registers tells whether the registry has to name the balancer self: it is one of the
-// first of its zone by address of those heard lately.
+// Registers reports whether the balancer self is to have a registry entry: it is among the
+// first RegisteredPerZone eligible balancers of its zone by address.
 func (v *View) Registers(now time.Time, self flow.IPv4, zone flow.Tag) bool {
 	return v.rank(now, self, zone) < RegisteredPerZone
 }
 
-// rank returns how many balancers of a zone that others may rely on come before self by
-// address.
+// rank returns the number of eligible balancers of a zone with a lower address than self.
 func (v *View) rank(now time.Time, self flow.IPv4, zone flow.Tag) int {
 	before := 0
 	for ip, p := range v.peers {
-		if ip < self && p.Zone == zone && p.onDuty(now) {
+		if ip < self && p.Zone == zone && p.eligible(now) {
 			before++
 		}
 	}
 	return before
 }
 
-// Feeds tells whether the balancer self has to watch the store: it is one of the
-// first of its zone by address, or too few that feed were heard lately.
+// Feeds reports whether the balancer self is to be a feeder: it is among the first
+// FeedersPerZone eligible balancers of its zone by address, or it sees fewer than minFeeders
+// eligible feeders in the whole fleet.
 func (v *View) Feeds(now time.Time, self flow.IPv4, zone flow.Tag) bool {
 	if v.rank(now, self, zone) < FeedersPerZone {
 		return true
 	}
 	feeding := 0
 	for _, p := range v.peers {
-		if p.Feeding && p.onDuty(now) {
+		if p.Feeding && p.eligible(now) {
 			feeding++
 		}
 	}
-	return feeding < enoughFeeders
+	return feeding < minFeeders
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -28,7 +28,7 @@
 	return Announcement{Identity: Identity{epoch, seq}, Service: service, State: state, Slots: 5, Incarnation: 9}
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	a := announcement(7, 8, alpha, Draining)
 	a.Zone, a.WantPeers, a.WantReply, a.Busy, a.Open, a.WarmupMillis = 3, true, true, 4, 5, 600
 	a.Ejected, a.Period = true, 1500*time.Millisecond
@@ -45,21 +45,21 @@
 	require.Equal(t, b, gotB)
 }
 
-func TestForeignMessagesAreRefused(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	a, b := announcement(1, 1, alpha, Ready), Beacon{Identity: Identity{1, 1}}
-	unnamed, unlisted, another := a, a, a.Append(nil)
-	unnamed.State, unlisted.Listing = Gone+1, ListingLeft+1
-	another[2]++
+	badState, badListing, otherVersion := a, a, a.Append(nil)
+	badState.State, badListing.Listing = Gone+1, ListingLeft+1
+	otherVersion[2]++
 	for name, wire := range map[string][]byte{
-		"empty": {}, "cut off": a.Append(nil)[:20], "too long": append(a.Append(nil), 0),
-		"another kind": b.Append(nil), "another magic": append([]byte{0, 0}, a.Append(nil)[2:]...),
-		"another version": another, "a listing that is not named": unlisted.Append(nil), "a state that is not named": unnamed.Append(nil),
+		"empty": {}, "truncated": a.Append(nil)[:20], "too long": append(a.Append(nil), 0),
+		"other kind": b.Append(nil), "other magic": append([]byte{0, 0}, a.Append(nil)[2:]...),
+		"other version": otherVersion, "undefined registration state": badListing.Append(nil), "undefined target state": badState.Append(nil),
 	} {
 		_, err := DecodeAnnouncement(wire)
 		require.ErrorIs(t, err, ErrMalformed, name)
 		_, err = DecodeNames(wire)
 		require.ErrorIs(t, err, ErrMalformed, name)
-		if name != "another kind" {
+		if name != "other kind" {
 			_, err = DecodeBeacon(wire)
 			require.ErrorIs(t, err, ErrMalformed, name)
 		}
@@ -70,14 +70,14 @@
 	require.ErrorIs(t, err, ErrMalformed, "unknown state")
 }
 
-// TestReadingsOfOtherVersions: longer readings are read as far as they are known, none
-// are no readings, and their length has to fit.
-func TestReadingsOfOtherVersions(t *testing.T) {
+// TestLoadReportsOfOtherVersions: the known part of a longer load report is decoded, an empty
+// one decodes as no load report, and a length that does not match is rejected.
+func TestLoadReportsOfOtherVersions(t *testing.T) {
 	a := announcement(1, 1, alpha, Ready)
 	a.Readings = Readings{Wait: time.Second, Each: time.Millisecond, Took: 2 * time.Millisecond}
 	wire := a.Append(nil)
-	head, body := wire[:len(wire)-readingsLen-1], wire[len(wire)-readingsLen:]
-	longer := append(append(slices.Clone(head), readingsLen+2), append(slices.Clone(body), 1, 2)...)
+	head, body := wire[:len(wire)-loadReportLen-1], wire[len(wire)-loadReportLen:]
+	longer := append(append(slices.Clone(head), loadReportLen+2), append(slices.Clone(body), 1, 2)...)
 	got, err := DecodeAnnouncement(longer)
 	require.NoError(t, err)
 	require.Equal(t, a.Readings, got.Readings)
@@ -85,12 +85,12 @@
 	require.NoError(t, err)
 	require.Zero(t, got.Readings)
 	_, err = DecodeAnnouncement(head)
-	require.ErrorIs(t, err, ErrMalformed, "without their length")
+	require.ErrorIs(t, err, ErrMalformed, "without its length")
 	_, err = DecodeAnnouncement(wire[:len(wire)-1])
-	require.ErrorIs(t, err, ErrMalformed, "cut off")
+	require.ErrorIs(t, err, ErrMalformed, "truncated")
 }
 
-func TestNamesTravelInBoundedMessages(t *testing.T) {
+func TestNodeListsFitADatagram(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sent, got Names
 		for i, list := range []*[]flow.IPv4{&sent.Balancers, &sent.Holders, &sent.Idle} {
@@ -117,15 +117,15 @@
 		then Announcement
 		want Change
 	}{
-		"nothing new":             {announcement(7, 2, alpha, Ready), Same},
-		"doubled":                 {announcement(7, 1, alpha, Draining), Stale},
-		"late":                    {announcement(7, 0, alpha, Draining), Stale},
-		"of the epoch before":     {announcement(6, 99, alpha, Draining), Stale},
-		"without an epoch":        {announcement(0, 99, alpha, Draining), Stale},
-		"another state":           {announcement(7, 2, alpha, Draining), Altered},
-		"another service":         {announcement(7, 2, beta, Ready), Altered},
-		"a restarted agent":       {announcement(8, 1, alpha, Ready), Joined},
-		"sequence wrapped around": {announcement(7, 1<<31-1, alpha, Ready), Same},
+		"unchanged":             {announcement(7, 2, alpha, Ready), Same},
+		"duplicate":             {announcement(7, 1, alpha, Draining), Stale},
+		"late":                  {announcement(7, 0, alpha, Draining), Stale},
+		"former incarnation":    {announcement(6, 99, alpha, Draining), Stale},
+		"no incarnation":        {announcement(0, 99, alpha, Draining), Stale},
+		"changed state":         {announcement(7, 2, alpha, Draining), Altered},
+		"changed service":       {announcement(7, 2, beta, Ready), Altered},
+		"restarted agent":       {announcement(8, 1, alpha, Ready), Joined},
+		"sequence wraps around": {announcement(7, 1<<31-1, alpha, Ready), Same},
 	} {
 		v := NewView()
 		require.Equal(t, Joined, v.Announce(start, ip1, announcement(6, 5, alpha, Ready)))
@@ -140,8 +140,9 @@
 	}
 }
 
-// TestLateMessagesOfEarlierProcesses: none of the last processes at an address
-// displaces the present one, and one that did is displaced by its going on.
+// TestLateMessagesOfEarlierProcesses: late messages of the former processes at an address that
+// a view remembers do not replace the current one. One that a new view accepted is replaced
+// when the current process continues to send.
 func TestLateMessagesOfEarlierProcesses(t *testing.T) {
 	v := NewView()
 	for epoch := uint64(1); epoch <= 4; epoch++ {
@@ -154,7 +155,7 @@
 	now := start
 	fresh := NewView()
 	fresh.Announce(now, ip1, announcement(4, 5, alpha, Ready))
-	require.Equal(t, Joined, fresh.Announce(now, ip1, announcement(1, 99, alpha, Gone)), "not known to be late")
+	require.Equal(t, Joined, fresh.Announce(now, ip1, announcement(1, 99, alpha, Gone)), "view does not know the former process")
 	for seq := uint32(6); now.Sub(start) <= Quiet+NearPeriod; seq++ {
 		now = now.Add(NearPeriod)
 		fresh.Announce(now, ip1, announcement(4, seq, alpha, Ready))
@@ -165,7 +166,7 @@
 	require.Equal(t, now, target.HeardAt)
 }
 
-func TestServicesFollowTheirTargets(t *testing.T) {
+func TestServiceIndexFollowsItsTargets(t *testing.T) {
 	v := NewView()
 	v.Announce(start, ip1, announcement(1, 1, alpha, Ready))
 	v.Announce(start, ip2, announcement(2, 1, alpha, Ready))
@@ -178,59 +179,59 @@
 	require.Empty(t, v.Services())
 }
 
-// TestFreshAgentDoesNotReviveADrainingTarget: it finds the target listening before it
-// hears what the target says of itself.
+// TestFreshAgentDoesNotReviveADrainingTarget: a restarted agent finds its target listening and
+// announces it as ready before it receives the first heartbeat of the draining target.
 func TestFreshAgentDoesNotReviveADrainingTarget(t *testing.T) {
 	v := NewView()
 	v.Announce(start, ip1, announcement(1, 1, alpha, Draining))
 	fresh := announcement(2, 1, alpha, Ready)
 	fresh.Incarnation = 0
 	v.Announce(start, ip1, fresh)
-	h, _ := v.Target(ip1)
-	require.Equal(t, Draining, h.State)
+	target, _ := v.Target(ip1)
+	require.Equal(t, Draining, target.State)
 	v.Announce(start, ip1, announcement(2, 2, alpha, Ready))
-	require.Equal(t, Ready, h.State)
+	require.Equal(t, Ready, target.State)
 }
 
-func TestDigestTellsViewsApart(t *testing.T) {
+func TestDigestsOfDifferentViewsDiffer(t *testing.T) {
 	a, b := NewView(), NewView()
 	a.Beacon(start, ip2, Beacon{Identity: Identity{1, 1}})
 	b.Beacon(start, ip1, Beacon{Identity: Identity{2, 1}})
-	require.Equal(t, a.Digest(start, ip1), b.Digest(start, ip2), "they know each other")
+	require.Equal(t, a.Digest(start, ip1), b.Digest(start, ip2), "both know both balancers")
 	a.Announce(start, 77, announcement(3, 1, alpha, Ready))
 	require.NotEqual(t, a.Digest(start, ip1), b.Digest(start, ip2))
 	b.Announce(start, 77, announcement(3, 2, alpha, Ready))
 	require.Equal(t, a.Digest(start, ip1), b.Digest(start, ip2))
 	a.Announce(start, 78, announcement(4, 1, alpha, Gone))
-	require.NotEqual(t, a.Digest(start, ip1), b.Digest(start, ip2), "it is there")
+	require.NotEqual(t, a.Digest(start, ip1), b.Digest(start, ip2), "the agent is alive")
 	later := start.Add(Quiet + 1)
-	require.Equal(t, a.Digest(later, ip1), b.Digest(later, ip2), "it is not heard any more")
+	require.Equal(t, a.Digest(later, ip1), b.Digest(later, ip2), "the gone target is overdue")
 }
 
-// TestGenerationRisesWithTargetsThatMayHoldFlows: a search has asked all targets but
-// those that came to be one since.
+// TestGenerationRisesWithTargetsThatMayHoldFlows: a search that probed all targets of a
+// generation only misses targets that began to hold flows in a later one.
 func TestGenerationRisesWithTargetsThatMayHoldFlows(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, then Announcement
 		since        bool
 	}{
-		"a reading":                {announcement(1, 1, alpha, Ready), announcement(1, 2, alpha, Ready), false},
+		"load report":              {announcement(1, 1, alpha, Ready), announcement(1, 2, alpha, Ready), false},
 		"draining":                 {announcement(1, 1, alpha, Ready), announcement(1, 2, alpha, Draining), false},
 		"ended":                    {announcement(1, 1, alpha, Ready), announcement(1, 2, alpha, Gone), false},
 		"started":                  {announcement(1, 1, alpha, Gone), announcement(1, 2, alpha, Ready), true},
-		"another agent":            {announcement(1, 1, alpha, Ready), announcement(2, 1, alpha, Ready), true},
-		"another without a target": {announcement(1, 1, alpha, Ready), announcement(2, 1, alpha, Gone), false},
-		"of another service":       {announcement(1, 1, alpha, Ready), announcement(1, 2, alpha+1, Ready), true},
-		"a late message of before": {announcement(1, 2, alpha, Ready), announcement(1, 1, alpha, Gone), false},
+		"restarted agent":          {announcement(1, 1, alpha, Ready), announcement(2, 1, alpha, Ready), true},
+		"restarted without target": {announcement(1, 1, alpha, Ready), announcement(2, 1, alpha, Gone), false},
+		"changed service":          {announcement(1, 1, alpha, Ready), announcement(1, 2, alpha+1, Ready), true},
+		"late message":             {announcement(1, 2, alpha, Ready), announcement(1, 1, alpha, Gone), false},
 	} {
 		v := NewView()
 		v.Announce(start, ip2, announcement(9, 1, alpha, Ready))
 		v.Announce(start, ip1, c.before)
 		g := v.Generation()
 		v.Announce(start, ip1, c.then)
-		h, _ := v.Target(ip1)
+		target, _ := v.Target(ip1)
 		require.Equal(t, c.since, v.Generation() != g, name)
-		require.Equal(t, c.since, h.MayHoldSince(start, g), name)
+		require.Equal(t, c.since, target.MayHoldSince(start, g), name)
 		unchanged, _ := v.Target(ip2)
 		require.False(t, unchanged.MayHoldSince(start, g), name)
 	}
@@ -250,33 +251,33 @@
 	require.False(t, newer)
 }
 
-// TestFeeders: a fleet of any size has some in each zone, and one that hears too
-// few of them feeds itself.
-func TestFeeders(t *testing.T) {
+// TestEachZoneHasFeeders: the first balancers of each zone watch the store, and any other
+// balancer does if it sees too few eligible feeders.
+func TestEachZoneHasFeeders(t *testing.T) {
 	const zone, elsewhere = flow.Tag(1), flow.Tag(2)
 	v := NewView()
-	hear := func(at time.Time, ip flow.IPv4, zone flow.Tag, feeding, leaving bool) {
+	receive := func(at time.Time, ip flow.IPv4, zone flow.Tag, feeding, leaving bool) {
 		seq := uint32(at.Sub(start)/time.Millisecond) + 1
 		v.Beacon(at, ip, Beacon{Identity: Identity{uint64(ip), seq}, Zone: zone, Feeding: feeding, Leaving: leaving})
 	}
 	self := flow.IPv4(100)
 	require.True(t, v.Feeds(start, self, zone), "alone")
-	hear(start, 1, zone, true, false)
-	require.True(t, v.Feeds(start, self, zone), "the second of its zone")
-	hear(start, 2, zone, true, false)
-	require.True(t, v.Feeds(start, self, zone), "two that feed are too few")
-	hear(start, 200, elsewhere, true, false)
+	receive(start, 1, zone, true, false)
+	require.True(t, v.Feeds(start, self, zone), "second of its zone")
+	receive(start, 2, zone, true, false)
+	require.True(t, v.Feeds(start, self, zone), "two feeders are too few")
+	receive(start, 200, elsewhere, true, false)
 	require.False(t, v.Feeds(start, self, zone))
-	require.True(t, v.Feeds(start, 50, elsewhere), "none before it in its zone")
-	later := start.Add(time.Duration(dutyPeriods*float64(NearPeriod)) + time.Millisecond)
-	require.True(t, v.Feeds(later, self, zone), "not heard lately")
+	require.True(t, v.Feeds(start, 50, elsewhere), "first of its zone")
+	later := start.Add(time.Duration(eligiblePeriods*float64(NearPeriod)) + time.Millisecond)
+	require.True(t, v.Feeds(later, self, zone), "feeders not eligible any more")
 	for _, ip := range []flow.IPv4{1, 2, 200} {
-		hear(later, ip, zone, ip != 1, false)
+		receive(later, ip, zone, ip != 1, false)
 	}
-	require.True(t, v.Feeds(later, self, zone), "the store does not answer one of them")
+	require.True(t, v.Feeds(later, self, zone), "one gets no answer from the store")
 	again := later.Add(time.Second)
-	hear(again, 1, zone, true, true)
-	require.True(t, v.Feeds(again, self, zone), "one is leaving")
+	receive(again, 1, zone, true, true)
+	require.True(t, v.Feeds(again, self, zone), "one feeder is leaving")
 }
 
 func FuzzDecode(f *testing.F) {
@@ -298,8 +299,8 @@
 		}
 		if messages, err := DecodeBatch(b); err == nil {
 			whole := b[:envelope.PrefixLen:envelope.PrefixLen]
-			for _, w := range messages {
-				AppendBatches(nil, []RelayedMessage{w}, func(one []byte) { whole = append(whole, one[envelope.PrefixLen:]...) })
+			for _, m := range messages {
+				AppendBatches(nil, []RelayedMessage{m}, func(one []byte) { whole = append(whole, one[envelope.PrefixLen:]...) })
 			}
 			require.Equal(t, b, whole)
 		}
@@ -309,25 +310,26 @@
 	})
 }
 
-// TestNodesOfOtherZonesAreToldLessOften: what a node sends stays bounded, and so
-// does the time in which a dead node is noticed.
-func TestNodesOfOtherZonesAreToldLessOften(t *testing.T) {
+// TestCrossZonePeriodGrowsWithTheFleet checks that a node's cross-zone traffic is bounded, and
+// that the period, and with it the detection time of a dead node, has an upper bound.
+func TestCrossZonePeriodGrowsWithTheFleet(t *testing.T) {
 	for nodes, want := range map[int]time.Duration{
-		0: NearPeriod, 4: NearPeriod, 6: 1500 * time.Millisecond, 64: mostFarPeriod, 1500: mostFarPeriod,
+		0: NearPeriod, 4: NearPeriod, 6: 1500 * time.Millisecond, 64: maxCrossZonePeriod, 1500: maxCrossZonePeriod,
 	} {
 		require.Equal(t, want, FarPeriod(nodes), nodes)
 	}
 }
 
-// TestANodeIsExpectedAsOftenAsItSays.
-func TestANodeIsExpectedAsOftenAsItSays(t *testing.T) {
+// TestOverdueTimeFollowsTheAnnouncedPeriod: a node that announces a longer period is overdue
+// later.
+func TestOverdueTimeFollowsTheAnnouncedPeriod(t *testing.T) {
 	v := NewView()
 	a := announcement(1, 1, alpha, Ready)
 	a.Period = 2 * time.Second
 	v.Announce(start, ip1, a)
-	h, _ := v.Target(ip1)
-	require.False(t, h.Quiet(start.Add(2*Quiet)))
-	require.True(t, h.Quiet(start.Add(2*Quiet+1)))
+	target, _ := v.Target(ip1)
+	require.False(t, target.Quiet(start.Add(2*Quiet)))
+	require.True(t, target.Quiet(start.Add(2*Quiet+1)))
 	v.Beacon(start, ip1, Beacon{Identity: Identity{2, 1}, Period: 2 * time.Second})
 	require.False(t, v.Keeper(start.Add(4*time.Second), ip2))
 	require.True(t, v.Keeper(start.Add(5*time.Second), ip2))
--- a/fleet/listing.go
+++ b/fleet/listing.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Listing is what an agent knows of its entry in the registry.
+// Listing is the state of an agent's own registry entry as the agent knows it.
 type Listing uint8
 
-// The listings.
+// The states of a registration.
 const (
-	// ListingUnknown: it may be there or not.
+	// ListingUnknown: the entry may or may not exist.
 	ListingUnknown Listing = iota
-	// ListingThere: the store has it.
+	// ListingThere: the store has the entry.
 	ListingThere
-	// ListingTakenAway: the store has none any more.
+	// ListingTakenAway: the entry was removed from the store.
 	ListingTakenAway
-	// ListingLeft: the agent stops for good, for its target has ended, and has not got
-	// its entry taken away.
+	// ListingLeft: the agent stops for good because its target has ended, and leaves behind
+	// an entry that it could not remove.
 	ListingLeft
 )
 
-// List takes a reading of the agents' registry that began at the given time.
+// List applies a snapshot of the agents' registry whose read began at the given time.
 func (v *View) List(now, began time.Time, agents []Entry) {
-	v.listedAt = began
-	clear(v.listed)
+	v.snapshotAt = began
+	clear(v.registered)
 	for _, e := range agents {
-		v.listed[e.IP] = e.Epoch
+		v.registered[e.IP] = e.Epoch
 	}
 	for _, ip := range v.Targets() {
-		h := v.targets[ip]
-		held := h.MayHold(now)
-		h.Listed = v.lists(h)
-		if h.MayHold(now) && !held {
-			v.begin(h)
+		t := v.targets[ip]
+		couldHold := t.MayHold(now)
+		t.Listed = v.isRegistered(t)
+		if t.MayHold(now) && !couldHold {
+			v.markMayHold(t)
 		}
 	}
 }
 
-// lists tells whether the registry names a target's agent. An entry that the agent has
-// got taken away after the reading began is an old one.
-func (v *View) lists(h *Target) bool {
-	_, listed := v.listed[h.IP]
-	return listed && !(h.Listing == ListingTakenAway && !h.ListingAt.Before(v.listedAt))
+// isRegistered reports whether the last snapshot contains the target's agent. An entry that
+// the agent reported as removed after the read began is outdated and does not count.
+func (v *View) isRegistered(t *Target) bool {
+	_, listed := v.registered[t.IP]
+	return listed && !(t.Listing == ListingTakenAway && !t.ListingAt.Before(v.snapshotAt))
 }
 
-// MayLive tells whether a target that said last that it holds nothing, and cannot be
-// asked, may have started since: the registry lists it, with an entry that is not
-// that of a process which has left it behind.
-func (v *View) MayLive(h *Target) bool {
-	return h.Listed && !(h.Listing == ListingLeft && v.listed[h.IP] == h.Epoch)
+// MayLive reports whether a target that last announced that it holds no flows, and that
+// cannot be asked, may have started again since: the registry has an entry for it, and not
+// one that the announcing process itself left behind.
+func (v *View) MayLive(t *Target) bool {
+	return t.Listed && !(t.Listing == ListingLeft && v.registered[t.IP] == t.Epoch)
 }
 
-// EntryOf returns the entry that an agent has left behind.
-func (v *View) EntryOf(h *Target) Entry {
-	if epoch, listed := v.listed[h.IP]; listed {
-		return Entry{IP: h.IP, Epoch: epoch}
+// EntryOf returns the registry entry that an agent has left behind.
+func (v *View) EntryOf(t *Target) Entry {
+	if epoch, listed := v.registered[t.IP]; listed {
+		return Entry{IP: t.IP, Epoch: epoch}
 	}
-	return Entry{IP: h.IP, Epoch: h.Epoch}
+	return Entry{IP: t.IP, Epoch: t.Epoch}
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -11,19 +11,20 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// ErrMalformed is returned for bytes that are no message of the expected kind.
+// ErrMalformed is returned for bytes that are not a valid message of the expected kind.
 var ErrMalformed = errors.New("malformed fleet message")
 
-// Life is one run of a target: it starts with nothing and ends with all that it holds.
-// A target may start again under the ID that it had.
+// Life identifies one incarnation of a target, from a start of its process to the end of
+// it. An incarnation starts without flows, and its flows end with it. A target may start
+// again under the same ID.
 type Life struct {
 	TargetID string
-	// Born is when it started, in Unix milliseconds of its VM's clock, which may be
-	// stepped between two lives; zero where the target does not say.
+	// Born is the start time in Unix milliseconds by the VM's clock, which may be stepped
+	// between two incarnations; zero if the target does not report it.
 	Born int64
 }
 
-// Tag tells a life from others in messages.
+// Tag returns the tag that identifies the incarnation in messages.
 func (l Life) Tag() flow.Tag {
 	if l.Born == 0 {
 		return flow.TagOf(l.TargetID)
@@ -31,113 +32,114 @@
 	return flow.TagOf(l.TargetID + " " + strconv.FormatInt(l.Born, 10))
 }
 
-// Heartbeat is what a target says of itself to the agent beside it.
+// Heartbeat is a target's periodic report to the agent on its VM.
 type Heartbeat struct {
 	Life
 	Service string
-	// Slots is how many requests it works on at the same time, 1 to 65,535.
+	// Slots is the target's concurrency: how many requests it processes at the same time, 1
+	// to 65,535.
 	Slots int
-	// Draining targets take no new flow.
+	// Draining targets take no new flows.
 	Draining   bool
 	WarmupLeft time.Duration
-	// Sequence rises with each heartbeat of one life.
+	// Sequence increases with each heartbeat of an incarnation.
 	Sequence uint64
 }
 
-// State is what a target can do.
+// State is the state of a target as its agent announces it.
 type State uint8
 
 // The states of a target.
 const (
-	// Absent: no target is known to listen.
+	// Absent: the agent knows of no listening target.
 	Absent State = iota
-	// Ready: takes new flows.
+	// Ready: the target takes new flows.
 	Ready
-	// Draining: keeps its flows, takes no new one.
+	// Draining: the target keeps its flows and takes no new ones.
 	Draining
-	// Gone: has left, or its agent is leaving.
+	// Gone: the target has left, or its agent is leaving.
 	Gone
 )
 
-// String names the state in logs.
+// String returns the name of the state for logs.
 func (s State) String() string {
 	return [...]string{"absent", "ready", "draining", "gone"}[s&3]
 }
 
-// Identity orders the messages of one process.
+// Identity is a message ID. It orders the messages of one process.
 type Identity struct {
-	// Epoch is random for each start of the process.
+	// Epoch is the incarnation of the process: a random number drawn at each start.
 	Epoch uint64
-	// Seq rises with each message of an epoch.
+	// Seq increases with each message of one process incarnation.
 	Seq uint32
 }
 
-// Announcement is an agent's message about its target.
+// Announcement is an agent's periodic state message about its target.
 type Announcement struct {
 	Identity
 	Zone, Service flow.Tag
-	// Incarnation is the tag of the target's life; zero while it is not known.
+	// Incarnation is the tag of the target's incarnation; zero while it is unknown.
 	Incarnation flow.Tag
 	State       State
-	// WantPeers asks for the balancers that the receiver knows, WantReply for a
-	// beacon.
+	// WantPeers requests the balancers that the receiver knows, WantReply a beacon.
 	WantPeers, WantReply bool
 	Slots                uint16
-	// Busy is the number of requests that the target works on or has queued.
+	// Busy is the number of requests that the target is processing or has queued.
 	Busy uint16
 	// Open is the number of open flows.
 	Open uint16
-	// WarmupMillis is how long the target stays slow after its start.
+	// WarmupMillis is the remaining time for which the target is slow after its start.
 	WarmupMillis uint16
-	// Ejected targets fail their requests.
+	// Ejected targets were taken out of service because they fail their requests.
 	Ejected bool
-	// ConfigVersion is the version of the configuration that the agent keeps a copy of,
-	// zero without one.
+	// ConfigVersion is the version of the agent's copy of the configuration; zero without a
+	// copy.
 	ConfigVersion int64
-	// Cold targets bear only so many new flows a second: Room more at the moment.
+	// Cold targets sustain a limited rate of new flows. Room is how many more such a target
+	// takes at the moment.
 	Cold bool
 	Room uint16
-	// Listing is what the agent knows of its entry in the registry.
+	// Listing is the state of the agent's registry entry.
 	Listing Listing
-	// Period is how soon the receiver hears of the sender again, whole
+	// Period is the time until the sender's next periodic message to the receiver, in whole
 	// milliseconds.
 	Period time.Duration
 	Readings
 }
 
-// Beacon is a balancer's message about itself.
+// Beacon is a balancer's periodic state message about itself.
 type Beacon struct {
 	Identity
 	Zone flow.Tag
-	// ConfigVersion is the configuration in force.
+	// ConfigVersion is the version of the configuration in force.
 	ConfigVersion int64
-	// Digest is that of the sender's view: where it differs from the receiver's,
-	// one of them knows a node that the other does not.
+	// Digest is the digest of the sender's view. If it differs from the receiver's, one of
+	// them knows a node that the other does not.
 	Digest uint32
-	// Leaving balancers take no packets soon.
+	// Leaving balancers are about to stop and will soon take no packets.
 	Leaving bool
-	// Feeding balancers watch the store, and it answers them.
+	// Feeding balancers watch the store, and the store answers them.
 	Feeding bool
-	// WantPeers asks for the nodes that the receiver knows.
+	// WantPeers requests the nodes that the receiver knows.
 	WantPeers bool
-	// Reply marks the answer to a beacon; it is not answered again.
+	// Reply marks a beacon sent in answer to another one; it is not answered.
 	Reply bool
-	// Period is how soon the receiver hears of the sender again, whole
+	// Period is the time until the sender's next periodic message to the receiver, in whole
 	// milliseconds.
 	Period time.Duration
-	// Heard is the last announcement that the sender has of the receiver; zero to
-	// another balancer.
+	// Heard is the ID of the last announcement that the sender received from the receiver;
+	// zero if the receiver is a balancer.
 	Heard Identity
-	// InRotation balancers take clients' packets from the routers.
+	// InRotation balancers receive clients' packets from the routers.
 	InRotation bool
-	// LinkMbps is the width of the sender's link and SentMbps what it sent over it lately,
-	// Mbit/s; zero where the width is not known.
+	// LinkMbps is the capacity of the sender's link and SentMbps the rate at which it has
+	// recently sent over it, in Mbit/s; zero if the capacity is unknown.
 	LinkMbps, SentMbps uint16
-	// Evacuations are the emptied zones that the sender acts on.
+	// Evacuations are the evacuated zones that the sender has in force.
 	Evacuations flow.Evacuations
 }
 
-// announceWire and beaconWire are the fixed layouts, encoded big-endian.
+// announceWire and beaconWire are the fixed-size parts of the messages, encoded big-endian.
 type announceWire struct {
 	Epoch                                 uint64
 	Seq                                   uint32
@@ -199,8 +201,7 @@
 	return appendEvacuations(b, m.Evacuations)
 }
 
-// appendFixed encodes a struct of fixed-size fields, for which the library
-// cannot fail.
+// appendFixed encodes a struct of fixed-size fields, for which binary.Append cannot fail.
 func appendFixed(b []byte, v any) []byte {
 	out, err := binary.Append(b, binary.BigEndian, v)
 	if err != nil {
@@ -209,8 +210,9 @@
 	return out
 }
 
-// decodeHead reads the fixed part behind the prefix and returns what follows it.
-func decodeHead(b []byte, kind envelope.Kind, v any) ([]byte, error) {
+// decodeFixed decodes the fixed-size part after the prefix into v and returns the bytes
+// that follow it.
+func decodeFixed(b []byte, kind envelope.Kind, v any) ([]byte, error) {
 	if k, err := envelope.KindOf(b); err != nil || k != kind {
 		return nil, ErrMalformed
 	}
@@ -222,14 +224,14 @@
 	return body[n:], nil
 }
 
-// DecodeAnnouncement reads an announcement.
+// DecodeAnnouncement decodes an announcement.
 func DecodeAnnouncement(b []byte) (Announcement, error) {
 	var w announceWire
-	rest, err := decodeHead(b, envelope.Announce, &w)
+	rest, err := decodeFixed(b, envelope.Announce, &w)
 	if err != nil {
 		return Announcement{}, err
 	}
-	readings, err := decodeReadings(rest)
+	readings, err := decodeLoadReport(rest)
 	if err != nil {
 		return Announcement{}, err
 	}
@@ -246,10 +248,10 @@
 	}, nil
 }
 
-// DecodeBeacon reads a beacon.
+// DecodeBeacon decodes a beacon.
 func DecodeBeacon(b []byte) (Beacon, error) {
 	var w beaconWire
-	rest, err := decodeHead(b, envelope.Beacon, &w)
+	rest, err := decodeFixed(b, envelope.Beacon, &w)
 	if err != nil {
 		return Beacon{}, err
 	}
@@ -266,27 +268,27 @@
 	}, nil
 }
 
-// Names are the nodes that a balancer knows.
+// Names lists the nodes that a balancer knows.
 type Names struct {
 	Balancers []flow.IPv4
-	// Holders are agents whose targets may hold flows, Idle those whose targets cannot
-	// at present: to be greeted, not to be waited for.
+	// Holders are agents whose targets may hold flows. Idle are agents whose targets hold
+	// none at present: the receiver introduces itself to them without waiting for them.
 	Holders, Idle []flow.IPv4
 }
 
-// maxPeers bounds the addresses of one Peers message: 1,000 bytes.
-const maxPeers = 250
+// maxAddresses bounds the addresses in one Peers message to 1,000 bytes.
+const maxAddresses = 250
 
-// Append appends messages that name all nodes; each is handed to send when it is
-// full.
+// Append encodes the nodes into one or more Peers messages, each built in b, and calls send
+// with each.
 func (n Names) Append(b []byte, send func([]byte)) {
 	for len(n.Balancers)+len(n.Holders)+len(n.Idle) > 0 {
-		room := maxPeers
+		free := maxAddresses
 		take := func(list *[]flow.IPv4) []flow.IPv4 {
-			count := min(len(*list), room)
+			count := min(len(*list), free)
 			part := (*list)[:count]
 			*list = (*list)[count:]
-			room -= count
+			free -= count
 			return part
 		}
 		parts := [...][]flow.IPv4{take(&n.Balancers), take(&n.Holders), take(&n.Idle)}
@@ -308,7 +310,7 @@
 	return b
 }
 
-// DecodeNames reads one Peers message.
+// DecodeNames decodes one Peers message.
 func DecodeNames(b []byte) (Names, error) {
 	const counts = 3
 	if k, err := envelope.KindOf(b); err != nil || k != envelope.Peers || len(b) < envelope.PrefixLen+counts {
--- a/fleet/overdue.go
+++ b/fleet/overdue.go
@@ -7,51 +7,55 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Times of asking a node that others have fallen silent about.
+// Probing of nodes whose messages arrive through relays: a relay may have failed while the
+// node itself is alive.
 const (
-	// askPeriods is how many of its periods a node may stay unheard before it is asked.
-	askPeriods = 1.5
-	// askPause is the pause between two questions, askTries their number: all are asked
-	// before the node counts as quiet.
-	askPause = 400 * time.Millisecond
-	askTries = 4
+	// probePeriods is how many of its periods may pass without a message of a node before it
+	// is probed.
+	probePeriods = 1.5
+	// probeInterval is the time between two probes and maxProbes their number: all are sent
+	// before the node counts as overdue.
+	probeInterval = 400 * time.Millisecond
+	maxProbes     = 4
 )
 
-// contact tells how a node is heard.
-type contact struct {
-	// relayed nodes are heard through relays.
+// probeState is the state of probing one node.
+type probeState struct {
+	// relayed is set once a message of the node arrived through a relay.
 	relayed bool
-	// tries counts the questions since the node was heard, next is when another one
-	// may follow.
-	tries int
-	next  time.Time
+	// probes counts the probes since the node's last message; nextProbe is the earliest time
+	// of the next one.
+	probes    int
+	nextProbe time.Time
 }
 
-// heard notes a message of the node.
-func (s *contact) heard() { s.tries, s.next = 0, time.Time{} }
+// resetProbes records that a message of the node was received.
+func (p *probeState) resetProbes() { p.probes, p.nextProbe = 0, time.Time{} }
 
-// ask tells whether the node is to be asked now.
-func (s *contact) ask(now, heardAt time.Time, patience time.Duration) bool {
-	if s.tries >= askTries || now.Before(s.next) || now.Sub(heardAt) <= patience {
+// beginProbe reports whether the node is to be probed now, and counts the probe if so.
+func (p *probeState) beginProbe(now, lastSeen time.Time, delay time.Duration) bool {
+	if p.probes >= maxProbes || now.Before(p.nextProbe) || now.Sub(lastSeen) <= delay {
 		return false
 	}
-	s.tries++
-	s.next = now.Add(askPause)
+	p.probes++
+	p.nextProbe = now.Add(probeInterval)
 	return true
 }
 
-// patience is how long a node with a period may stay unheard before it is asked.
-func patience(period time.Duration) time.Duration {
-	return time.Duration(askPeriods * float64(max(period, NearPeriod)))
+// probeDelay returns the time without a message after which a node with the given period is
+// probed.
+func probeDelay(period time.Duration) time.Duration {
+	return time.Duration(probePeriods * float64(max(period, NearPeriod)))
 }
 
-// OverdueTargets returns the targets of other zones that those who relay their messages
-// have fallen silent about, and that are to be asked now. all tells that the nodes of
-// other zones use relays in the own one, so that any may be heard through others.
-func (v *View) OverdueTargets(now time.Time, own flow.Tag, all bool) []flow.IPv4 {
+// OverdueTargets returns the targets of other zones whose relayed messages have stopped
+// arriving and that are to be probed now, sorted by address, and counts the probes.
+// allRelayed states that nodes of other zones use relays in the local zone, so that the
+// messages of any of them may arrive relayed.
+func (v *View) OverdueTargets(now time.Time, local flow.Tag, allRelayed bool) []flow.IPv4 {
 	var out []flow.IPv4
-	for ip, h := range v.targets {
-		if h.Zone != own && (all || h.relayed) && h.ask(now, h.HeardAt, patience(h.Period)) {
+	for ip, t := range v.targets {
+		if t.Zone != local && (allRelayed || t.relayed) && t.beginProbe(now, t.HeardAt, probeDelay(t.Period)) {
 			out = append(out, ip)
 		}
 	}
@@ -59,12 +63,12 @@
 	return out
 }
 
-// OverduePeers is OverdueTargets for balancers, each of which may stay unheard for at
-// least so long.
-func (v *View) OverduePeers(now time.Time, own flow.Tag, least time.Duration, all bool) []flow.IPv4 {
+// OverduePeers does the same for the balancers of other zones. A balancer is not probed
+// until minDelay has passed since its last message.
+func (v *View) OverduePeers(now time.Time, local flow.Tag, minDelay time.Duration, allRelayed bool) []flow.IPv4 {
 	var out []flow.IPv4
 	for ip, p := range v.peers {
-		if p.Zone != own && (all || p.relayed) && p.ask(now, p.HeardAt, max(least, patience(p.Period))) {
+		if p.Zone != local && (allRelayed || p.relayed) && p.beginProbe(now, p.HeardAt, max(minDelay, probeDelay(p.Period))) {
 			out = append(out, ip)
 		}
 	}
--- a/fleet/period.go
+++ b/fleet/period.go
@@ -6,35 +6,36 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Repetition of what a node has said, to those that heard it before. Changes are
-// told at once; the repetition shows that the node lives and carries its load.
+// Periodic repetition of a node's state message. Changes are sent immediately; the
+// repetition shows that the node is alive and carries its load report.
 const (
-	// NearPeriod is the pause between repetitions to nodes of the own zone.
+	// NearPeriod is the time between repetitions to nodes of the local zone.
 	NearPeriod = time.Second
-	// farRate is how many repetitions a second a node sends to nodes of other
-	// zones in all: bytes between zones are dear, and their number would grow with
-	// the square of the fleet.
-	farRate = 4
-	// mostFarPeriod bounds the pause between repetitions to a node of another zone,
-	// and with it how long one that has died without a word counts as there.
-	mostFarPeriod = 2500 * time.Millisecond
-	// quietPeriods is how many periods a node may stay unheard: two messages lost
-	// and half a period.
-	quietPeriods = 2.5
-	// dutyPeriods is the same for a balancer that others rely on for a duty.
-	dutyPeriods = 2.2
+	// crossZoneRate is how many repetitions a second a node sends to nodes of other zones in
+	// total. Traffic between zones is expensive and would otherwise grow with the square of
+	// the fleet size.
+	crossZoneRate = 4
+	// maxCrossZonePeriod bounds the time between repetitions to a node of another zone, and
+	// with it how long a node that crashed still counts as alive.
+	maxCrossZonePeriod = 2500 * time.Millisecond
+	// overduePeriods is how many periods may pass without a message before a node is overdue:
+	// two lost messages and half a period.
+	overduePeriods = 2.5
+	// eligiblePeriods is how many periods may pass without a beacon before a balancer is no
+	// longer eligible for a duty that other balancers rely on.
+	eligiblePeriods = 2.2
 )
 
-// FarPeriod is the pause between repetitions to each of so many nodes in other
-// zones.
+// FarPeriod returns the time between repetitions to each node of other zones, given the
+// number of those nodes.
 func FarPeriod(nodes int) time.Duration {
-	return min(max(time.Duration(nodes)*time.Second/farRate, NearPeriod), mostFarPeriod)
+	return min(max(time.Duration(nodes)*time.Second/crossZoneRate, NearPeriod), maxCrossZonePeriod)
 }
 
-// NextRound returns when a node that repeats something each period does so next: at its own
-// part of the period, by the time of day, so that nodes that have started together, or have
-// heard of the same change, do not all send at once. A clock that is stepped only makes one
-// pause shorter.
+// NextRound returns the next send time of a node that sends once per period. Each node sends
+// at a phase of the period of its own, derived from its address and counted by the wall
+// clock, so that nodes that started together or learned of the same change do not all send
+// at once. A step of the clock only shortens one interval.
 func NextRound(now time.Time, period time.Duration, self flow.IPv4) time.Time {
 	phase := time.Duration(flow.Score(phaseSalt, self) % uint64(period))
 	since := (time.Duration(now.UnixNano()) - phase) % period
@@ -44,14 +45,14 @@
 	return now.Add(period - since)
 }
 
-// phaseSalt tells the phases of nodes from other scores of theirs.
+// phaseSalt separates the scores of phases from other scores of the same addresses.
 const phaseSalt = 3
 
-// unheard tells whether a node was silent for longer than so many of the periods
-// that it has stated; zero stands for the near one.
-func unheard(now, heardAt time.Time, period time.Duration, periods float64) bool {
+// overdue reports whether a node was last seen more than the given number of its announced
+// periods ago. A period of zero stands for that within a zone.
+func overdue(now, lastSeen time.Time, period time.Duration, periods float64) bool {
 	if period <= 0 {
 		period = NearPeriod
 	}
-	return float64(now.Sub(heardAt)) > periods*float64(period)
+	return float64(now.Sub(lastSeen)) > periods*float64(period)
 }
--- a/fleet/readings.go
+++ b/fleet/readings.go
@@ -6,67 +6,69 @@
 	"time"
 )
 
-// Readings are what an agent observed of its target's work. All are zero while nothing
-// was observed, and from a node that does not send them.
+// Readings is the load report of a target: what its agent measured. All fields are zero
+// before the first measurement, and for a node that sends no load report.
 type Readings struct {
-	// Wait is how long a new request would wait for a slot, whole milliseconds.
+	// Wait is the time that a new request would wait for a slot, in whole milliseconds.
 	Wait time.Duration
-	// Each is the mean time between two answers of the target when it is fully used,
-	// Took that from a request's delivery to its answer; tenths of a millisecond.
+	// Each is the mean time between two answers of the target when it is fully used. Took is
+	// the mean service time, from the delivery of a request to its answer. Both are sent in
+	// tenths of a millisecond.
 	Each, Took time.Duration
-	// Overloaded targets have more to do than they can answer, and it does not pass:
-	// they take only requests that can meet their objective.
+	// Overloaded targets have an active overload: they persistently receive more requests
+	// than they can answer, and take only requests that can meet their objective.
 	Overloaded bool
 }
 
-// spareTook is how many times the mean time to an answer has to be left before the
-// objective: with work that is spread by half of its mean one request of twenty
-// takes as long.
-const spareTook = 2
+// serviceTimeFactor is how many mean service times must remain before the objective. If the
+// standard deviation of the service time is half of its mean, one request in twenty takes
+// that long.
+const serviceTimeFactor = 2
 
-// InTime tells whether a request that began so long ago and waits for Wait would be answered
-// within its objective.
+// InTime reports whether a request of the given age that still has to wait for a slot would
+// be answered within its objective.
 func (r Readings) InTime(age, objective time.Duration) bool {
-	return age+r.Wait+spareTook*r.Took <= objective
+	return age+r.Wait+serviceTimeFactor*r.Took <= objective
 }
 
-// readingsWire is the layout of readings. It follows its own length, so that a node
-// passes over what later versions append to it.
-type readingsWire struct {
-	WaitMillis, EachTenths, TookTenths uint16
-	Overloaded                         uint8
+// loadReportWire is the encoding of a load report. It is preceded by its length, so that a
+// node skips fields that later versions append.
+type loadReportWire struct {
+	QueueDelayMillis, AnswerIntervalTenths, ServiceTimeTenths uint16
+	Overloaded                                                uint8
 }
 
-// readingsLen is the encoded length of the readings.
-const readingsLen = 7
+// loadReportLen is the encoded length of a load report.
+const loadReportLen = 7
 
-// readingsUnit is the step of an observed time on the wire.
-const readingsUnit = 100 * time.Microsecond
+// loadReportUnit is the unit of measured times in an encoded load report.
+const loadReportUnit = 100 * time.Microsecond
 
 func (r Readings) append(b []byte) []byte {
-	return appendFixed(append(b, readingsLen), readingsWire{
-		WaitMillis: steps(r.Wait, time.Millisecond),
-		EachTenths: steps(r.Each, readingsUnit), TookTenths: steps(r.Took, readingsUnit),
+	return appendFixed(append(b, loadReportLen), loadReportWire{
+		QueueDelayMillis:     wholeUnits(r.Wait, time.Millisecond),
+		AnswerIntervalTenths: wholeUnits(r.Each, loadReportUnit), ServiceTimeTenths: wholeUnits(r.Took, loadReportUnit),
 		Overloaded: bit(r.Overloaded),
 	})
 }
 
-// steps rounds a time down to whole units of it, the most that fit for those beyond.
-func steps(d, unit time.Duration) uint16 { return uint16(min(max(d/unit, 0), math.MaxUint16)) }
+// wholeUnits returns a duration in whole units, rounded down and limited to the range of a
+// uint16.
+func wholeUnits(d, unit time.Duration) uint16 { return uint16(min(max(d/unit, 0), math.MaxUint16)) }
 
-// decodeReadings reads the last part of a message. Readings that are shorter than
-// those known here are none.
-func decodeReadings(b []byte) (Readings, error) {
+// decodeLoadReport decodes the last part of an announcement. A load report that is shorter
+// than loadReportLen decodes as an empty one.
+func decodeLoadReport(b []byte) (Readings, error) {
 	if len(b) == 0 || int(b[0]) != len(b)-1 {
 		return Readings{}, ErrMalformed
 	}
-	var w readingsWire
+	var w loadReportWire
 	if _, err := binary.Decode(b[1:], binary.BigEndian, &w); err != nil {
 		return Readings{}, nil
 	}
 	return Readings{
-		Wait: time.Duration(w.WaitMillis) * time.Millisecond,
-		Each: time.Duration(w.EachTenths) * readingsUnit, Took: time.Duration(w.TookTenths) * readingsUnit,
+		Wait: time.Duration(w.QueueDelayMillis) * time.Millisecond,
+		Each: time.Duration(w.AnswerIntervalTenths) * loadReportUnit, Took: time.Duration(w.ServiceTimeTenths) * loadReportUnit,
 		Overloaded: w.Overloaded == 1,
 	}, nil
 }
--- a/fleet/relayed.go
+++ b/fleet/relayed.go
@@ -6,69 +6,71 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Process is what a view knows of the process that sent a message.
+// Process relates the process that sent a message to the processes that a view has seen at
+// its address.
 type Process uint8
 
-// The processes.
+// The relations of a sending process to those seen.
 const (
-	// Unknown: the node, or this process at its address, was not heard itself.
+	// Unknown: no message came directly from this process.
 	Unknown Process = iota
-	// Present: it is the one that was heard last.
+	// Present: the process is the current one at its address.
 	Present
-	// Former: another one has taken its place.
+	// Former: the process was replaced by another one.
 	Former
 )
 
-// TargetProcess and PeerProcess tell whether what others relay of a node may be
-// taken. Only messages of the present process are: a node that was frozen may relay
-// those of an earlier life, and who has not heard of the later one cannot tell.
+// TargetProcess returns the relation of a process, given by its incarnation, to the current
+// one of an agent. Relayed messages are accepted only from the current process: a relay that
+// was frozen may send messages of an earlier incarnation, which a receiver that has not seen
+// the later one could not recognize as outdated.
 func (v *View) TargetProcess(ip flow.IPv4, epoch uint64) Process {
-	h, known := v.targets[ip]
+	t, known := v.targets[ip]
 	if !known {
 		return Unknown
 	}
-	return h.order.process(epoch)
+	return t.filter.processOf(epoch)
 }
 
-// PeerProcess is TargetProcess for a balancer.
+// PeerProcess returns the relation of a process to the current one of a balancer.
 func (v *View) PeerProcess(ip flow.IPv4, epoch uint64) Process {
 	p, known := v.peers[ip]
 	if !known {
 		return Unknown
 	}
-	return p.order.process(epoch)
+	return p.filter.processOf(epoch)
 }
 
-func (o *order) process(epoch uint64) Process {
+func (f *replayFilter) processOf(epoch uint64) Process {
 	switch {
-	case epoch == o.Epoch:
+	case epoch == f.Epoch:
 		return Present
-	case slices.Contains(o.former[:], epoch):
+	case slices.Contains(f.formerEpochs[:], epoch):
 		return Former
 	default:
 		return Unknown
 	}
 }
 
-// TakeRelayed returns what may be taken of an announcement that others relayed, and
-// whether the agent is to be asked for the rest. Such messages may be late: that the target
-// holds nothing, or that its entry is taken away, is taken from the agent alone, for it
-// may have started since and its flows would be taken for over. Until then it only gets
-// no new flow.
-func (h *Target) TakeRelayed(a Announcement) (Announcement, bool) {
-	ends := a.State == Gone && h.State != Gone
+// TakeRelayed returns the part of a relayed announcement that may be applied, and whether the
+// agent is to be asked for the rest. Relayed messages may be late, and the target may have
+// started again since. That it holds no flows, or that its registry entry was removed, is
+// therefore accepted from the agent only; otherwise its new flows would be treated as
+// ended. Until the agent answers, the target counts as draining.
+func (t *Target) TakeRelayed(a Announcement) (Announcement, bool) {
+	ends := a.State == Gone && t.State != Gone
 	if ends {
 		a.State = Draining
 	}
-	ask := ends || a.Listing != h.Listing
-	a.Listing = h.Listing
+	ask := ends || a.Listing != t.Listing
+	a.Listing = t.Listing
 	return a, ask
 }
 
-// Relayed notes that a node's messages come through relays.
+// Relayed records that messages of a node arrive through relays.
 func (v *View) Relayed(ip flow.IPv4) {
-	if h, known := v.targets[ip]; known {
-		h.relayed = true
+	if t, known := v.targets[ip]; known {
+		t.relayed = true
 	}
 	if p, known := v.peers[ip]; known {
 		p.relayed = true
--- a/fleet/silence.go
+++ b/fleet/silence.go
@@ -6,73 +6,75 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Thresholds of the silence of a zone.
+// Thresholds for the detection of silent zones.
 const (
-	// missedMessages is how many announcements and beacons of a zone's nodes have to be missing,
-	// since the last one of any of them, for the zone to count as silent. One in a hundred
-	// is lost by chance; four in a row are not.
+	// missedMessages is how many announcements and beacons of a zone's nodes must be overdue
+	// since the zone's last message for it to count as silent. About one message in a
+	// hundred is lost by chance; four in a row are not.
 	missedMessages = 4
-	// messageSlack is how late a message may come: a node's clock ticks each 50 to 100 ms, and
-	// it may have much else to do.
+	// messageSlack is how late a message may arrive: a node's timer ticks every 50 to 100 ms,
+	// and the node may be busy.
 	messageSlack = 200 * time.Millisecond
 )
 
-// Silence tells that a zone has fallen silent, or that it was heard again.
+// Silence reports that a zone has become silent, or that it was seen again.
 type Silence struct {
 	Zone   flow.Tag
 	Silent bool
-	// HeardAt is when a node of the zone was heard last, Missed how many messages of its
-	// nodes were due since.
+	// HeardAt is when a node of the zone was last seen, Missed how many messages of its nodes
+	// have become overdue since.
 	HeardAt time.Time
 	Missed  int
 }
 
-// zones are what a view heard of each zone.
-type zones struct {
-	heardAt map[flow.Tag]time.Time
-	silent  map[flow.Tag]bool
+// zoneStates holds when each zone was last seen and whether it is silent.
+type zoneStates struct {
+	lastSeen map[flow.Tag]time.Time
+	silent   map[flow.Tag]bool
 }
 
-func newZones() zones {
-	return zones{heardAt: map[flow.Tag]time.Time{}, silent: map[flow.Tag]bool{}}
+func newZoneStates() zoneStates {
+	return zoneStates{lastSeen: map[flow.Tag]time.Time{}, silent: map[flow.Tag]bool{}}
 }
 
-// ZoneSilent tells whether a zone counts as silent: it has no power or is cut off. A single
-// node is known to be gone after 2.5 of its periods; of a zone's nodes some messages are
-// always due, so that its loss shows within a part of one period. What goes there now is
-// most likely lost. It is no proof that a flow there is over.
+// ZoneSilent reports whether a zone is silent, most likely because it lost power or is
+// partitioned. A single node is overdue only after 2.5 of its periods, whereas some message
+// of a zone's many nodes is always due, so the loss of a zone shows within a fraction of one
+// period. Packets sent to a silent zone are most likely lost, but its silence does not prove
+// that a flow there has ended.
 func (v *View) ZoneSilent(zone flow.Tag) bool { return v.zones.silent[zone] }
 
-// JudgeZones works out which zones are silent and returns what has changed. It looks at
-// the nodes only while a zone was not heard for messageSlack.
+// JudgeZones detects which zones are silent and returns the changes. It scans the nodes only
+// while some zone has not been seen for messageSlack.
 func (v *View) JudgeZones(now time.Time) []Silence {
-	missed := v.missed(now)
+	missed := v.missedByZone(now)
 	var changed []Silence
-	for _, zone := range sortedKeys(v.zones.heardAt) {
+	for _, zone := range sortedKeys(v.zones.lastSeen) {
 		silent := missed[zone] >= missedMessages
 		if silent == v.zones.silent[zone] {
 			continue
 		}
 		v.zones.silent[zone] = silent
-		changed = append(changed, Silence{Zone: zone, Silent: silent, HeardAt: v.zones.heardAt[zone], Missed: missed[zone]})
+		changed = append(changed, Silence{Zone: zone, Silent: silent, HeardAt: v.zones.lastSeen[zone], Missed: missed[zone]})
 	}
 	return changed
 }
 
-// missed counts the messages that were due since each zone was heard last.
-func (v *View) missed(now time.Time) map[flow.Tag]int {
+// missedByZone counts, for each zone, the messages that became due after the zone's last
+// message and are overdue.
+func (v *View) missedByZone(now time.Time) map[flow.Tag]int {
 	out := map[flow.Tag]int{}
-	if !v.anyUnheard(now) {
+	if !v.anyZoneLate(now) {
 		return out
 	}
-	count := func(zone flow.Tag, heardAt time.Time, period time.Duration) {
-		due := heardAt.Add(max(period, NearPeriod) + messageSlack)
-		if due.Before(now) && due.After(v.zones.heardAt[zone]) {
+	count := func(zone flow.Tag, lastSeen time.Time, period time.Duration) {
+		due := lastSeen.Add(max(period, NearPeriod) + messageSlack)
+		if due.Before(now) && due.After(v.zones.lastSeen[zone]) {
 			out[zone]++
 		}
 	}
-	for _, h := range v.targets {
-		count(h.Zone, h.HeardAt, h.Period)
+	for _, t := range v.targets {
+		count(t.Zone, t.HeardAt, t.Period)
 	}
 	for _, p := range v.peers {
 		count(p.Zone, p.HeardAt, p.Period)
@@ -80,9 +82,9 @@
 	return out
 }
 
-// anyUnheard tells whether a zone was not heard for messageSlack.
-func (v *View) anyUnheard(now time.Time) bool {
-	for _, at := range v.zones.heardAt {
+// anyZoneLate reports whether some zone has not been seen for messageSlack.
+func (v *View) anyZoneLate(now time.Time) bool {
+	for _, at := range v.zones.lastSeen {
 		if now.Sub(at) > messageSlack {
 			return true
 		}
@@ -90,5 +92,5 @@
 	return false
 }
 
-// heardZone notes a message of one of a zone's nodes.
-func (v *View) heardZone(now time.Time, zone flow.Tag) { v.zones.heardAt[zone] = now }
+// recordZone records that a message of one of a zone's nodes was received.
+func (v *View) recordZone(now time.Time, zone flow.Tag) { v.zones.lastSeen[zone] = now }
--- a/fleet/silence_test.go
+++ b/fleet/silence_test.go
@@ -9,7 +9,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// zoneOfNodes is a view that hears so many agents of a zone.
+// zoneOfNodes is a view that receives announcements of the agents of one zone.
 type zoneOfNodes struct {
 	*View
 	now    time.Time
@@ -20,9 +20,9 @@
 	seq    uint32
 }
 
-// speak lets the nodes repeat their messages for a time, evenly spread over the period, or
-// all at once.
-func (z *zoneOfNodes) speak(d time.Duration, together bool) (silences []Silence) {
+// sendFor lets the nodes send their periodic messages for a time, spread evenly over the
+// period or all at once.
+func (z *zoneOfNodes) sendFor(d time.Duration, together bool) (silences []Silence) {
 	const step = 50 * time.Millisecond
 	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(step) {
 		for i := range z.nodes {
@@ -31,7 +31,7 @@
 				phase = 0
 			}
 			if z.now.Sub(start.Add(phase))%z.period < step {
-				z.say(i)
+				z.send(i)
 			}
 		}
 		silences = append(silences, z.JudgeZones(z.now)...)
@@ -39,16 +39,16 @@
 	return silences
 }
 
-func (z *zoneOfNodes) say(node int) {
+func (z *zoneOfNodes) send(node int) {
 	z.seq++
 	a := announcement(uint64(node+1), z.seq, alpha, Ready)
 	a.Zone, a.Period = z.zone, z.period
 	z.Announce(z.now, z.first+flow.IPv4(node), a)
 }
 
-// quietFor passes time without a message of the zone and returns when it was found silent,
-// counted from its beginning, zero if it was not.
-func (z *zoneOfNodes) quietFor(d time.Duration) time.Duration {
+// timeToSilence advances time without messages of the zone, for at most d. It returns the time
+// until the zone was detected as silent, or zero if it was not.
+func (z *zoneOfNodes) timeToSilence(d time.Duration) time.Duration {
 	began := z.now
 	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(50 * time.Millisecond) {
 		z.JudgeZones(z.now)
@@ -59,79 +59,81 @@
 	return 0
 }
 
-func zoneWith(nodes int, period time.Duration) *zoneOfNodes {
+func newZoneOfNodes(nodes int, period time.Duration) *zoneOfNodes {
 	return &zoneOfNodes{View: NewView(), now: start, zone: 3, period: period, first: ip1, nodes: nodes}
 }
 
-// TestAZoneThatFallsSilentIsKnownSoon: of many nodes four messages are missing within a part
-// of one's period; of two it takes as long as a node may be late.
-func TestAZoneThatFallsSilentIsKnownSoon(t *testing.T) {
+// TestSilentZoneIsDetectedQuickly: with many nodes, four messages are missing within a fraction
+// of a node's period; with few nodes, detection takes about one period.
+func TestSilentZoneIsDetectedQuickly(t *testing.T) {
 	for name, c := range map[string]struct {
 		nodes  int
 		period time.Duration
-		most   time.Duration
+		max    time.Duration
 	}{
-		"twelve of another zone": {12, 2500 * time.Millisecond, 1250 * time.Millisecond},
-		"twelve of the own zone": {12, time.Second, 750 * time.Millisecond},
-		"a hundred":              {100, 2500 * time.Millisecond, 400 * time.Millisecond},
-		"five":                   {5, 2500 * time.Millisecond, 2800 * time.Millisecond},
+		"twelve nodes, cross-zone": {12, 2500 * time.Millisecond, 1250 * time.Millisecond},
+		"twelve nodes, same-zone":  {12, time.Second, 750 * time.Millisecond},
+		"a hundred nodes":          {100, 2500 * time.Millisecond, 400 * time.Millisecond},
+		"five nodes":               {5, 2500 * time.Millisecond, 2800 * time.Millisecond},
 	} {
-		z := zoneWith(c.nodes, c.period)
-		require.Empty(t, z.speak(3*c.period, false), name)
-		silent := z.quietFor(10 * time.Second)
+		z := newZoneOfNodes(c.nodes, c.period)
+		require.Empty(t, z.sendFor(3*c.period, false), name)
+		silent := z.timeToSilence(10 * time.Second)
 		require.NotZero(t, silent, name)
-		require.LessOrEqual(t, silent, c.most, name)
-		z.say(0)
+		require.LessOrEqual(t, silent, c.max, name)
+		z.send(0)
 		require.Equal(t, []Silence{{Zone: 3, Silent: false, HeardAt: z.now}}, z.JudgeZones(z.now), name)
 		require.False(t, z.ZoneSilent(3), name)
 	}
 }
 
-// TestNodesThatSpeakTogetherAreNotSilentInBetween: after a power loss all nodes of a zone
-// began at the same moment.
-func TestNodesThatSpeakTogetherAreNotSilentInBetween(t *testing.T) {
-	z := zoneWith(12, 2500*time.Millisecond)
-	require.Empty(t, z.speak(20*time.Second, true))
+// TestSynchronizedNodesDoNotLookSilent: after a power loss all nodes of a zone may start, and
+// then send, at the same moment.
+func TestSynchronizedNodesDoNotLookSilent(t *testing.T) {
+	z := newZoneOfNodes(12, 2500*time.Millisecond)
+	require.Empty(t, z.sendFor(20*time.Second, true))
 }
 
-// TestAFewNodesProveNothing about their zone: each is judged for itself.
-func TestAFewNodesProveNothing(t *testing.T) {
-	z := zoneWith(missedMessages-1, time.Second)
-	z.speak(3*time.Second, false)
-	require.Zero(t, z.quietFor(time.Minute))
+// TestZoneOfFewNodesIsNeverSilent: too few missing messages prove nothing about a zone, so each
+// node is only checked on its own.
+func TestZoneOfFewNodesIsNeverSilent(t *testing.T) {
+	z := newZoneOfNodes(missedMessages-1, time.Second)
+	z.sendFor(3*time.Second, false)
+	require.Zero(t, z.timeToSilence(time.Minute))
 }
 
-// TestOneNodeThatLivesKeepsItsZoneHeard, although all others have ended.
-func TestOneNodeThatLivesKeepsItsZoneHeard(t *testing.T) {
-	z := zoneWith(20, time.Second)
-	z.speak(3*time.Second, false)
+// TestOneAliveNodeKeepsItsZoneFromFallingSilent checks a zone in which all other nodes have
+// stopped.
+func TestOneAliveNodeKeepsItsZoneFromFallingSilent(t *testing.T) {
+	z := newZoneOfNodes(20, time.Second)
+	z.sendFor(3*time.Second, false)
 	z.nodes = 1
 	silences := 0
 	for range 10 {
-		z.speak(time.Second, false)
+		z.sendFor(time.Second, false)
 		if z.ZoneSilent(z.zone) {
 			silences++
 		}
 	}
-	require.LessOrEqual(t, silences, 1, "only until their messages are no longer due")
+	require.LessOrEqual(t, silences, 1, "only until the messages of the stopped nodes are no longer counted")
 }
 
-// TestOtherZonesAreNotConcerned.
-func TestOtherZonesAreNotConcerned(t *testing.T) {
-	z := zoneWith(12, time.Second)
+// TestSilenceIsPerZone checks that the silence of one zone does not affect another.
+func TestSilenceIsPerZone(t *testing.T) {
+	z := newZoneOfNodes(12, time.Second)
 	other := *z
 	other.zone, other.first = 4, ip1+100
 	for range 30 {
 		z.now, other.now = z.now.Add(100*time.Millisecond), z.now.Add(100*time.Millisecond)
 		for i := range z.nodes {
-			z.say(i)
-			other.say(i)
+			z.send(i)
+			other.send(i)
 		}
 	}
 	for range 30 {
 		other.now = other.now.Add(100 * time.Millisecond)
 		for i := range other.nodes {
-			other.say(i)
+			other.send(i)
 		}
 		other.JudgeZones(other.now)
 	}
--- a/fleet/survey.go
+++ b/fleet/survey.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Survey is one reading of the agents' registry. When it began may be known only within
-// bounds: another node may have read it, by a clock of its own.
+// Survey is a snapshot of the agents' registry. Its time may be known only within bounds,
+// because another node may have read it by its own clock.
 type Survey struct {
-	// Earliest and Latest bound the moment of which the reading tells.
+	// Earliest and Latest bound the time that the snapshot reflects.
 	Earliest, Latest time.Time
-	// Revision is the store's when the reading began; zero where it is not known.
+	// Revision is the store revision when the read began; zero if unknown.
 	Revision int64
 	// Agents are the entries, in no order.
 	Agents []Entry
 }
 
-// SurveyAt returns a reading of one moment.
+// SurveyAt returns a snapshot whose time is known exactly.
 func SurveyAt(at time.Time, agents []Entry) Survey {
 	return Survey{Earliest: at, Latest: at, Agents: agents}
 }
 
-// Pauses between readings of the registry, each of which is a priced call for every
-// page.
+// Minimum and maximum time between two reads of the registry. Each page of a read is a
+// billed call.
 const (
-	leastSurveyPause = 400 * time.Millisecond
-	mostSurveyPause  = 1600 * time.Millisecond
+	minSnapshotPause = 400 * time.Millisecond
+	maxSnapshotPause = 1600 * time.Millisecond
 )
 
-// SurveyPace spaces the readings of the registry: while one follows another the pause
-// doubles up to the most.
+// SurveyPace limits the rate of registry reads: while reads follow one another, the pause
+// between them doubles up to maxSnapshotPause.
 type SurveyPace struct {
 	beganAt time.Time
 	pause   time.Duration
 }
 
-// Got notes when the reading began that was got: one that another node had read before it was
-// asked for is out of date sooner.
+// Got records when the read of a received snapshot began. A snapshot that another node had
+// read before it was requested is outdated sooner, so the next read may begin sooner.
 func (p *SurveyPace) Got(began time.Time) {
 	if began.Before(p.beganAt) {
 		p.beganAt = began
 	}
 }
 
-// Pending notes that the reading that was asked for is not there yet.
-func (p *SurveyPace) Pending() { p.pause = leastSurveyPause }
+// Pending records that a requested snapshot is not available yet, and resets the pause.
+func (p *SurveyPace) Pending() { p.pause = minSnapshotPause }
 
-// Begin tells whether a reading may begin now, and notes that it does.
+// Begin reports whether a read may begin now, and records its start if so.
 func (p *SurveyPace) Begin(now time.Time) bool {
 	since := now.Sub(p.beganAt)
 	if since < p.pause {
 		return false
 	}
-	if since > 2*mostSurveyPause {
-		p.pause = leastSurveyPause
+	if since > 2*maxSnapshotPause {
+		p.pause = minSnapshotPause
 	} else {
-		p.pause = min(2*p.pause, mostSurveyPause)
+		p.pause = min(2*p.pause, maxSnapshotPause)
 	}
 	p.beganAt = now
 	return true
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -7,61 +7,61 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// formerEpochs is how many earlier processes at an address are remembered.
-const formerEpochs = 4
+// maxFormerEpochs is how many earlier processes at an address are remembered.
+const maxFormerEpochs = 4
 
-// order keeps the last message of a process and the epochs before it.
-type order struct {
+// replayFilter rejects duplicate and outdated messages of a node. It keeps the ID of the last
+// message and the earlier process incarnations.
+type replayFilter struct {
 	Identity
-	former [formerEpochs]uint64
+	formerEpochs [maxFormerEpochs]uint64
 }
 
-// accept tells whether a message is newer than all before it. A former process
-// is believed again once the present one was silent for a while: what was taken
-// for its successor was a late message of its predecessor.
-func (o *order) accept(id Identity, silent bool) bool {
+// accept reports whether a message is newer than all before it, and records it if so.
+// A former process is accepted again once the current one is overdue: the supposed successor
+// was then a late message of a predecessor.
+func (f *replayFilter) accept(id Identity, currentOverdue bool) bool {
 	if id.Epoch == 0 {
 		return false
 	}
-	if id.Epoch == o.Epoch {
-		if int32(id.Seq-o.Seq) <= 0 {
+	if id.Epoch == f.Epoch {
+		if int32(id.Seq-f.Seq) <= 0 {
 			return false
 		}
-		o.Identity = id
+		f.Identity = id
 		return true
 	}
-	if !silent && slices.Contains(o.former[:], id.Epoch) {
+	if !currentOverdue && slices.Contains(f.formerEpochs[:], id.Epoch) {
 		return false
 	}
-	copy(o.former[1:], o.former[:formerEpochs-1])
-	o.former[0] = o.Epoch
-	o.Identity = id
+	copy(f.formerEpochs[1:], f.formerEpochs[:maxFormerEpochs-1])
+	f.formerEpochs[0] = f.Epoch
+	f.Identity = id
 	return true
 }
 
-// Target is a target as its agent announced it.
+// Target is a target as its agent last announced it.
 type Target struct {
 	IP flow.IPv4
 	Announcement
-	// HeardAt is when the agent was heard last.
+	// HeardAt is when the last announcement of the agent was accepted.
 	HeardAt time.Time
-	// Sent counts new flows sent here since the last announcement.
+	// Sent counts the new flows sent to the target since its last announcement.
 	Sent int
-	// Listed tells that the registry named the target's agent when it was read last, and
-	// that the agent has not said since that its entry is taken away.
+	// Listed is set if the last registry snapshot contains the target's agent, and the agent
+	// has not announced since that its entry was removed.
 	Listed bool
-	// ListingAt is when the agent was heard first to say of its entry what it says
-	// now.
+	// ListingAt is when the agent first announced the current state of its registry entry.
 	ListingAt time.Time
-	// Since is the generation of the view from which on the target may hold flows.
-	Since uint32
-	order order
-	contact
+	// Since is the generation of the view since which the target may hold flows.
+	Since  uint32
+	filter replayFilter
+	probeState
 }
 
-// Quiet tells whether the target was not heard lately.
-func (h *Target) Quiet(now time.Time) bool {
-	return unheard(now, h.HeardAt, h.Period, quietPeriods)
+// Quiet reports whether the target's announcements are overdue.
+func (t *Target) Quiet(now time.Time) bool {
+	return overdue(now, t.HeardAt, t.Period, overduePeriods)
 }
 
 // Peer is another balancer.
@@ -69,30 +69,31 @@
 	IP flow.IPv4
 	Beacon
 	HeardAt time.Time
-	order   order
-	contact
+	filter  replayFilter
+	probeState
 }
 
-// MayHold tells whether the target may hold flows and can be asked. One that is in
-// the registry and said last that it holds nothing may have started since, and the
-// message that says so may be lost; its agent knows.
-func (h *Target) MayHold(now time.Time) bool {
-	return h.State != Gone || (h.Listed && h.Listing != ListingLeft && !h.Quiet(now))
+// MayHold reports whether the target may hold flows and can be asked about them. A target
+// that last announced that it holds none, and that is in the registry, may have started
+// again while the announcement of the start was lost; its agent has the answer.
+func (t *Target) MayHold(now time.Time) bool {
+	return t.State != Gone || (t.Listed && t.Listing != ListingLeft && !t.Quiet(now))
 }
 
-// RegisteredSince tells whether the agent was heard to be in the registry only after
-// a moment.
-func (h *Target) RegisteredSince(t time.Time) bool {
-	return h.Listing == ListingThere && h.ListingAt.After(t)
+// RegisteredSince reports whether the agent first announced after the given time that it is
+// in the registry.
+func (t *Target) RegisteredSince(moment time.Time) bool {
+	return t.Listing == ListingThere && t.ListingAt.After(moment)
 }
 
-// MayHoldSince tells whether the target has come to be one that may hold flows after
-// a generation of the view.
-func (h *Target) MayHoldSince(now time.Time, generation uint32) bool {
-	return h.MayHold(now) && int32(h.Since-generation) > 0
+// MayHoldSince reports whether the target may hold flows, and became one that may after the
+// given generation of the view.
+func (t *Target) MayHoldSince(now time.Time, generation uint32) bool {
+	return t.MayHold(now) && int32(t.Since-generation) > 0
 }
 
-// onDuty tells whether the balancer was heard so lately that others may rely on it.
-func (p *Peer) onDuty(now time.Time) bool {
-	return !p.Leaving && !unheard(now, p.HeardAt, p.Period, dutyPeriods)
+// eligible reports whether other balancers may rely on this one for a shared duty, such as
+// watching the store: it is not leaving and was seen recently.
+func (p *Peer) eligible(now time.Time) bool {
+	return !p.Leaving && !overdue(now, p.HeardAt, p.Period, eligiblePeriods)
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -10,49 +10,49 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Limits of the fleet's memory.
+// Expiry of nodes that are not seen.
 const (
-	// Quiet is how long a target of the own zone may stay unheard before it gets no
-	// new flow while another one can.
-	Quiet = time.Duration(quietPeriods * float64(NearPeriod))
-	// Forget is how long an unheard target stays in the search for open flows,
-	// and an unheard balancer in the list of balancers.
+	// Quiet is the time without an announcement after which a target of the local zone is
+	// overdue and gets no new flows while another target can take them.
+	Quiet = time.Duration(overduePeriods * float64(NearPeriod))
+	// Forget is how long a target that is not seen stays in the search for open flows, and a
+	// balancer that is not seen in the list of balancers.
 	Forget = 20 * time.Second
 )
 
-// View is what a balancer knows of the fleet. It is not safe for concurrent
-// use; its owner holds a lock.
+// View is a node's view of the fleet. It is not safe for concurrent use; its owner
+// holds a lock.
 type View struct {
 	targets  map[flow.IPv4]*Target
 	services map[flow.Tag][]*Target
-	// tags are the keys of services, sorted.
-	tags  []flow.Tag
-	peers map[flow.IPv4]*Peer
-	// listed are the agents that the registry named last, with the epochs of their
-	// entries; listedAt is when that reading began.
-	listed   map[flow.IPv4]uint64
-	listedAt time.Time
-	// members is the part of the digest of the balancers and of the targets that are not
-	// gone; gone are the others.
-	members uint32
-	gone    map[flow.IPv4]*Target
-	// generation rises with each target that comes to be one that may hold a flow.
+	// serviceTags are the sorted keys of services.
+	serviceTags []flow.Tag
+	peers       map[flow.IPv4]*Peer
+	// registered are the agents in the last registry snapshot, each with the process
+	// incarnation of its entry; snapshotAt is when the read of the snapshot began.
+	registered map[flow.IPv4]uint64
+	snapshotAt time.Time
+	// memberDigest is the part of the digest that covers the balancers and the targets that
+	// are not gone; gone are the other targets.
+	memberDigest uint32
+	gone         map[flow.IPv4]*Target
+	// generation increases each time a target becomes one that may hold flows.
 	generation uint32
-	zones      zones
+	zones      zoneStates
 }
 
 // NewView returns an empty view.
 func NewView() *View {
 	return &View{
 		targets: map[flow.IPv4]*Target{}, services: map[flow.Tag][]*Target{}, peers: map[flow.IPv4]*Peer{},
-		listed: map[flow.IPv4]uint64{}, gone: map[flow.IPv4]*Target{}, zones: newZones(),
+		registered: map[flow.IPv4]uint64{}, gone: map[flow.IPv4]*Target{}, zones: newZoneStates(),
 	}
 }
 
 // Target returns a target by its address.
 func (v *View) Target(ip flow.IPv4) (*Target, bool) {
-	h, ok := v.targets[ip]
-	return h, ok
+	t, ok := v.targets[ip]
+	return t, ok
 }
 
 // Peer returns another balancer by its address.
@@ -61,20 +61,20 @@
 	return p, ok
 }
 
-// Service returns the targets of a service, in no order. The slice is the view's
-// own.
+// Service returns the targets of a service, in no particular order. The slice belongs to
+// the view.
 func (v *View) Service(tag flow.Tag) []*Target { return v.services[tag] }
 
-// Targets and Balancers return the addresses known.
+// Targets returns the addresses of the known targets, sorted.
 func (v *View) Targets() []flow.IPv4 { return keys(v.targets) }
 
-// Balancers returns the addresses of the other balancers.
+// Balancers returns the addresses of the other known balancers, sorted.
 func (v *View) Balancers() []flow.IPv4 { return keys(v.peers) }
 
-// TargetCount returns how many targets are known.
+// TargetCount returns the number of known targets.
 func (v *View) TargetCount() int { return len(v.targets) }
 
-// BalancerCount returns how many other balancers are known.
+// BalancerCount returns the number of other known balancers.
 func (v *View) BalancerCount() int { return len(v.peers) }
 
 // ZoneOf returns the zone of another balancer.
@@ -88,47 +88,48 @@
 
 // NodeZone returns the zone of a balancer or an agent.
 func (v *View) NodeZone(ip flow.IPv4) (flow.Tag, bool) {
-	if h, known := v.targets[ip]; known {
-		return h.Zone, true
+	if t, known := v.targets[ip]; known {
+		return t.Zone, true
 	}
 	return v.ZoneOf(ip)
 }
 
-// ZonePeers returns the other balancers of a zone that others may rely on, in no order.
+// ZonePeers returns the other eligible balancers of a zone, in no particular order.
 func (v *View) ZonePeers(now time.Time, zone flow.Tag) []*Peer {
 	var out []*Peer
 	for _, p := range v.peers {
-		if p.Zone == zone && p.onDuty(now) {
+		if p.Zone == zone && p.eligible(now) {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// BalancersByZone returns the addresses of the other balancers of a zone, and of
+// BalancersByZone returns the addresses of the other balancers in a zone, and of those in
 // all other zones.
-func (v *View) BalancersByZone(zone flow.Tag) (near, far []flow.IPv4) {
-	return split(v.Balancers(), func(ip flow.IPv4) bool { return v.peers[ip].Zone == zone })
+func (v *View) BalancersByZone(zone flow.Tag) (inZone, others []flow.IPv4) {
+	return partition(v.Balancers(), func(ip flow.IPv4) bool { return v.peers[ip].Zone == zone })
 }
 
-// TargetsByZone returns the addresses of the targets of a zone, and of all others.
-func (v *View) TargetsByZone(zone flow.Tag) (near, far []flow.IPv4) {
-	return split(v.Targets(), func(ip flow.IPv4) bool { return v.targets[ip].Zone == zone })
+// TargetsByZone returns the addresses of the targets in a zone, and of those in all other
+// zones.
+func (v *View) TargetsByZone(zone flow.Tag) (inZone, others []flow.IPv4) {
+	return partition(v.Targets(), func(ip flow.IPv4) bool { return v.targets[ip].Zone == zone })
 }
 
-// FirstTarget returns the lowest address of the targets that a predicate holds for. It
-// sorts nothing: whether a flow is over is asked with all targets at hand.
+// FirstTarget returns the lowest address of the targets that satisfy a predicate. It scans
+// without sorting, because the check whether a flow has ended goes through all targets.
 func (v *View) FirstTarget(holds func(*Target) bool) (first flow.IPv4, found bool) {
-	for ip, h := range v.targets {
-		if (!found || ip < first) && holds(h) {
+	for ip, t := range v.targets {
+		if (!found || ip < first) && holds(t) {
 			first, found = ip, true
 		}
 	}
 	return first, found
 }
 
-// split divides a list by a predicate.
-func split(list []flow.IPv4, first func(flow.IPv4) bool) (yes, no []flow.IPv4) {
+// partition splits a list into the elements that satisfy a predicate and the others.
+func partition(list []flow.IPv4, first func(flow.IPv4) bool) (yes, no []flow.IPv4) {
 	for _, ip := range list {
 		if first(ip) {
 			yes = append(yes, ip)
@@ -139,68 +140,68 @@
 	return yes, no
 }
 
-// keys returns the addresses in order, so that a run repeats.
+// keys returns the sorted addresses, so that a run with the same seed is reproducible.
 func keys[V any](m map[flow.IPv4]V) []flow.IPv4 { return sortedKeys(m) }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Generation rises with each target that comes to be one that may hold a flow: a
-// search that began in a generation has asked those of it, and only targets since
-// then can hold the flow if all have denied it.
+// Generation returns a counter that increases each time a target becomes one that may hold
+// flows. A search that began in some generation probes all targets of it; if none of them
+// holds the flow, only targets of later generations can.
 func (v *View) Generation() uint32 { return v.generation }
 
-// Names returns the nodes known, but for agents without a target that are not heard
-// any more: nobody needs them.
+// Names returns the known nodes. It omits overdue agents whose target is gone, which no
+// other node needs.
 func (v *View) Names(now time.Time) Names {
 	n := Names{Balancers: v.Balancers()}
 	for _, ip := range v.Targets() {
-		switch h := v.targets[ip]; {
-		case h.State != Gone:
+		switch t := v.targets[ip]; {
+		case t.State != Gone:
 			n.Holders = append(n.Holders, ip)
-		case !h.Quiet(now):
+		case !t.Quiet(now):
 			n.Idle = append(n.Idle, ip)
 		}
 	}
 	return n
 }
 
-// Digest tells two views that name the same nodes from others, whatever their
-// order. self is the address of the view's owner. Its cost goes with the targets that
-// are gone, not with the nodes: each beacon of the zone is compared by it.
+// Digest returns a hash of the set of known nodes, independent of their order; self is the
+// address of the view's owner. It is compared with every beacon of the zone, so its cost
+// depends only on the number of targets that are gone, not on the number of nodes.
 func (v *View) Digest(now time.Time, self flow.IPv4) uint32 {
-	sum := v.members ^ member(self, true)
-	for ip, h := range v.gone {
-		if !h.Quiet(now) {
-			sum ^= member(ip, false)
+	sum := v.memberDigest ^ memberHash(self, true)
+	for ip, t := range v.gone {
+		if !t.Quiet(now) {
+			sum ^= memberHash(ip, false)
 		}
 	}
 	return sum
 }
 
-// recount keeps the digest when a target has come, has gone, or is back; was tells whether
-// it was known and not gone.
-func (v *View) recount(h *Target, was bool) {
-	is := h.State != Gone
-	if is != was {
-		v.members ^= member(h.IP, false)
+// updateDigest updates the digest after an announcement of a target. wasCounted reports whether
+// the target was known and not gone before.
+func (v *View) updateDigest(t *Target, wasCounted bool) {
+	counted := t.State != Gone
+	if counted != wasCounted {
+		v.memberDigest ^= memberHash(t.IP, false)
 	}
-	if is {
-		delete(v.gone, h.IP)
+	if counted {
+		delete(v.gone, t.IP)
 	} else {
-		v.gone[h.IP] = h
+		v.gone[t.IP] = t
 	}
 }
 
-// uncount takes a target that is forgotten out of the digest.
-func (v *View) uncount(h *Target) {
-	delete(v.gone, h.IP)
-	if h.State != Gone {
-		v.members ^= member(h.IP, false)
+// removeFromDigest removes an expired target from the digest.
+func (v *View) removeFromDigest(t *Target) {
+	delete(v.gone, t.IP)
+	if t.State != Gone {
+		v.memberDigest ^= memberHash(t.IP, false)
 	}
 }
 
-// member is the share of one node in a digest.
-func member(ip flow.IPv4, balancer bool) uint32 {
+// memberHash returns the contribution of one node to a digest.
+func memberHash(ip flow.IPv4, balancer bool) uint32 {
 	salt := uint64(1)
 	if balancer {
 		salt = 2
@@ -208,51 +209,51 @@
 	return uint32(flow.Score(salt, ip) >> 32)
 }
 
-// Change tells what a message changed.
+// Change is the effect of a message on a view.
 type Change uint8
 
 // The changes.
 const (
-	// Stale: the message was older than what is known.
+	// Stale: the message was outdated or a duplicate and was ignored.
 	Stale Change = iota
-	// Same: nothing but readings.
+	// Same: nothing changed but measurements and other details.
 	Same
-	// Joined: not known before, or another process at the address.
+	// Joined: the node was not known before, or another process runs at its address.
 	Joined
-	// Altered: another service, target or state.
+	// Altered: the target's service, incarnation or state changed.
 	Altered
 )
 
-// Announce takes an agent's announcement.
+// Announce applies an agent's announcement and returns its effect.
 func (v *View) Announce(now time.Time, ip flow.IPv4, a Announcement) Change {
-	h, known := v.targets[ip]
+	t, known := v.targets[ip]
 	if !known {
-		h = &Target{IP: ip}
+		t = &Target{IP: ip}
 	}
-	former, held := h.Announcement, h.MayHold(now)
-	if !h.order.accept(a.Identity, h.Quiet(now)) {
+	former, couldHold := t.Announcement, t.MayHold(now)
+	if !t.filter.accept(a.Identity, t.Quiet(now)) {
 		return Stale
 	}
-	v.targets[ip] = h
+	v.targets[ip] = t
 	if former.State == Draining && a.State == Ready && a.Incarnation == 0 {
-		// A fresh agent finds its target listening before it hears what the target
-		// says of itself; until then the target is as it was.
+		// A restarted agent finds its target listening before it receives the target's
+		// heartbeat. Until then the target keeps its former state.
 		a.State = Draining
 	}
-	h.Announcement, h.HeardAt, h.Sent = a, now, 0
-	v.recount(h, known && former.State != Gone)
-	v.heardZone(now, a.Zone)
-	h.heard()
+	t.Announcement, t.HeardAt, t.Sent = a, now, 0
+	v.updateDigest(t, known && former.State != Gone)
+	v.recordZone(now, a.Zone)
+	t.resetProbes()
 	if !known || former.Epoch != a.Epoch || former.Listing != a.Listing {
-		h.ListingAt = now
+		t.ListingAt = now
 	}
-	h.Listed = v.lists(h)
+	t.Listed = v.isRegistered(t)
 	if !known || former.Service != a.Service {
-		v.reindex(h, former.Service)
+		v.moveToService(t, former.Service)
 	}
-	another := !known || former.Epoch != a.Epoch || former.Service != a.Service
-	if h.MayHold(now) && (another || former.State == Gone && a.State != Gone || !held) {
-		v.begin(h)
+	replaced := !known || former.Epoch != a.Epoch || former.Service != a.Service
+	if t.MayHold(now) && (replaced || former.State == Gone && a.State != Gone || !couldHold) {
+		v.markMayHold(t)
 	}
 	switch {
 	case !known || former.Epoch != a.Epoch:
@@ -264,23 +265,23 @@
 	}
 }
 
-// begin notes that a target may hold flows from now on.
-func (v *View) begin(h *Target) {
+// markMayHold records that a target may hold flows from now on.
+func (v *View) markMayHold(t *Target) {
 	v.generation++
-	h.Since = v.generation
+	t.Since = v.generation
 }
 
-// reindex moves a target to the list of its service.
-func (v *View) reindex(h *Target, former flow.Tag) {
-	v.unlist(h, former)
-	v.services[h.Service] = append(v.services[h.Service], h)
-	v.tags = slices.Sorted(maps.Keys(v.services))
+// moveToService moves a target to the list of its service.
+func (v *View) moveToService(t *Target, former flow.Tag) {
+	v.removeFromService(t, former)
+	v.services[t.Service] = append(v.services[t.Service], t)
+	v.serviceTags = slices.Sorted(maps.Keys(v.services))
 }
 
-func (v *View) unlist(h *Target, tag flow.Tag) {
+func (v *View) removeFromService(t *Target, tag flow.Tag) {
 	list := v.services[tag]
 	for i, other := range list {
-		if other == h {
+		if other == t {
 			list[i] = list[len(list)-1]
 			v.services[tag] = list[:len(list)-1]
 			break
@@ -288,35 +289,35 @@
 	}
 	if len(v.services[tag]) == 0 {
 		delete(v.services, tag)
-		v.tags = slices.Sorted(maps.Keys(v.services))
+		v.serviceTags = slices.Sorted(maps.Keys(v.services))
 	}
 }
 
-// Beacon takes a balancer's beacon.
+// Beacon applies a balancer's beacon and returns its effect.
 func (v *View) Beacon(now time.Time, ip flow.IPv4, m Beacon) Change {
 	p, known := v.peers[ip]
 	if !known {
 		p = &Peer{IP: ip}
 	}
 	former := p.Epoch
-	if !p.order.accept(m.Identity, unheard(now, p.HeardAt, p.Period, quietPeriods)) {
+	if !p.filter.accept(m.Identity, overdue(now, p.HeardAt, p.Period, overduePeriods)) {
 		return Stale
 	}
 	if !known {
-		v.members ^= member(ip, true)
+		v.memberDigest ^= memberHash(ip, true)
 	}
 	v.peers[ip] = p
 	p.Beacon, p.HeardAt = m, now
-	v.heardZone(now, m.Zone)
-	p.heard()
+	v.recordZone(now, m.Zone)
+	p.resetProbes()
 	if !known || former != m.Epoch {
 		return Joined
 	}
 	return Same
 }
 
-// Newest returns the other balancer that has the highest configuration, and its
-// version, if that is higher than the given one.
+// Newest returns a balancer with the highest configuration version among the others, and
+// that version, if it is higher than the given one.
 func (v *View) Newest(above int64) (ip flow.IPv4, version int64, ok bool) {
 	for peer, p := range v.peers {
 		if p.ConfigVersion > max(above, version) {
@@ -326,16 +327,16 @@
 	return ip, version, ip != 0
 }
 
-// NewestNear is Newest for an agent: of the balancers with the highest configuration one
-// of its own zone, and there one with the widest link, is asked first; of several the one
-// with the lowest address.
+// NewestNear selects the balancer from which an agent fetches the configuration. Among the
+// balancers with the highest version, which must be higher than the given one, it prefers
+// those in the agent's zone, then the highest link capacity, then the lowest address.
 func (v *View) NewestNear(above int64, zone flow.Tag) (ip flow.IPv4, version int64, ok bool) {
 	best := 0
 	for peer, p := range v.peers {
 		if p.ConfigVersion <= above || p.ConfigVersion < version {
 			continue
 		}
-		rank := p.nearness(zone)
+		rank := p.preference(zone)
 		if p.ConfigVersion > version || rank > best || (rank == best && peer < ip) {
 			ip, version, best = peer, p.ConfigVersion, rank
 		}
@@ -343,9 +344,9 @@
 	return ip, version, ip != 0
 }
 
-// nearness ranks balancers for a node of a zone: those of the zone come first, then the
-// wider link.
-func (p *Peer) nearness(zone flow.Tag) int {
+// preference ranks a balancer for a node of a zone: balancers of the zone rank above all
+// others, then the one with the higher link capacity.
+func (p *Peer) preference(zone flow.Tag) int {
 	rank := int(p.LinkMbps)
 	if p.Zone == zone {
 		rank += math.MaxUint16 + 1
@@ -353,57 +354,58 @@
 	return rank
 }
 
-// NewestKept returns an agent that keeps a copy of the highest configuration that any
-// agent heard lately keeps; of several, the one that pick chooses by their number.
+// NewestKept returns an agent that holds a copy of the configuration, and its version: the
+// highest among the agents that are not overdue and not excluded by except. Among several
+// such agents, pick selects one by index, given their number.
 func (v *View) NewestKept(now time.Time, except func(flow.IPv4) bool, pick func(n int) int) (ip flow.IPv4, version int64, ok bool) {
-	var holders []flow.IPv4
+	var copies []flow.IPv4
 	for _, target := range v.Targets() {
-		h := v.targets[target]
+		t := v.targets[target]
 		switch {
-		case h.ConfigVersion == 0 || h.Quiet(now) || except(target) || h.ConfigVersion < version:
+		case t.ConfigVersion == 0 || t.Quiet(now) || except(target) || t.ConfigVersion < version:
 			continue
-		case h.ConfigVersion > version:
-			version, holders = h.ConfigVersion, holders[:0]
+		case t.ConfigVersion > version:
+			version, copies = t.ConfigVersion, copies[:0]
 		}
-		holders = append(holders, target)
+		copies = append(copies, target)
 	}
-	if len(holders) == 0 {
+	if len(copies) == 0 {
 		return 0, 0, false
 	}
-	return holders[pick(len(holders))], version, true
+	return copies[pick(len(copies))], version, true
 }
 
-// Expire forgets who was not heard for long and returns them.
+// Expire removes the nodes that have not been seen for longer than Forget and returns them.
 func (v *View) Expire(now time.Time) (targets, balancers []Entry) {
-	for ip, h := range v.targets {
-		if now.Sub(h.HeardAt) > Forget {
-			v.unlist(h, h.Service)
-			v.uncount(h)
+	for ip, t := range v.targets {
+		if now.Sub(t.HeardAt) > Forget {
+			v.removeFromService(t, t.Service)
+			v.removeFromDigest(t)
 			delete(v.targets, ip)
-			targets = append(targets, Entry{IP: ip, Epoch: h.Epoch})
+			targets = append(targets, Entry{IP: ip, Epoch: t.Epoch})
 		}
 	}
 	for ip, p := range v.peers {
 		if now.Sub(p.HeardAt) > Forget {
 			delete(v.peers, ip)
-			v.members ^= member(ip, true)
+			v.memberDigest ^= memberHash(ip, true)
 			balancers = append(balancers, Entry{IP: ip, Epoch: p.Epoch})
 		}
 	}
 	return targets, balancers
 }
 
-// KnowsBalancer tells whether a balancer was heard lately.
+// KnowsBalancer reports whether a balancer was seen and has not expired.
 func (v *View) KnowsBalancer(ip flow.IPv4) bool {
 	_, ok := v.peers[ip]
 	return ok
 }
 
-// KnowsTarget tells whether a target's agent was heard lately.
+// KnowsTarget reports whether a target's agent was seen and has not expired.
 func (v *View) KnowsTarget(ip flow.IPv4) bool {
 	_, ok := v.targets[ip]
 	return ok
 }
 
-// Services returns the tags of the services that have targets, in a fixed order.
-func (v *View) Services() []flow.Tag { return v.tags }
+// Services returns the sorted tags of the services that have targets.
+func (v *View) Services() []flow.Tag { return v.serviceTags }
