--- a/fleet/batch_test.go
+++ b/fleet/batch_test.go
@@ -83,13 +83,13 @@
 	v := NewView()
 	require.Equal(t, Unknown, v.TargetProcess(ip1, 1))
 	require.Equal(t, Unknown, v.PeerProcess(ip2, 1))
-	for epoch := uint64(1); epoch <= 2; epoch++ {
-		v.Announce(start, ip1, announcement(epoch, 1, alpha, Ready))
-		v.Beacon(start, ip2, Beacon{Identity: Identity{epoch, 1}})
+	for incarnation := uint64(1); incarnation <= 2; incarnation++ {
+		v.Announce(start, ip1, announcement(incarnation, 1, alpha, Ready))
+		v.Beacon(start, ip2, Beacon{Identity: Identity{incarnation, 1}})
 	}
-	for epoch, want := range map[uint64]Process{1: Former, 2: Present, 3: Unknown} {
-		require.Equal(t, want, v.TargetProcess(ip1, epoch), epoch)
-		require.Equal(t, want, v.PeerProcess(ip2, epoch), epoch)
+	for incarnation, want := range map[uint64]Process{1: Former, 2: Present, 3: Unknown} {
+		require.Equal(t, want, v.TargetProcess(ip1, incarnation), incarnation)
+		require.Equal(t, want, v.PeerProcess(ip2, incarnation), incarnation)
 	}
 }
 
--- a/fleet/digest_test.go
+++ b/fleet/digest_test.go
@@ -60,7 +60,7 @@
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			ip := flow.IPv4(rapid.IntRange(1, 8).Draw(t, "node"))
 			seq++
-			id := Identity{Epoch: rapid.Uint64Range(1, 3).Draw(t, "epoch"), Seq: seq}
+			id := Identity{Epoch: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), Seq: seq}
 			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0:
 				v.Beacon(now, 100+ip, Beacon{Identity: id})
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -24,8 +24,8 @@
 	beta  = flow.Tag(12)
 )
 
-func announcement(epoch uint64, seq uint32, service flow.Tag, state State) Announcement {
-	return Announcement{Identity: Identity{epoch, seq}, Service: service, State: state, Slots: 5, Incarnation: 9}
+func announcement(incarnation uint64, seq uint32, service flow.Tag, state State) Announcement {
+	return Announcement{Identity: Identity{incarnation, seq}, Service: service, State: state, Slots: 5, Incarnation: 9}
 }
 
 func TestMessagesRoundTrip(t *testing.T) {
@@ -145,11 +145,11 @@
 // when the current process continues to send.
 func TestLateMessagesOfEarlierProcesses(t *testing.T) {
 	v := NewView()
-	for epoch := uint64(1); epoch <= 4; epoch++ {
-		require.Equal(t, Joined, v.Announce(start, ip1, announcement(epoch, 5, alpha, Ready)))
+	for incarnation := uint64(1); incarnation <= 4; incarnation++ {
+		require.Equal(t, Joined, v.Announce(start, ip1, announcement(incarnation, 5, alpha, Ready)))
 	}
-	for epoch := uint64(1); epoch < 4; epoch++ {
-		require.Equal(t, Stale, v.Announce(start, ip1, announcement(epoch, 99, alpha, Gone)), epoch)
+	for incarnation := uint64(1); incarnation < 4; incarnation++ {
+		require.Equal(t, Stale, v.Announce(start, ip1, announcement(incarnation, 99, alpha, Gone)), incarnation)
 	}
 
 	now := start
--- a/fleet/listing.go
+++ b/fleet/listing.go
@@ -51,8 +51,8 @@
 
 // EntryOf returns the registry entry that an agent has left behind.
 func (v *View) EntryOf(t *Target) Entry {
-	if epoch, listed := v.registered[t.IP]; listed {
-		return Entry{IP: t.IP, Epoch: epoch}
+	if incarnation, listed := v.registered[t.IP]; listed {
+		return Entry{IP: t.IP, Epoch: incarnation}
 	}
 	return Entry{IP: t.IP, Epoch: t.Epoch}
 }
--- a/fleet/listing_test.go
+++ b/fleet/listing_test.go
@@ -12,7 +12,7 @@
 // was replaced or was overdue.
 func TestARegisteredTargetWithoutFlowsMayHaveStarted(t *testing.T) {
 	registered := []Entry{{IP: ip1, Epoch: 1}}
-	gone := func(epoch uint64, seq uint32) Announcement { return announcement(epoch, seq, alpha, Gone) }
+	gone := func(incarnation uint64, seq uint32) Announcement { return announcement(incarnation, seq, alpha, Gone) }
 	overdueAt := start.Add(Quiet + time.Second)
 	for name, c := range map[string]struct {
 		do      func(v *View) (now time.Time)
@@ -70,8 +70,8 @@
 	v := NewView()
 	second := func(n int) time.Time { return start.Add(time.Duration(n) * time.Second) }
 	for i, c := range []struct {
-		epoch   uint64
-		listing Listing
+		incarnation uint64
+		listing     Listing
 		// since is the second at which it first announced that it is registered; negative if
 		// it is not.
 		since int
@@ -79,7 +79,7 @@
 		{1, ListingUnknown, -1}, {1, ListingThere, 1}, {1, ListingThere, 1}, {1, ListingUnknown, -1}, {1, ListingThere, 4}, {2, ListingThere, 5},
 		{2, ListingTakenAway, -1},
 	} {
-		a := announcement(c.epoch, uint32(i+1), alpha, Ready)
+		a := announcement(c.incarnation, uint32(i+1), alpha, Ready)
 		a.Listing = c.listing
 		v.Announce(second(i), ip1, a)
 		target, _ := v.Target(ip1)
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -95,9 +95,9 @@
 	// ConfigVersion is the version of the agent's copy of the configuration; zero without a
 	// copy.
 	ConfigVersion int64
-	// Cold targets sustain a limited rate of new flows. Room is how many more such a target
-	// takes at the moment.
+	// Cold targets sustain only a limited rate of new flows.
 	Cold bool
+	// Room is how many more new flows a cold target takes at the moment.
 	Room uint16
 	// Listing is the state of the agent's registry entry.
 	Listing Listing
--- a/fleet/relayed.go
+++ b/fleet/relayed.go
@@ -24,28 +24,28 @@
 // one of an agent. Relayed messages are accepted only from the current process: a relay that
 // was frozen may send messages of an earlier incarnation, which a receiver that has not seen
 // the later one could not recognize as outdated.
-func (v *View) TargetProcess(ip flow.IPv4, epoch uint64) Process {
+func (v *View) TargetProcess(ip flow.IPv4, incarnation uint64) Process {
 	t, known := v.targets[ip]
 	if !known {
 		return Unknown
 	}
-	return t.filter.processOf(epoch)
+	return t.filter.processOf(incarnation)
 }
 
 // PeerProcess returns the relation of a process to the current one of a balancer.
-func (v *View) PeerProcess(ip flow.IPv4, epoch uint64) Process {
+func (v *View) PeerProcess(ip flow.IPv4, incarnation uint64) Process {
 	p, known := v.peers[ip]
 	if !known {
 		return Unknown
 	}
-	return p.filter.processOf(epoch)
+	return p.filter.processOf(incarnation)
 }
 
-func (f *replayFilter) processOf(epoch uint64) Process {
+func (f *replayFilter) processOf(incarnation uint64) Process {
 	switch {
-	case epoch == f.Epoch:
+	case incarnation == f.Epoch:
 		return Present
-	case slices.Contains(f.formerEpochs[:], epoch):
+	case slices.Contains(f.formerIncarnations[:], incarnation):
 		return Former
 	default:
 		return Unknown
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -7,14 +7,14 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// maxFormerEpochs is how many earlier processes at an address are remembered.
-const maxFormerEpochs = 4
+// maxFormerIncarnations is how many earlier processes at an address are remembered.
+const maxFormerIncarnations = 4
 
 // replayFilter rejects duplicate and outdated messages of a node. It keeps the ID of the last
 // message and the earlier process incarnations.
 type replayFilter struct {
 	Identity
-	formerEpochs [maxFormerEpochs]uint64
+	formerIncarnations [maxFormerIncarnations]uint64
 }
 
 // accept reports whether a message is newer than all before it, and records it if so.
@@ -31,11 +31,11 @@
 		f.Identity = id
 		return true
 	}
-	if !currentOverdue && slices.Contains(f.formerEpochs[:], id.Epoch) {
+	if !currentOverdue && slices.Contains(f.formerIncarnations[:], id.Epoch) {
 		return false
 	}
-	copy(f.formerEpochs[1:], f.formerEpochs[:maxFormerEpochs-1])
-	f.formerEpochs[0] = f.Epoch
+	copy(f.formerIncarnations[1:], f.formerIncarnations[:maxFormerIncarnations-1])
+	f.formerIncarnations[0] = f.Epoch
 	f.Identity = id
 	return true
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -375,7 +375,7 @@
 	return copies[pick(len(copies))], version, true
 }
 
-// Expire removes the nodes that have not been seen for longer than Forget and returns them.
+// Expire removes the nodes that have not been seen for too long and returns them.
 func (v *View) Expire(now time.Time) (targets, balancers []Entry) {
 	for ip, t := range v.targets {
 		if now.Sub(t.HeardAt) > Forget {
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestSteppedClockDoesNotLengthenAPause covers times before the epoch and far in the future.
+// TestSteppedClockDoesNotLengthenAPause covers wall-clock times before 1970 and far in the future.
 func TestSteppedClockDoesNotLengthenAPause(t *testing.T) {
 	for _, now := range []time.Time{time.Unix(0, 0), time.Unix(-5, 7), time.Unix(1<<33, 0)} {
 		pause := NextRound(now, time.Second, 9).Sub(now)
