--- a/agent/packetfront/acks.go
+++ b/agent/packetfront/acks.go
@@ -56,15 +56,15 @@
 
 // heard notes what a balancer has of this process, whose epoch is given.
 func (a *acks) heard(from flow.IPv4, epoch uint64, m *fleet.Beacon) {
-	if p, known := a.peers[from]; known && m.Heard.Epoch == epoch {
-		p.heard = m.Heard.Seq
+	if p, known := a.peers[from]; known && m.LastReceived.Incarnation == epoch {
+		p.heard = m.LastReceived.Seq
 	}
 }
 
 // knows tells whether the balancer that sent a beacon has the last change of this
 // process, whose epoch is given.
 func (a *acks) knows(epoch uint64, m *fleet.Beacon) bool {
-	return m.Heard.Epoch == epoch && int32(m.Heard.Seq-a.change) >= 0
+	return m.LastReceived.Incarnation == epoch && int32(m.LastReceived.Seq-a.change) >= 0
 }
 
 // wants tells whether a balancer has not acknowledged the last change.
--- a/agent/packetfront/acks_test.go
+++ b/agent/packetfront/acks_test.go
@@ -56,7 +56,7 @@
 	f := newFixture()
 	f.beacon(balancerIP, 0, 0)
 	f.port.Nodes = nil
-	m := fleet.Beacon{Identity: fleet.Identity{Epoch: 4, Seq: 99}, Heard: fleet.Identity{Epoch: 77, Seq: 1000}}
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 99}, LastReceived: fleet.MessageID{Incarnation: 77, Seq: 1000}}
 	f.HandleNode(f.now, balancerIP, m.Append(nil))
 	f.pass(ackPause)
 	count, _ := f.announced(t, balancerIP)
--- a/agent/packetfront/cold_test.go
+++ b/agent/packetfront/cold_test.go
@@ -43,7 +43,7 @@
 // warms lets the target report how long it stays slow.
 func (f *fixture) warms(left time.Duration) {
 	f.seq++
-	f.Heartbeat(f.now, fleet.Heartbeat{Life: fleet.Life{TargetID: "i-1"}, Slots: 4, Sequence: f.seq, WarmupLeft: left})
+	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Sequence: f.seq, WarmupLeft: left})
 }
 
 // longThere is a fixture whose agent knows what its target was given.
@@ -119,7 +119,7 @@
 	f.beacon(balancerIP, 0, 0)
 	announced := func() fleet.Announcement {
 		f.port.Nodes = nil
-		f.pass(fleet.NearPeriod)
+		f.pass(fleet.SameZonePeriod)
 		a, err := fleet.DecodeAnnouncement(f.port.OfKind(envelope.Announce)[0].Raw)
 		require.NoError(t, err)
 		return a
@@ -130,7 +130,7 @@
 	require.Equal(t, 2, f.offers(2, coldRate))
 	a := announced()
 	require.True(t, a.Cold)
-	require.EqualValues(t, 3, a.Room)
+	require.EqualValues(t, 3, a.Headroom)
 }
 
 // TestNoColdTargetGetsMoreThanItBears: the oracle is the target itself. It starts and
--- a/agent/packetfront/core.go
+++ b/agent/packetfront/core.go
@@ -28,8 +28,8 @@
 	Zone, Service flow.Tag
 	// Seeds are addresses of balancers to join by.
 	Seeds []flow.IPv4
-	// Epoch is random for each start.
-	Epoch uint64
+	// Incarnation is random for each start.
+	Incarnation uint64
 	// HeartbeatPeriod is how often the target reports.
 	HeartbeatPeriod time.Duration
 	// FlowTTL is the age from which a flow may be forgotten.
@@ -93,8 +93,8 @@
 	targetKnown bool
 	// wantedPresence is what the registry is to show, listing what it shows as far as that is
 	// known.
-	wantedPresence fleet.Presence
-	registration   fleet.Listing
+	wantedPresence fleet.EntryState
+	registration   fleet.Registration
 	// introduced is set once the balancers may hear of the agent.
 	introduced       bool
 	seq              uint32
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -90,7 +90,7 @@
 
 func newFixture() *fixture {
 	f := &fixture{port: &port{}, tally: &tally{}, now: time.Unix(1_700_000_000, 0)}
-	f.Core = New(f.now, Options{Self: 9, Service: service, Epoch: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platform.Codec{}, f.tally)
+	f.Core = New(f.now, Options{Self: 9, Service: service, Incarnation: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platform.Codec{}, f.tally)
 	f.Probed(f.now, ProbeRefused)
 	f.Probed(f.now, ProbeAccepted)
 	f.registered()
@@ -101,12 +101,12 @@
 // registered lets the store take the agent's entry.
 func (f *fixture) registered() {
 	f.Presence(f.now)
-	f.PresenceStored(f.now, fleet.PresenceHere)
+	f.PresenceStored(f.now, fleet.EntryPresent)
 }
 
 func (f *fixture) beat(draining bool) {
 	f.seq++
-	f.Heartbeat(f.now, fleet.Heartbeat{Life: fleet.Life{TargetID: "i-1"}, Slots: 4, Draining: draining, Sequence: f.seq})
+	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Draining: draining, Sequence: f.seq})
 }
 
 func (f *fixture) pass(d time.Duration) {
@@ -118,7 +118,7 @@
 // sequence number.
 func (f *fixture) beacon(ip flow.IPv4, zone flow.Tag, heard uint32) {
 	f.seq++
-	m := fleet.Beacon{Identity: fleet.Identity{Epoch: 4, Seq: uint32(f.seq)}, Zone: zone, Heard: fleet.Identity{Epoch: f.opts.Epoch, Seq: heard}}
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: uint32(f.seq)}, Zone: zone, LastReceived: fleet.MessageID{Incarnation: f.opts.Incarnation, Seq: heard}}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
@@ -178,8 +178,8 @@
 		"ready":            {func(*fixture) {}, service, true},
 		"another service":  {func(*fixture) {}, service + 1, false},
 		"draining":         {func(f *fixture) { f.beat(true) }, service, false},
-		"left":             {func(f *fixture) { f.Leave(f.now, fleet.Life{TargetID: "i-1"}) }, service, false},
-		"another one left": {func(f *fixture) { f.Leave(f.now, fleet.Life{TargetID: "i-0"}) }, service, true},
+		"left":             {func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }, service, false},
+		"another one left": {func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-0"}) }, service, true},
 		"not listening":    {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, service, false},
 		"silent probe":     {func(f *fixture) { f.Probed(f.now, ProbeSilent) }, service, true},
 		"agent stops":      {func(f *fixture) { f.Stop(f.now) }, service, false},
@@ -200,11 +200,11 @@
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	f := newFixture()
 	f.beat(true)
-	f.Heartbeat(f.now, fleet.Heartbeat{Life: fleet.Life{TargetID: "i-1"}, Slots: 4, Sequence: 1})
+	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Sequence: 1})
 	require.Equal(t, fleet.Draining, f.target.state())
-	f.Heartbeat(f.now, fleet.Heartbeat{Life: fleet.Life{TargetID: "i-2"}, Slots: 4, Sequence: 1})
+	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-2"}, Slots: 4, Sequence: 1})
 	require.Equal(t, fleet.Ready, f.target.state())
-	f.Heartbeat(f.now, fleet.Heartbeat{Life: fleet.Life{TargetID: "i-1"}, Slots: 4, Draining: true, Sequence: 99})
+	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Draining: true, Sequence: 99})
 	require.Equal(t, fleet.Ready, f.target.state(), "the former target's")
 }
 
@@ -289,7 +289,7 @@
 	})
 	t.Run("it has left", func(t *testing.T) {
 		f := open()
-		f.Leave(f.now, fleet.Life{TargetID: "i-1"})
+		f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
 		f.Probed(f.now, ProbeSilent)
 		f.pass(deregistrationGrace / 2)
 		require.Empty(t, f.port.Resets, "it may still send")
@@ -298,7 +298,7 @@
 	})
 	t.Run("it has left, still listens, and the agent stood still", func(t *testing.T) {
 		f := open()
-		f.Leave(f.now, fleet.Life{TargetID: "i-1"})
+		f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
 		f.Probed(f.now, ProbeAccepted)
 		f.pass(2 * deregistrationGrace)
 		require.Empty(t, f.port.Resets, "no probe has told that it does not")
--- a/agent/packetfront/evacuations_test.go
+++ b/agent/packetfront/evacuations_test.go
@@ -22,7 +22,7 @@
 
 // hearsOf lets a balancer say which zones are emptied, by its message of a number.
 func (f *fixture) hearsOf(balancer flow.IPv4, seq uint32, e flow.Evacuations) {
-	m := fleet.Beacon{Identity: fleet.Identity{Epoch: uint64(balancer), Seq: seq}, Evacuations: e, Period: time.Hour}
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(balancer), Seq: seq}, Evacuations: e, Period: time.Hour}
 	f.HandleNode(f.now, balancer, m.Append(nil))
 }
 
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -57,7 +57,7 @@
 	observer *observer
 	// sent counts what goes to other nodes.
 	sent      *telemetry.SentTraffic
-	isolation fleet.Alone
+	isolation fleet.IsolationTimer
 	entry     *registry.Registration
 	// configCopy is the copy of the configuration, nil before the first.
 	configCopy *configcopy.Copy
@@ -81,12 +81,12 @@
 	}
 	opts := Options{
 		Self: f.self, Zone: flow.TagOf(cfg.Zone), Service: flow.TagOf(cfg.Service), Seeds: flow.ParseAddrs(cfg.Seeds),
-		Epoch: rand.Uint64() | 1, HeartbeatPeriod: cfg.HeartbeatEvery.D(), FlowTTL: cfg.FlowTTL.D(),
+		Incarnation: rand.Uint64() | 1, HeartbeatPeriod: cfg.HeartbeatEvery.D(), FlowTTL: cfg.FlowTTL.D(),
 	}
 	counters := telemetry.Counters{Registry: f.reg, Subsystem: "packetagent"}
 	stored, calls := platform.NewStore(cfg.Store, storeTimeout), telemetry.NewStoreCalls(counters)
 	f.registry = calls.For(telemetry.PurposeRegistry, stored)
-	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleAgent, f.self, opts.Epoch, log, func(p fleet.Presence) { f.locked(func(now time.Time) { f.core.PresenceStored(now, p) }) })
+	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleAgent, f.self, opts.Incarnation, log, func(p fleet.EntryState) { f.locked(func(now time.Time) { f.core.PresenceStored(now, p) }) })
 	f.observer = newObserver(log, f.reg)
 	f.sent = telemetry.NewSentTraffic(counters, envelope.KindNames)
 	f.core = New(time.Now(), opts, f, platform.Codec{}, f.observer)
@@ -158,9 +158,9 @@
 
 // updatePresence keeps the agent's entry in the registry as its target is.
 func (f *Front) updatePresence() {
-	presence := fleet.PresenceUnknown
+	presence := fleet.EntryUnchanged
 	f.locked(func(now time.Time) { presence = f.core.Presence(now) })
-	if presence != fleet.PresenceUnknown {
+	if presence != fleet.EntryUnchanged {
 		f.entry.SetPresence(presence)
 	}
 }
@@ -210,7 +210,7 @@
 }
 
 // Leave implements platform.Targets.
-func (f *Front) Leave(l fleet.Life) {
+func (f *Front) Leave(l fleet.Incarnation) {
 	f.locked(func(now time.Time) { f.core.Leave(now, l) })
 }
 
--- a/agent/packetfront/health_test.go
+++ b/agent/packetfront/health_test.go
@@ -225,7 +225,7 @@
 func TestPlannedEndsAreNoRelapses(t *testing.T) {
 	for name, do := range map[string]func(f *fixture){
 		"after a farewell": func(f *fixture) {
-			f.Leave(f.now, fleet.Life{TargetID: "i-1"})
+			f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
 			f.Probed(f.now, ProbeRefused)
 			f.beatOf(time.Second, "i-2", 1, false)
 		},
--- a/agent/packetfront/keepconfig.go
+++ b/agent/packetfront/keepconfig.go
@@ -42,12 +42,12 @@
 // CopySource returns a balancer to fetch a newer configuration from than the agent has, and
 // its version, when that is due.
 func (c *Core) CopySource(now time.Time) (from flow.IPv4, version int64, due bool) {
-	from, version, newer := c.view.NewestNear(c.configCopy.version, c.opts.Zone)
+	from, version, newer := c.view.PreferredConfigSource(c.configCopy.version, c.opts.Zone)
 	if !newer {
 		return 0, 0, false
 	}
 	if version != c.configCopy.newest {
-		spread := time.Duration(c.opts.Epoch % uint64(copySpread))
+		spread := time.Duration(c.opts.Incarnation % uint64(copySpread))
 		c.configCopy.newest, c.configCopy.dueAt = version, now.Add(copyDelay+spread)
 	}
 	if now.Before(c.configCopy.dueAt) {
--- a/agent/packetfront/keepconfig_test.go
+++ b/agent/packetfront/keepconfig_test.go
@@ -15,7 +15,7 @@
 func (f *fixture) has(balancer flow.IPv4, zone flow.Tag, version int64, link uint16) {
 	f.seq++
 	m := fleet.Beacon{
-		Identity: fleet.Identity{Epoch: uint64(balancer), Seq: uint32(f.seq)}, Zone: zone, ConfigVersion: version,
+		MessageID: fleet.MessageID{Incarnation: uint64(balancer), Seq: uint32(f.seq)}, Zone: zone, ConfigVersion: version,
 		LinkMbps: link, Period: time.Hour,
 	}
 	f.HandleNode(f.now, balancer, m.Append(nil))
@@ -50,7 +50,7 @@
 	_, _, due = f.CopySource(f.now)
 	require.False(t, due)
 	f.port.Nodes = nil
-	f.pass(fleet.NearPeriod)
+	f.pass(fleet.SameZonePeriod)
 	a, err := fleet.DecodeAnnouncement(f.port.OfKind(envelope.Announce)[0].Raw)
 	require.NoError(t, err)
 	require.EqualValues(t, 8, a.ConfigVersion)
--- a/agent/packetfront/life_test.go
+++ b/agent/packetfront/life_test.go
@@ -14,24 +14,24 @@
 
 // Lives of a target that starts again under its ID.
 var (
-	firstLife  = fleet.Life{TargetID: "i-2", Born: 1_700_000_000_000}
-	secondLife = fleet.Life{TargetID: "i-2", Born: 1_700_000_060_000}
+	firstLife  = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_700_000_000_000}
+	secondLife = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_700_000_060_000}
 	// steppedLife started after the first one on a clock that was stepped back.
-	steppedLife = fleet.Life{TargetID: "i-2", Born: 1_699_999_990_000}
+	steppedLife = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_699_999_990_000}
 	// silentLife does not say when it started.
-	silentLife = fleet.Life{TargetID: "i-2"}
+	silentLife = fleet.Incarnation{TargetID: "i-2"}
 )
 
 const heartbeatPause = 1200 * time.Millisecond
 
 // report lets a life report after a pause, and tells whether it was believed.
-func (f *fixture) report(after time.Duration, l fleet.Life, sequence uint64, draining bool) bool {
+func (f *fixture) report(after time.Duration, l fleet.Incarnation, sequence uint64, draining bool) bool {
 	f.now = f.now.Add(after)
-	return f.Heartbeat(f.now, fleet.Heartbeat{Life: l, Slots: 4, Draining: draining, Sequence: sequence})
+	return f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: l, Slots: 4, Draining: draining, Sequence: sequence})
 }
 
 // afterALife is an agent that had 300 heartbeats of a life.
-func afterALife(l fleet.Life) *fixture {
+func afterALife(l fleet.Incarnation) *fixture {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 	f.opts.HeartbeatPeriod = heartbeatPause
@@ -47,7 +47,7 @@
 // its reports tell of the order, it is shut out for two of them at most.
 func TestATargetThatStartsAgainUnderItsIDIsBelieved(t *testing.T) {
 	for name, c := range map[string]struct {
-		former, next fleet.Life
+		former, next fleet.Incarnation
 		seen         bool
 		shutOut      uint64
 	}{
@@ -90,7 +90,7 @@
 
 // TestAFreshAgentBelievesTheLifeThatGoesOn: it started meanwhile and knows neither.
 func TestAFreshAgentBelievesTheLifeThatGoesOn(t *testing.T) {
-	for name, late := range map[string]fleet.Life{"born before": firstLife, "born after, on a clock stepped back since": {TargetID: "i-2", Born: secondLife.Born + 5}} {
+	for name, late := range map[string]fleet.Incarnation{"born before": firstLife, "born after, on a clock stepped back since": {TargetID: "i-2", StartedMillis: secondLife.StartedMillis + 5}} {
 		f := freshAgent()
 		require.True(t, f.report(0, late, 298, true), name)
 		require.True(t, f.report(10*time.Millisecond, late, 299, true), name)
@@ -117,7 +117,7 @@
 		"reports that do not say when":                     func(f *fixture, i uint64) { f.report(0, silentLife, 301+i, true) },
 		"an earlier one of the own life":                   func(f *fixture, i uint64) { f.report(0, secondLife, 2+i/8, true) },
 		"its farewell":                                     func(f *fixture, _ uint64) { f.Leave(f.now, firstLife) },
-		"the farewell of another target":                   func(f *fixture, _ uint64) { f.Leave(f.now, fleet.Life{TargetID: "i-1"}) },
+		"the farewell of another target":                   func(f *fixture, _ uint64) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) },
 	} {
 		f := afterALife(firstLife)
 		require.True(t, f.report(heartbeatPause, secondLife, 1, false), name)
@@ -147,7 +147,7 @@
 		require.True(t, f.WantsProbe(f.now))
 		f.Probed(f.now, ProbeAccepted)
 		f.pass(50 * time.Millisecond)
-		require.Equal(t, fleet.PresenceUnknown, f.Presence(f.now))
+		require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now))
 	}
 	require.Empty(t, f.port.Resets)
 	require.True(t, f.report(0, secondLife, 2, false))
@@ -190,9 +190,9 @@
 	require.NotEqual(t, firstLife.Tag(), secondLife.Tag())
 	require.NotEqual(t, firstLife.Tag(), silentLife.Tag())
 	f := afterALife(firstLife)
-	require.Equal(t, firstLife.Tag(), f.announcement(f.now).Incarnation)
+	require.Equal(t, firstLife.Tag(), f.announcement(f.now).TargetIncarnation)
 	f.report(heartbeatPause, secondLife, 1, false)
-	require.Equal(t, secondLife.Tag(), f.announcement(f.now).Incarnation)
+	require.Equal(t, secondLife.Tag(), f.announcement(f.now).TargetIncarnation)
 }
 
 // TestThePresentLifeIsKnownAfterThreeHeartbeats: targets crash and start again under
@@ -209,9 +209,9 @@
 		clock := int64(1_700_000_000_000)
 		var lives []liveTarget
 		begin := func(id string) {
-			l := liveTarget{Life: fleet.Life{TargetID: id}}
+			l := liveTarget{Incarnation: fleet.Incarnation{TargetID: id}}
 			if says {
-				l.Born = clock
+				l.StartedMillis = clock
 			}
 			lives = append(lives, l)
 		}
@@ -224,11 +224,11 @@
 			case "late":
 				if old := &lives[rapid.IntRange(0, len(lives)-1).Draw(t, "life")]; old != present {
 					old.sequence++
-					f.report(0, old.Life, old.sequence, true)
+					f.report(0, old.Incarnation, old.sequence, true)
 				}
 			case "late farewell":
-				if old := lives[rapid.IntRange(0, len(lives)-1).Draw(t, "life")]; old.Life != present.Life {
-					f.Leave(f.now, old.Life)
+				if old := lives[rapid.IntRange(0, len(lives)-1).Draw(t, "life")]; old.Incarnation != present.Incarnation {
+					f.Leave(f.now, old.Incarnation)
 				}
 			case "stepped":
 				clock += int64(rapid.IntRange(-5000, 5000).Draw(t, "step"))
@@ -243,7 +243,7 @@
 				}
 				begin(id)
 			case "agent":
-				f.opts.Epoch++
+				f.opts.Incarnation++
 				f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 				f.Probed(f.now, ProbeAccepted)
 			case "beat":
@@ -258,7 +258,7 @@
 			f.Tick(f.now)
 			f.beatOfLife(present)
 		}
-		require.Equal(t, present.Life, f.target.incarnation)
+		require.Equal(t, present.Incarnation, f.target.incarnation)
 		require.Equal(t, present.sequence, f.target.sequence)
 		require.Equal(t, fleet.Ready, f.target.state())
 	})
@@ -266,13 +266,13 @@
 
 // liveTarget is a life that reports.
 type liveTarget struct {
-	fleet.Life
+	fleet.Incarnation
 	sequence uint64
 }
 
 func (f *fixture) beatOfLife(l *liveTarget) {
 	l.sequence++
-	f.report(0, l.Life, l.sequence, false)
+	f.report(0, l.Incarnation, l.sequence, false)
 }
 
 // TestAPacketIsNoProofOfATargetThatRefusesConnections.
--- a/agent/packetfront/lifetime.go
+++ b/agent/packetfront/lifetime.go
@@ -37,18 +37,18 @@
 //     goes on to report while that one is silent, and at once if the present one was
 //     seen to end and the other may have started since.
 type incarnationHistory struct {
-	former []fleet.Life
+	former []fleet.Incarnation
 	// claimant is the last life that was not believed, claim its sequence.
-	claimant      fleet.Life
+	claimant      fleet.Incarnation
 	claimSequence uint64
 }
 
 // retire remembers a life that was replaced.
-func (l *incarnationHistory) retire(life fleet.Life) {
+func (l *incarnationHistory) retire(life fleet.Incarnation) {
 	if life.TargetID == "" {
 		return
 	}
-	l.former = slices.DeleteFunc(l.former, func(f fleet.Life) bool { return f == life })
+	l.former = slices.DeleteFunc(l.former, func(f fleet.Incarnation) bool { return f == life })
 	if len(l.former) == maxFormerIncarnations {
 		l.former = slices.Delete(l.former, 0, 1)
 	}
@@ -57,8 +57,8 @@
 
 // repeatsClaim tells whether a life that is not believed has reported twice in a row.
 func (l *incarnationHistory) repeatsClaim(b fleet.Heartbeat) bool {
-	again := l.claimant == b.Life && b.Sequence > l.claimSequence
-	l.claimant, l.claimSequence = b.Life, b.Sequence
+	again := l.claimant == b.Incarnation && b.Sequence > l.claimSequence
+	l.claimant, l.claimSequence = b.Incarnation, b.Sequence
 	return again
 }
 
@@ -79,10 +79,10 @@
 	switch {
 	case h.incarnation.TargetID == "":
 		return newHeartbeat
-	case b.Life == h.incarnation && b.Sequence > h.sequence:
-		h.history.claimant = fleet.Life{}
+	case b.Incarnation == h.incarnation && b.Sequence > h.sequence:
+		h.history.claimant = fleet.Incarnation{}
 		return currentHeartbeat
-	case b.Born == 0 && h.incarnation.Born != 0:
+	case b.StartedMillis == 0 && h.incarnation.StartedMillis != 0:
 		// The present target says when it was born; a report that does not is not its own.
 		return staleHeartbeat
 	case h.replaced(now, b, period):
@@ -99,7 +99,7 @@
 	if h.sawEnd && h.up && h.mayHaveStarted(now, b) {
 		return true
 	}
-	if b.Life == h.incarnation || b.Born < h.incarnation.Born || slices.Contains(h.history.former, b.Life) {
+	if b.Incarnation == h.incarnation || b.StartedMillis < h.incarnation.StartedMillis || slices.Contains(h.history.former, b.Incarnation) {
 		return false
 	}
 	return !h.alive(now, period) || h.mayHaveStarted(now, b)
@@ -110,10 +110,10 @@
 // present life's by the silence of that one, too; otherwise only its being repeated
 // counts.
 func (h *target) mayHaveEnded(now time.Time, b fleet.Heartbeat, period time.Duration) bool {
-	if b.Life == h.incarnation {
+	if b.Incarnation == h.incarnation {
 		return !h.alive(now, period) && h.mayHaveStarted(now, b)
 	}
-	return b.Born == 0 || !h.alive(now, period)
+	return b.StartedMillis == 0 || !h.alive(now, period)
 }
 
 // alive tells whether the present life reported lately and has not ended since.
--- a/agent/packetfront/lifetime_test.go
+++ b/agent/packetfront/lifetime_test.go
@@ -12,7 +12,7 @@
 
 // beatOf lets a target report after a pause.
 func (f *fixture) beatOf(after time.Duration, id string, sequence uint64, draining bool) {
-	f.report(after, fleet.Life{TargetID: id}, sequence, draining)
+	f.report(after, fleet.Incarnation{TargetID: id}, sequence, draining)
 }
 
 // freshAgent is one that started beside a target that was there before it.
@@ -37,7 +37,7 @@
 			f.beatOf(100*time.Millisecond, "i-1", 50, true)
 		}},
 		"not known to a fresh agent": {fresh: true, late: func(f *fixture) { f.beatOf(100*time.Millisecond, "i-0", 50, true) }},
-		"its last word":              {late: func(f *fixture) { f.Leave(f.now, fleet.Life{TargetID: "i-1"}) }},
+		"its last word":              {late: func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }},
 	} {
 		f := newFixture()
 		if c.fresh {
@@ -77,7 +77,7 @@
 		seen bool
 	}{
 		"no sign of its end": {end: func(*fixture) {}, seen: false},
-		"it left":            {end: func(f *fixture) { f.Leave(f.now, fleet.Life{TargetID: "i-1"}) }, seen: true},
+		"it left":            {end: func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }, seen: true},
 		"refused, then there": {end: func(f *fixture) {
 			f.Probed(f.now, ProbeRefused)
 			f.Probed(f.now, ProbeAccepted)
--- a/agent/packetfront/load_test.go
+++ b/agent/packetfront/load_test.go
@@ -66,7 +66,7 @@
 // reports lets the target say that it is there and how many slots it has.
 func (l *randomLoad) reports() {
 	l.seq++
-	l.Heartbeat(l.now, fleet.Heartbeat{Life: fleet.Life{TargetID: "i-2", Born: l.life}, Slots: l.slots, Sequence: l.seq})
+	l.Heartbeat(l.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-2", StartedMillis: l.life}, Slots: l.slots, Sequence: l.seq})
 }
 
 // calls lets a new caller open its flow, which the target answers at once.
--- a/agent/packetfront/nodes.go
+++ b/agent/packetfront/nodes.go
@@ -14,16 +14,16 @@
 	if err != nil {
 		return err
 	}
-	change := c.view.Beacon(now, from, m)
+	change := c.view.ApplyBeacon(now, from, m)
 	if change != fleet.Stale {
 		c.compareEvacuations(now, from, m.Evacuations)
 	}
-	c.acks.heard(from, c.opts.Epoch, &m)
+	c.acks.heard(from, c.opts.Incarnation, &m)
 	if change == fleet.Joined {
 		c.events.PeerChanged(from, "joined")
 	}
-	knowing := change == fleet.Joined && c.acks.knows(c.opts.Epoch, &m)
-	if (change == fleet.Joined && !knowing) || (change == fleet.Same && m.WantPeers) {
+	knowing := change == fleet.Joined && c.acks.knows(c.opts.Incarnation, &m)
+	if (change == fleet.Joined && !knowing) || (change == fleet.Unchanged && m.WantPeers) {
 		c.announceTo(now, from, false)
 	}
 	return nil
@@ -51,7 +51,7 @@
 
 // handlePeers announces the target to balancers that are not known yet.
 func (c *Core) handlePeers(now time.Time, datagram []byte) error {
-	names, err := fleet.DecodeNames(datagram)
+	names, err := fleet.DecodeNodeList(datagram)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 // a beacon.
 func (c *Core) contact(now time.Time, balancers []flow.IPv4, wantPeers bool) {
 	for _, ip := range balancers {
-		if !c.view.KnowsBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
+		if !c.view.HasBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.announceTo(now, ip, wantPeers)
 		}
 	}
@@ -110,7 +110,7 @@
 // registry does not have the target either, the seeds hear of it again and again:
 // balancers that start have only each other to learn of it from.
 func (c *Core) join(now time.Time) {
-	alone, unlisted := len(c.view.Balancers()) == 0, c.target.up && c.registration != fleet.ListingThere
+	alone, unlisted := len(c.view.Balancers()) == 0, c.target.up && c.registration != fleet.RegistrationPresent
 	if !c.introduced || !(alone || unlisted) || now.Before(c.nextJoin) {
 		return
 	}
@@ -136,11 +136,11 @@
 	}
 	near, _ := c.view.BalancersByZone(c.opts.Zone)
 	if !now.Before(c.nextSameZone) {
-		c.nextSameZone = fleet.NextRound(now, fleet.NearPeriod, c.opts.Self)
+		c.nextSameZone = fleet.NextSendTime(now, fleet.SameZonePeriod, c.opts.Self)
 		c.announceToAll(now, near)
 		return
 	}
-	step := c.flows.busy - int(c.lastAnnouncement.Busy)
+	step := c.flows.busy - int(c.lastAnnouncement.Outstanding)
 	if (step >= loadChangeStep || step <= -loadChangeStep) && now.Sub(c.lastAnnouncedAt) >= minAnnouncePause {
 		c.announceToAll(now, near)
 	}
@@ -153,9 +153,9 @@
 		c.nextSameZone, c.nextCrossZone = now, now
 		return
 	}
-	if next.State != c.lastAnnouncement.State || next.Incarnation != c.lastAnnouncement.Incarnation ||
+	if next.State != c.lastAnnouncement.State || next.TargetIncarnation != c.lastAnnouncement.TargetIncarnation ||
 		next.Slots != c.lastAnnouncement.Slots || next.Ejected != c.lastAnnouncement.Ejected ||
-		(next.Listing != c.lastAnnouncement.Listing && next.Listing == fleet.ListingTakenAway) {
+		(next.Registration != c.lastAnnouncement.Registration && next.Registration == fleet.RegistrationRemoved) {
 		c.acks.changed(c.seq + 1)
 		c.announceAll(now)
 	}
@@ -167,15 +167,15 @@
 // same way.
 func (c *Core) onlyIdentified(now time.Time, next fleet.Announcement) bool {
 	former := c.lastAnnouncement
-	return former.Incarnation == 0 && next.Incarnation != 0 &&
-		next.State == former.State && next.Ejected == former.Ejected && next.Listing == former.Listing &&
+	return former.TargetIncarnation == 0 && next.TargetIncarnation != 0 &&
+		next.State == former.State && next.Ejected == former.Ejected && next.Registration == former.Registration &&
 		len(c.relays.planner.Plan(now, c.view).Relays) > 0
 }
 
 func (c *Core) announceAll(now time.Time) {
 	near, far := c.view.BalancersByZone(c.opts.Zone)
 	c.crossZonePeriod = c.relays.planner.Plan(now, c.view).Period
-	c.nextSameZone, c.nextCrossZone = fleet.NextRound(now, fleet.NearPeriod, c.opts.Self), fleet.NextRound(now, c.crossZonePeriod, c.opts.Self)
+	c.nextSameZone, c.nextCrossZone = fleet.NextSendTime(now, fleet.SameZonePeriod, c.opts.Self), fleet.NextSendTime(now, c.crossZonePeriod, c.opts.Self)
 	c.announceToAll(now, near)
 	c.announceToAll(now, far)
 	// Also where nobody is known yet: those who are met later are told the same.
@@ -201,8 +201,8 @@
 	if !c.target.deregisteredAt.IsZero() {
 		c.endFlows(now, "its target has left")
 	}
-	if c.target.absent() && c.registration != fleet.ListingTakenAway {
-		c.registration = fleet.ListingLeft
+	if c.target.absent() && c.registration != fleet.RegistrationRemoved {
+		c.registration = fleet.RegistrationAbandoned
 	}
 	c.announceAll(now)
 }
@@ -219,27 +219,27 @@
 	room, cold := c.coldHeadroom(now)
 	return fleet.Announcement{
 		Zone: c.opts.Zone, Service: c.opts.Service,
-		Incarnation:   c.incarnation(),
-		State:         state,
-		Slots:         uint16(min(c.target.slots(), 1<<16-1)),
-		Busy:          uint16(min(c.flows.busy, 1<<16-1)),
-		Open:          uint16(min(c.flows.open, 1<<16-1)),
-		WarmupMillis:  uint16(min(c.warmup(now).Milliseconds(), 1<<16-1)),
-		Ejected:       c.health.ejected,
-		Listing:       c.registration,
-		ConfigVersion: c.configCopy.version,
-		Cold:          cold,
-		Room:          uint16(min(room, 1<<16-1)),
-		Readings:      c.loadReport(now),
+		TargetIncarnation: c.incarnation(),
+		State:             state,
+		Slots:             uint16(min(c.target.slots(), 1<<16-1)),
+		Outstanding:       uint16(min(c.flows.busy, 1<<16-1)),
+		OpenFlows:         uint16(min(c.flows.open, 1<<16-1)),
+		WarmupMillis:      uint16(min(c.warmup(now).Milliseconds(), 1<<16-1)),
+		Ejected:           c.health.ejected,
+		Registration:      c.registration,
+		ConfigVersion:     c.configCopy.version,
+		Cold:              cold,
+		Headroom:          uint16(min(room, 1<<16-1)),
+		LoadReport:        c.loadReport(now),
 	}
 }
 
 // loadReport are what the balancers hear of the target's work.
-func (c *Core) loadReport(now time.Time) fleet.Readings {
+func (c *Core) loadReport(now time.Time) fleet.LoadReport {
 	if !c.estimate.Observed() {
-		return fleet.Readings{}
+		return fleet.LoadReport{}
 	}
-	return fleet.Readings{Wait: c.expectedWait(now), Each: c.estimate.AnswerInterval(), Took: c.estimate.ResponseTime(), Overloaded: c.overload.active}
+	return fleet.LoadReport{QueueDelay: c.expectedWait(now), AnswerInterval: c.estimate.AnswerInterval(), ResponseTime: c.estimate.ResponseTime(), Overloaded: c.overload.active}
 }
 
 // incarnation tells the target's life from others, zero while it is not known.
@@ -262,15 +262,15 @@
 }
 
 // PresenceStored notes that the registry shows what it is to show of the agent.
-func (c *Core) PresenceStored(now time.Time, p fleet.Presence) {
+func (c *Core) PresenceStored(now time.Time, p fleet.EntryState) {
 	switch {
 	case p != c.wantedPresence:
 		// It is to show something else by now.
 		return
-	case p == fleet.PresenceHere:
-		c.registration = fleet.ListingThere
-	case p == fleet.PresenceEnded:
-		c.registration = fleet.ListingTakenAway
+	case p == fleet.EntryPresent:
+		c.registration = fleet.RegistrationPresent
+	case p == fleet.EntryAbsent:
+		c.registration = fleet.RegistrationRemoved
 	}
 	c.introduce(now)
 	c.announceChange(now)
@@ -280,7 +280,7 @@
 // yet: a target takes no flow before balancers that have not heard of it can find
 // it in the registry.
 func (c *Core) awaitsRegistration(now time.Time) bool {
-	return c.target.up && c.registration != fleet.ListingThere && now.Sub(c.target.upSince) < registrationTimeout
+	return c.target.up && c.registration != fleet.RegistrationPresent && now.Sub(c.target.upSince) < registrationTimeout
 }
 
 // introduce lets the balancers hear of the agent once it knows its target. What it
@@ -301,7 +301,7 @@
 // periodTo is how soon a balancer hears of this agent again.
 func (c *Core) periodTo(ip flow.IPv4) time.Duration {
 	if zone, known := c.view.ZoneOf(ip); known && zone == c.opts.Zone {
-		return fleet.NearPeriod
+		return fleet.SameZonePeriod
 	}
 	return c.crossZonePeriod
 }
@@ -319,7 +319,7 @@
 func (c *Core) announcementTo(now time.Time, to flow.IPv4) fleet.Announcement {
 	a := c.announcement(now)
 	c.seq++
-	a.Identity = fleet.Identity{Epoch: c.opts.Epoch, Seq: c.seq}
+	a.MessageID = fleet.MessageID{Incarnation: c.opts.Incarnation, Seq: c.seq}
 	a.Period = c.periodTo(to)
 	a.WantReply = c.acks.wants(to)
 	c.acks.sent(now, to)
--- a/agent/packetfront/nodes_test.go
+++ b/agent/packetfront/nodes_test.go
@@ -13,7 +13,7 @@
 
 func TestAChangeOfStateIsAnnouncedAtOnce(t *testing.T) {
 	f := newFixture()
-	f.HandleNode(f.now, balancerIP, (&fleet.Beacon{Identity: fleet.Identity{Epoch: 4, Seq: 1}}).Append(nil))
+	f.HandleNode(f.now, balancerIP, (&fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 1}}).Append(nil))
 	f.beat(true)
 	a, err := fleet.DecodeAnnouncement(f.port.Last().Raw)
 	require.NoError(t, err)
@@ -27,7 +27,7 @@
 		f.beacon(ip, zone, 0)
 		f.beacon(ip, zone, f.Core.seq)
 	}
-	f.pass(fleet.NearPeriod)
+	f.pass(fleet.SameZonePeriod)
 	f.port.Nodes = nil
 	for i := range loadChangeStep {
 		f.syn(i, 0, 0)
@@ -35,7 +35,7 @@
 	f.pass(minAnnouncePause)
 	require.Len(t, f.port.Nodes, 1)
 	require.Equal(t, balancerIP, f.port.Last().To)
-	f.pass(fleet.NearPeriod)
+	f.pass(fleet.SameZonePeriod)
 	require.Len(t, f.port.Nodes, 3)
 }
 
@@ -50,7 +50,7 @@
 		"a target that reports":          {func(*fixture) {}, false},
 		"a target that is silent":        {func(f *fixture) { f.Probed(f.now, ProbeSilent) }, false},
 		"a target that drains":           {func(f *fixture) { f.beat(true) }, false},
-		"a target that has left":         {func(f *fixture) { f.Leave(f.now, fleet.Life{TargetID: "i-1"}) }, true},
+		"a target that has left":         {func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }, true},
 		"nothing listens there":          {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, true},
 		"another target came after that": {func(f *fixture) { f.Probed(f.now, ProbeRefused); f.Probed(f.now, ProbeAccepted) }, false},
 	} {
@@ -80,9 +80,9 @@
 		a, err := fleet.DecodeAnnouncement(s.Raw)
 		require.NoError(t, err)
 		counts[s.To]++
-		want := fleet.FarPeriod(farBalancers)
+		want := fleet.CrossZonePeriod(farBalancers)
 		if s.To == balancerIP {
-			want = fleet.NearPeriod
+			want = fleet.SameZonePeriod
 		}
 		require.Equal(t, want, a.Period)
 	}
@@ -109,8 +109,8 @@
 		f := newFixture()
 		f.opts.Seeds = []flow.IPv4{nextIP}
 		f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-		f.HandleNode(f.now, balancerIP, (&fleet.Beacon{Identity: fleet.Identity{Epoch: 4, Seq: 1}}).Append(nil))
-		f.pass(fleet.NearPeriod)
+		f.HandleNode(f.now, balancerIP, (&fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 1}}).Append(nil))
+		f.pass(fleet.SameZonePeriod)
 		require.Empty(t, f.port.Nodes, name)
 		c.learn(f)
 		if f.target.up {
@@ -140,22 +140,22 @@
 func TestTheRegistryFollowsTheTarget(t *testing.T) {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-	require.Equal(t, fleet.PresenceUnknown, f.Presence(f.now))
+	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now))
 	f.Probed(f.now, ProbeRefused)
-	require.Equal(t, fleet.PresenceUnknown, f.Presence(f.now), "it may be about to start")
+	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now), "it may be about to start")
 	f.now = f.now.Add(presenceHoldTime + 1)
 	f.Probed(f.now, ProbeRefused)
-	require.Equal(t, fleet.PresenceEnded, f.Presence(f.now))
+	require.Equal(t, fleet.EntryAbsent, f.Presence(f.now))
 	f.Probed(f.now, ProbeAccepted)
-	require.Equal(t, fleet.PresenceHere, f.Presence(f.now))
+	require.Equal(t, fleet.EntryPresent, f.Presence(f.now))
 	f.Probed(f.now, ProbeSilent)
-	require.Equal(t, fleet.PresenceHere, f.Presence(f.now), "silence proves nothing")
+	require.Equal(t, fleet.EntryPresent, f.Presence(f.now), "silence proves nothing")
 	f.beat(false)
-	f.Leave(f.now, fleet.Life{TargetID: "i-1"})
-	require.Equal(t, fleet.PresenceUnknown, f.Presence(f.now), "it may send its last packets")
+	f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
+	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now), "it may send its last packets")
 	require.True(t, f.WantsProbe(f.now))
 	f.Probed(f.now, ProbeRefused)
-	require.Equal(t, fleet.PresenceEnded, f.Presence(f.now), "its exit was seen")
+	require.Equal(t, fleet.EntryAbsent, f.Presence(f.now), "its exit was seen")
 	require.False(t, f.WantsProbe(f.now))
 }
 
@@ -163,12 +163,12 @@
 // probe where it has left.
 func TestATargetWhoseExitIsNotSeenLeavesTheRegistryAfterItsGrace(t *testing.T) {
 	f := newFixture()
-	f.Leave(f.now, fleet.Life{TargetID: "i-1"})
+	f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
 	f.Probed(f.now, ProbeSilent)
 	f.pass(deregistrationGrace)
-	require.Equal(t, fleet.PresenceUnknown, f.Presence(f.now))
+	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now))
 	f.pass(1)
-	require.Equal(t, fleet.PresenceEnded, f.Presence(f.now))
+	require.Equal(t, fleet.EntryAbsent, f.Presence(f.now))
 }
 
 // TestATargetThatGoesDownAndUpByTurnsIsNotWrittenEachTime: one that was there for long
@@ -176,16 +176,16 @@
 func TestATargetThatGoesDownAndUpByTurnsIsNotWrittenEachTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		up   time.Duration
-		want fleet.Presence
+		want fleet.EntryState
 	}{
-		"there for long":  {presenceHoldTime + 1, fleet.PresenceEnded},
-		"there for short": {presenceHoldTime, fleet.PresenceUnknown},
+		"there for long":  {presenceHoldTime + 1, fleet.EntryAbsent},
+		"there for short": {presenceHoldTime, fleet.EntryUnchanged},
 	} {
 		f := newFixture()
 		f.now = f.now.Add(c.up)
 		f.Probed(f.now, ProbeRefused)
 		require.Equal(t, c.want, f.Presence(f.now), name)
-		require.Equal(t, fleet.PresenceEnded, f.Presence(f.now.Add(presenceHoldTime+1)), name)
+		require.Equal(t, fleet.EntryAbsent, f.Presence(f.now.Add(presenceHoldTime+1)), name)
 	}
 }
 
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -162,7 +162,7 @@
 
 // TargetReport implements Events.
 func (o *observer) TargetReport(what string, b fleet.Heartbeat) {
-	o.Write(&o.reports, what, zap.String(fieldTargetID, b.TargetID), zap.Int64("born", b.Born), zap.Bool("draining", b.Draining), zap.Int(fieldSlots, b.Slots),
+	o.Write(&o.reports, what, zap.String(fieldTargetID, b.TargetID), zap.Int64("born", b.StartedMillis), zap.Bool("draining", b.Draining), zap.Int(fieldSlots, b.Slots),
 		zap.Duration("warmup", b.WarmupLeft), zap.Uint64("sequence", b.Sequence))
 }
 
--- a/agent/packetfront/overload.go
+++ b/agent/packetfront/overload.go
@@ -82,8 +82,8 @@
 	if c.env.Objective == 0 {
 		return c.canMeetDeadline(wait, h)
 	}
-	expected := fleet.Readings{Wait: wait, Took: c.estimate.ResponseTime()}
-	return c.queue.Len() < maxQueued && expected.InTime(backlog.RetransmissionAge(h.Ack), c.env.Objective)
+	expected := fleet.LoadReport{QueueDelay: wait, ResponseTime: c.estimate.ResponseTime()}
+	return c.queue.Len() < maxQueued && expected.MeetsObjective(backlog.RetransmissionAge(h.Ack), c.env.Objective)
 }
 
 // nextQueued takes out the request that gets the next slot.
--- a/agent/packetfront/pace_test.go
+++ b/agent/packetfront/pace_test.go
@@ -42,14 +42,14 @@
 		"hangs":          nothing,
 	} {
 		f := paced()
-		before := f.announcement(f.now).Readings
-		require.NotZero(t, before.Each, name)
+		before := f.announcement(f.now).LoadReport
+		require.NotZero(t, before.AnswerInterval, name)
 		for i := range 40 {
 			f.requestAtOnce(100+i, a)
 		}
-		after := f.announcement(f.now).Readings
-		require.Equal(t, before.Each, after.Each, name)
-		require.Equal(t, before.Took, after.Took, name)
+		after := f.announcement(f.now).LoadReport
+		require.Equal(t, before.AnswerInterval, after.AnswerInterval, name)
+		require.Equal(t, before.ResponseTime, after.ResponseTime, name)
 	}
 }
 
@@ -60,7 +60,7 @@
 	for i := range 40 {
 		f.requestAtOnce(i, after(time.Millisecond, failed))
 	}
-	require.Zero(t, f.announcement(f.now).Each)
+	require.Zero(t, f.announcement(f.now).AnswerInterval)
 	require.True(t, f.announcement(f.now).Ejected)
 }
 
@@ -68,19 +68,19 @@
 // any more once it has been idle for a while, and is observed anew by the next requests.
 func TestATargetThatWasSlowIsTriedAgain(t *testing.T) {
 	f := paced()
-	usual := f.announcement(f.now).Each
+	usual := f.announcement(f.now).AnswerInterval
 	slowUntil := f.now.Add(6 * time.Second)
 	for i := 100; f.now.Before(slowUntil); i++ {
 		f.requestAtOnce(i, after(280*time.Millisecond, served))
 	}
-	require.Greater(t, f.announcement(f.now).Each, 5*usual)
+	require.Greater(t, f.announcement(f.now).AnswerInterval, 5*usual)
 	f.now = f.now.Add(estimateTTL + time.Millisecond)
 	f.Tick(f.now)
-	require.Equal(t, fleet.Readings{}, f.announcement(f.now).Readings, "taken for typical, so it gets flows")
+	require.Equal(t, fleet.LoadReport{}, f.announcement(f.now).LoadReport, "taken for typical, so it gets flows")
 	for i := range 8 {
 		f.requestAtOnce(1000+i, after(40*time.Millisecond, served))
 	}
-	require.InDelta(t, float64(usual), float64(f.announcement(f.now).Each), float64(usual)/10)
+	require.InDelta(t, float64(usual), float64(f.announcement(f.now).AnswerInterval), float64(usual)/10)
 }
 
 // TestABusyTargetKeepsItsPace, however long its answer takes.
@@ -89,5 +89,5 @@
 	f.ask(100)
 	f.now = f.now.Add(estimateTTL + time.Millisecond)
 	f.Tick(f.now)
-	require.NotZero(t, f.announcement(f.now).Each)
+	require.NotZero(t, f.announcement(f.now).AnswerInterval)
 }
--- a/agent/packetfront/presence.go
+++ b/agent/packetfront/presence.go
@@ -19,26 +19,26 @@
 // RemovesEntry tells whether the agent, which is about to stop, has to take its entry out
 // of the registry: its target has ended.
 func (c *Core) RemovesEntry() bool {
-	if !c.TargetEnded() || c.registration == fleet.ListingTakenAway {
+	if !c.TargetEnded() || c.registration == fleet.RegistrationRemoved {
 		return false
 	}
-	c.wantedPresence = fleet.PresenceEnded
+	c.wantedPresence = fleet.EntryAbsent
 	return true
 }
 
 // Presence tells what the agent's entry in the registry is to show: it is there
 // while the target may live.
-func (c *Core) Presence(now time.Time) fleet.Presence {
-	h, wanted := &c.target, fleet.PresenceUnknown
+func (c *Core) Presence(now time.Time) fleet.EntryState {
+	h, wanted := &c.target, fleet.EntryUnchanged
 	switch {
 	case h.up && h.deregisteredAt.IsZero():
-		wanted = fleet.PresenceHere
+		wanted = fleet.EntryPresent
 	case h.absent() && h.staysAway(now):
-		wanted = fleet.PresenceEnded
+		wanted = fleet.EntryAbsent
 	}
-	if wanted != fleet.PresenceUnknown && wanted != c.wantedPresence {
+	if wanted != fleet.EntryUnchanged && wanted != c.wantedPresence {
 		// Until the store has answered its answer may be either.
-		c.wantedPresence, c.registration = wanted, fleet.ListingUnknown
+		c.wantedPresence, c.registration = wanted, fleet.RegistrationUnknown
 	}
 	return wanted
 }
--- a/agent/packetfront/relay.go
+++ b/agent/packetfront/relay.go
@@ -16,7 +16,7 @@
 	relayFreshness = 2*zonecast.AgentFlushPeriod + zonecast.RelayPeriod
 	// probeBalancersAfter is how long a balancer of another zone may stay unheard before it
 	// is asked; it is forgotten after fleet.Forget, and changes would not reach it then.
-	probeBalancersAfter = fleet.Forget / 2
+	probeBalancersAfter = fleet.ExpireAfter / 2
 	// maxIntroduced bounds the balancers whose greeting is remembered.
 	maxIntroduced = 4096
 )
@@ -41,7 +41,7 @@
 	c.relays.planner.StartRound()
 	plan := c.relays.planner.Plan(now, c.view)
 	c.crossZonePeriod = plan.Period
-	c.nextCrossZone = fleet.NextRound(now, c.crossZonePeriod, c.opts.Self)
+	c.nextCrossZone = fleet.NextSendTime(now, c.crossZonePeriod, c.opts.Self)
 	c.announceToAll(now, plan.Direct)
 	if c.introduced && len(plan.Relays) > 0 {
 		c.announceViaRelays(now, plan.Relays)
@@ -82,13 +82,13 @@
 	if err != nil {
 		return err
 	}
-	switch c.view.PeerProcess(r.From, m.Epoch) {
-	case fleet.Present:
-		if c.view.Beacon(now, r.From, m) != fleet.Stale {
-			c.view.Relayed(r.From)
+	switch c.view.PeerProcess(r.From, m.Incarnation) {
+	case fleet.ProcessCurrent:
+		if c.view.ApplyBeacon(now, r.From, m) != fleet.Stale {
+			c.view.MarkRelayed(r.From)
 			c.compareEvacuations(now, r.From, m.Evacuations)
 		}
-	case fleet.Unknown:
+	case fleet.ProcessUnknown:
 		c.probeNamed(now, r.From)
 	}
 	return nil
@@ -103,9 +103,9 @@
 
 // probeOverdue asks balancers of other zones whose messages are not relayed any more.
 func (c *Core) probeOverdue(now time.Time) {
-	for _, ip := range c.view.OverduePeers(now, c.opts.Zone, probeBalancersAfter, false) {
+	for _, ip := range c.view.PeersToProbe(now, c.opts.Zone, probeBalancersAfter, false) {
 		p, _ := c.view.Peer(ip)
-		c.events.Probed(ip, now.Sub(p.HeardAt))
+		c.events.Probed(ip, now.Sub(p.LastSeen))
 		c.probeBalancer(now, ip)
 	}
 }
--- a/agent/packetfront/relay_test.go
+++ b/agent/packetfront/relay_test.go
@@ -30,7 +30,7 @@
 
 // relays lets a balancer relay a beacon of the first one of the other zone.
 func (f *fixture) relays(epoch uint64, seq uint32) {
-	m := fleet.Beacon{Identity: fleet.Identity{Epoch: epoch, Seq: seq}, Zone: farZone}
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: epoch, Seq: seq}, Zone: farZone}
 	fleet.AppendBatches(nil, []fleet.RelayedMessage{{From: firstFar, Message: m.Append(nil)}}, func(b []byte) { f.HandleNode(f.now, balancerIP, b) })
 }
 
@@ -73,7 +73,7 @@
 		"and the target drains": {20, 20, true},
 	} {
 		f := &fixture{port: &port{}, now: time.Unix(1_700_000_000, 0)}
-		f.Core = New(f.now, Options{Self: 9, Service: service, Epoch: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platformCodec, quiet{})
+		f.Core = New(f.now, Options{Self: 9, Service: service, Incarnation: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platformCodec, quiet{})
 		f.Probed(f.now, ProbeAccepted)
 		f.registered()
 		f.meetsZone(c.count)
@@ -104,7 +104,7 @@
 			f.meetsZone(1)
 		}
 		f.port.Nodes = nil
-		f.now = f.now.Add(fleet.Forget - time.Second)
+		f.now = f.now.Add(fleet.ExpireAfter - time.Second)
 		f.relays(c.epoch, 1000)
 		f.relays(c.epoch, 1001)
 		sent := f.port.OfKind(envelope.Announce)
@@ -115,7 +115,7 @@
 			require.True(t, a.WantReply, name)
 		}
 		f.pass(2 * time.Second)
-		require.Equal(t, c.heard, f.view.KnowsBalancer(firstFar), name)
+		require.Equal(t, c.heard, f.view.HasBalancer(firstFar), name)
 	}
 }
 
@@ -125,7 +125,7 @@
 	f.meetsZone(1)
 	f.relays(4, 1000)
 	asked := 0
-	for range int(fleet.Forget/time.Second) - 1 {
+	for range int(fleet.ExpireAfter/time.Second) - 1 {
 		f.pass(time.Second)
 		for _, s := range f.port.OfKind(envelope.Announce) {
 			if a, err := fleet.DecodeAnnouncement(s.Raw); err == nil && s.To == firstFar && a.WantReply {
@@ -141,7 +141,7 @@
 func TestWhatIsNoBatchOfBeaconsIsRefused(t *testing.T) {
 	f := newFixture()
 	f.port.Nodes = nil
-	a := fleet.Announcement{Identity: fleet.Identity{Epoch: 3, Seq: 1}}
+	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 3, Seq: 1}}
 	for _, message := range [][]byte{nil, a.Append(nil), envelope.AppendPrefix(nil, envelope.Beacon)} {
 		fleet.AppendBatches(nil, []fleet.RelayedMessage{{From: firstFar, Message: message}}, func(b []byte) { f.HandleNode(f.now, balancerIP, b) })
 	}
--- a/agent/packetfront/target.go
+++ b/agent/packetfront/target.go
@@ -11,7 +11,7 @@
 type target struct {
 	// incarnation is the target's, without an ID until it reports; sequence is that of its last
 	// heartbeat.
-	incarnation fleet.Life
+	incarnation fleet.Incarnation
 	sequence    uint64
 	// history are the lives before it.
 	history incarnationHistory
@@ -147,17 +147,17 @@
 	h := &c.target
 	sawStart := h.sawEnd || !h.deregisteredAt.IsZero() || (h.incarnation.TargetID == "" && h.probeRefused)
 	h.history.retire(h.incarnation)
-	h.history.claimant = fleet.Life{}
-	*h = target{incarnation: b.Life, history: h.history, up: h.up, upSince: h.upSince, probeRefused: sawStart, sawStart: sawStart, probedAt: h.probedAt, acceptedAt: h.acceptedAt, lastProbeFailed: h.lastProbeFailed}
+	h.history.claimant = fleet.Incarnation{}
+	*h = target{incarnation: b.Incarnation, history: h.history, up: h.up, upSince: h.upSince, probeRefused: sawStart, sawStart: sawStart, probedAt: h.probedAt, acceptedAt: h.acceptedAt, lastProbeFailed: h.lastProbeFailed}
 	c.events.TargetReport("target found", b)
 }
 
 // Leave takes the last word of a target. One that does not say which life it ends is
 // taken for the present one's.
-func (c *Core) Leave(now time.Time, l fleet.Life) {
+func (c *Core) Leave(now time.Time, l fleet.Incarnation) {
 	h := &c.target
-	if l.TargetID != h.incarnation.TargetID || (l.Born != 0 && l.Born != h.incarnation.Born) || !h.deregisteredAt.IsZero() {
-		c.events.TargetReport("late farewell ignored", fleet.Heartbeat{Life: l})
+	if l.TargetID != h.incarnation.TargetID || (l.StartedMillis != 0 && l.StartedMillis != h.incarnation.StartedMillis) || !h.deregisteredAt.IsZero() {
+		c.events.TargetReport("late farewell ignored", fleet.Heartbeat{Incarnation: l})
 		return
 	}
 	h.deregisteredAt = now
--- a/balancer/operator/gap.go
+++ b/balancer/operator/gap.go
@@ -57,7 +57,7 @@
 // updateGap checks whether another balancer has a newer configuration than this one.
 func (s *State) updateGap(now time.Time) gap {
 	localVersion := s.ConfigVersion()
-	peer, version, newer := s.fleet.Newest(max(localVersion, s.undecodableVersion))
+	peer, version, newer := s.fleet.NewestConfig(max(localVersion, s.undecodableVersion))
 	switch {
 	case !newer:
 		s.gap = gap{localVersion: localVersion}
@@ -94,7 +94,7 @@
 		return 0, 0, false
 	}
 	s.nextCopyFetchAt = now.Add(copyFetchInterval)
-	return s.fleet.NewestKept(now, func(ip flow.IPv4) bool { return now.Before(s.copyRetryAt[ip]) }, s.rnd.IntN)
+	return s.fleet.NewestConfigCopy(now, func(ip flow.IPv4) bool { return now.Before(s.copyRetryAt[ip]) }, s.rnd.IntN)
 }
 
 // StoreDuty returns what to do at the store now.
@@ -134,7 +134,7 @@
 // FetchFailed records that a node did not supply a usable configuration. It reports whether
 // the node is an agent, whose copy is then avoided for failedCopyBackoff.
 func (s *State) FetchFailed(now time.Time, from flow.IPv4) bool {
-	if !s.fleet.KnowsTarget(from) {
+	if !s.fleet.HasTarget(from) {
 		return false
 	}
 	s.copyRetryAt[from] = now.Add(failedCopyBackoff)
--- a/balancer/operator/state.go
+++ b/balancer/operator/state.go
@@ -9,15 +9,15 @@
 
 // Fleet supplies what a State needs to know of other nodes; a fleet.View implements it.
 type Fleet interface {
-	// Newest returns the balancer with the highest configuration version above the given one.
-	Newest(above int64) (balancer flow.IPv4, version int64, ok bool)
-	// NewestKept returns an agent with the highest version among the agents' copies; pick
+	// NewestConfig returns the balancer with the highest configuration version above the given one.
+	NewestConfig(above int64) (balancer flow.IPv4, version int64, ok bool)
+	// NewestConfigCopy returns an agent with the highest version among the agents' copies; pick
 	// chooses among several, by their number.
-	NewestKept(now time.Time, except func(flow.IPv4) bool, pick func(n int) int) (agent flow.IPv4, version int64, ok bool)
-	// KnowsTarget reports whether an address is that of a target's agent.
-	KnowsTarget(ip flow.IPv4) bool
-	// Feeds reports whether a balancer has to watch the store.
-	Feeds(now time.Time, self flow.IPv4, zone flow.Tag) bool
+	NewestConfigCopy(now time.Time, except func(flow.IPv4) bool, pick func(n int) int) (agent flow.IPv4, version int64, ok bool)
+	// HasTarget reports whether an address is that of a target's agent.
+	HasTarget(ip flow.IPv4) bool
+	// ShouldFeed reports whether a balancer has to watch the store.
+	ShouldFeed(now time.Time, self flow.IPv4, zone flow.Tag) bool
 }
 
 // Listener is called when a change comes into force, at once and under the owner's lock.
@@ -118,7 +118,7 @@
 }
 
 // Feeds reports whether this balancer has to watch the store.
-func (s *State) Feeds(now time.Time) bool { return s.fleet.Feeds(now, s.opts.Self, s.opts.Zone) }
+func (s *State) Feeds(now time.Time) bool { return s.fleet.ShouldFeed(now, s.opts.Self, s.opts.Zone) }
 
 // StoreAnswered records that the store answered.
 func (s *State) StoreAnswered(now time.Time) { s.storeAnsweredAt = now }
--- a/balancer/packetfront/cold.go
+++ b/balancer/packetfront/cold.go
@@ -13,7 +13,7 @@
 	if !h.Cold {
 		return false
 	}
-	anew := c.operator.Config().ColdRates[h.Service] * now.Sub(h.HeardAt).Seconds()
-	share := (float64(h.Room) + anew) / float64(c.view.BalancerCount()+1)
-	return float64(h.Sent) >= share
+	anew := c.operator.Config().ColdRates[h.Service] * now.Sub(h.LastSeen).Seconds()
+	share := (float64(h.Headroom) + anew) / float64(c.view.BalancerCount()+1)
+	return float64(h.FlowsSent) >= share
 }
--- a/balancer/packetfront/cold_test.go
+++ b/balancer/packetfront/cold_test.go
@@ -18,8 +18,8 @@
 func (f *fixture) announceCold(ip flow.IPv4, room uint16) {
 	f.seq++
 	a := fleet.Announcement{
-		Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4,
-		Cold: true, Room: room,
+		MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4,
+		Cold: true, Headroom: room,
 	}
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
--- a/balancer/packetfront/core.go
+++ b/balancer/packetfront/core.go
@@ -28,9 +28,9 @@
 	Zone flow.Tag
 	// Seeds are addresses of balancers to join by.
 	Seeds []flow.IPv4
-	// Epoch is random for each start.
-	Epoch   uint64
-	Weights choose.Weights
+	// Incarnation is random for each start.
+	Incarnation uint64
+	Weights     choose.Weights
 	// LinkMbps is the width of this VM's link, Mbit/s, zero when it is not known.
 	LinkMbps float64
 	// FollowTime is how long after an answer of the store a balancer counts as fed:
@@ -99,7 +99,7 @@
 	nextJoin                    time.Time
 	nextNodeRequest             time.Time
 	// registeredBalancers is the last reading of the balancers' registry.
-	registeredBalancers fleet.RegistryReading
+	registeredBalancers fleet.UnseenTracker
 	nextAudit           time.Time
 	// deadNodes are dead nodes that are still in the registry, nextDepart is when they
 	// may be taken out.
@@ -136,7 +136,7 @@
 	}
 	c.operator = operator.New(now, operator.Options{Self: opts.Self, Zone: opts.Zone, FollowTime: opts.FollowTime}, c.view, listener{c}, rnd)
 	c.proof = search.NewProof(now, opts.Self, opts.Seeds, c.view)
-	found := search.Options{Self: opts.Self, Zone: opts.Zone, Incarnation: opts.Epoch, First: searchFirstTargets}
+	found := search.Options{Self: opts.Self, Zone: opts.Zone, Incarnation: opts.Incarnation, First: searchFirstTargets}
 	c.finder = search.New(found, c.operator.Config, c.view, c.table, c.proof, codec, finderPort{c}, events)
 	return c
 }
@@ -260,9 +260,9 @@
 		c.table.Put(now, key, chosen.Target)
 	}
 	target, _ := c.view.Target(chosen.Target)
-	target.Sent++
+	target.FlowsSent++
 	c.events.Opened(Decision{Key: key, Route: route.Name, Service: backend.Name, Target: target, Config: c.operator.Config().Version, Evacuations: c.operator.Evacuations().Revision,
-		Age: now.Sub(target.HeardAt), Expected: c.expected, OtherZone: target.Zone != c.opts.Zone, Candidates: len(candidates), Copy: h.Ack})
+		Age: now.Sub(target.LastSeen), Expected: c.expected, OtherZone: target.Zone != c.opts.Zone, Candidates: len(candidates), Copy: h.Ack})
 	c.env = envelope.Envelope{
 		Kind: envelope.Deliver, Balancer: c.opts.Self, Service: chosen.Service, Priority: route.Priority,
 		Objective: route.Objective, Deadline: route.Deadline, ColdRate: c.operator.Config().ColdRates[backend.Tag],
--- a/balancer/packetfront/core_test.go
+++ b/balancer/packetfront/core_test.go
@@ -58,7 +58,7 @@
 		f.announce(other+1, fleet.Ready)
 		for _, ip := range c.ejected {
 			f.seq++
-			a := fleet.Announcement{Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, Ejected: true}
+			a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, Ejected: true}
 			f.HandleNode(f.now, ip, a.Append(nil))
 		}
 		offered := false
@@ -117,7 +117,7 @@
 
 func TestANewConfigurationIsToldAtOnce(t *testing.T) {
 	f := newFixture()
-	f.HandleNode(f.now, peer, (&fleet.Beacon{Identity: fleet.Identity{Epoch: 4, Seq: 1}}).Append(nil))
+	f.HandleNode(f.now, peer, (&fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 1}}).Append(nil))
 	f.port.Nodes = nil
 	f.SetConfig(f.now, config(6))
 	m, err := fleet.DecodeBeacon(f.port.Nodes[0].Raw)
@@ -147,7 +147,7 @@
 // and a copy that another balancer sent may have opened the flow elsewhere.
 func TestARememberedTargetThatIsNotHeardIsSearchedFor(t *testing.T) {
 	for name, after := range map[string]time.Duration{
-		"heard lately": fleet.Quiet / 2, "silent": fleet.Quiet + time.Millisecond, "forgotten": fleet.Forget + time.Second,
+		"heard lately": fleet.OverdueAfter / 2, "silent": fleet.OverdueAfter + time.Millisecond, "forgotten": fleet.ExpireAfter + time.Second,
 	} {
 		f := newFixture()
 		f.client(packet(true, 0))
@@ -160,7 +160,7 @@
 		}
 		f.client(packet(false, 9))
 		sent := f.port.Delivered()[1]
-		if after < fleet.Quiet {
+		if after < fleet.OverdueAfter {
 			require.Equal(t, opened, sent.To, name)
 			require.Zero(t, sent.Env.Flags&envelope.Search, name)
 		} else {
@@ -179,7 +179,7 @@
 	}
 	for i := range flow.IPv4(10) {
 		f.seq++
-		a := fleet.Announcement{Identity: fleet.Identity{Epoch: 1, Seq: f.seq}, Service: alpha, Zone: 9, State: fleet.Ready, Slots: 4}
+		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: f.seq}, Service: alpha, Zone: 9, State: fleet.Ready, Slots: 4}
 		f.HandleNode(f.now, 0x0a030000+i, a.Append(nil))
 	}
 	f.client(packet(true, 0))
@@ -204,33 +204,33 @@
 // started yet has to be known to everybody before it does, and who has not heard
 // of one that was taken away never will.
 func TestTargetsThatAreGoneAreGreetedAndNotWaitedFor(t *testing.T) {
-	names := func(f *fixture) (n fleet.Names) {
+	names := func(f *fixture) (n fleet.NodeList) {
 		f.port.Nodes = nil
 		f.seq++
-		ask := fleet.Beacon{Identity: fleet.Identity{Epoch: 4, Seq: f.seq}, WantPeers: true}
+		ask := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: f.seq}, WantPeers: true}
 		f.HandleNode(f.now, peer, ask.Append(nil))
 		for _, s := range f.port.Nodes {
 			if s.Kind == envelope.Peers {
 				var err error
-				n, err = fleet.DecodeNames(s.Raw)
+				n, err = fleet.DecodeNodeList(s.Raw)
 				require.NoError(t, err)
 			}
 		}
 		return n
 	}
 	f := newFixture()
-	require.Empty(t, names(f).Idle)
+	require.Empty(t, names(f).IdleAgents)
 	digest := f.View().Digest(f.now, self)
 	f.announce(other, fleet.Gone)
-	require.Equal(t, []flow.IPv4{other}, names(f).Idle)
-	require.ElementsMatch(t, []flow.IPv4{targetA, targetB}, names(f).Holders)
+	require.Equal(t, []flow.IPv4{other}, names(f).IdleAgents)
+	require.ElementsMatch(t, []flow.IPv4{targetA, targetB}, names(f).ActiveAgents)
 	require.NotEqual(t, digest, f.View().Digest(f.now, self), "others are to hear of it")
-	f.wait(fleet.Quiet + time.Second)
-	require.Empty(t, names(f).Idle)
+	f.wait(fleet.OverdueAfter + time.Second)
+	require.Empty(t, names(f).IdleAgents)
 	f.View().Expire(f.now)
 
 	fresh := newFixture()
-	fleet.Names{Idle: []flow.IPv4{other}}.Append(nil, func(msg []byte) { fresh.HandleNode(fresh.now, peer, msg) })
+	fleet.NodeList{IdleAgents: []flow.IPv4{other}}.Append(nil, func(msg []byte) { fresh.HandleNode(fresh.now, peer, msg) })
 	require.Equal(t, other, fresh.port.Nodes[0].To, "greeted")
 	fresh.client(packet(false, 9))
 	fresh.answer(targetB, envelope.SearchExhausted, packet(false, 9))
--- a/balancer/packetfront/evacuations.go
+++ b/balancer/packetfront/evacuations.go
@@ -32,7 +32,7 @@
 // that is ready.
 func (c *Core) refusal(service flow.Tag) string {
 	reason := ""
-	for _, h := range c.view.Service(service) {
+	for _, h := range c.view.TargetsOf(service) {
 		switch {
 		case c.acceptsFlows(h):
 			return "targets of the service cold"
--- a/balancer/packetfront/evacuations_test.go
+++ b/balancer/packetfront/evacuations_test.go
@@ -33,7 +33,7 @@
 func (f *fixture) announceIn(ip flow.IPv4, zone string, ejected bool) {
 	f.seq++
 	a := fleet.Announcement{
-		Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4,
+		MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4,
 		Zone: flow.TagOf(zone), Ejected: ejected,
 	}
 	f.HandleNode(f.now, ip, a.Append(nil))
@@ -46,7 +46,7 @@
 	out := map[flow.IPv4]int{}
 	for _, ip := range f.View().Targets() {
 		h, _ := f.View().Target(ip)
-		h.Sent = 0
+		h.FlowsSent = 0
 	}
 	for port := range uint16(50) {
 		k := key
@@ -90,7 +90,7 @@
 // beaconOf lets another balancer say which zones are emptied.
 func (f *fixture) beaconOf(ip flow.IPv4, e flow.Evacuations) {
 	f.seq++
-	m := fleet.Beacon{Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Evacuations: e, Period: time.Hour}
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Evacuations: e, Period: time.Hour}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
@@ -208,7 +208,7 @@
 	require.Equal(t, evacuations(9, "a"), f.Evacuations())
 	// A message of a former process of the other balancer comes late.
 	f.beaconOf(peer, evacuations(10))
-	late := fleet.Beacon{Identity: fleet.Identity{Epoch: uint64(peer), Seq: f.seq - 1}, Evacuations: evacuations(11, "a")}
+	late := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(peer), Seq: f.seq - 1}, Evacuations: evacuations(11, "a")}
 	f.HandleNode(f.now, peer, late.Append(nil))
 	require.Equal(t, evacuations(10), f.Evacuations())
 	require.Equal(t, "op/evacuate/a", platform.EvacuateKey("a"))
--- a/balancer/packetfront/events.go
+++ b/balancer/packetfront/events.go
@@ -62,7 +62,7 @@
 	TargetChanged(h *fleet.Target, change fleet.Change)
 	TargetForgotten(ip flow.IPv4)
 	// ZoneSilenceChanged tells that a zone has fallen silent, or that it was heard again.
-	ZoneSilenceChanged(s fleet.Silence)
+	ZoneSilenceChanged(s fleet.ZoneSilence)
 	PeerChanged(ip flow.IPv4, what string)
 	// ZoneRelayed tells that another zone is told through relays from now on, or
 	// directly again, and how many of its balancers were heard lately.
--- a/balancer/packetfront/finder_test.go
+++ b/balancer/packetfront/finder_test.go
@@ -21,7 +21,7 @@
 // newStarted returns a balancer that knows nothing yet.
 func newStarted() *fixture {
 	f := &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)}
-	f.Core = New(f.now, Options{Self: self, Epoch: 1}, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, rand.New(rand.NewPCG(1, 1)))
+	f.Core = New(f.now, Options{Self: self, Incarnation: 1}, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, rand.New(rand.NewPCG(1, 1)))
 	return f
 }
 
@@ -61,12 +61,12 @@
 	}{
 		"all said no":                {want: ""},
 		"one was unsure":             {flags: envelope.Uncertain, want: search.UncertainTarget},
-		"an agent is missing":        {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: search.UncertainMissing},
-		"an agent is not registered": {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: search.UncertainRegistry},
+		"an agent is missing":        {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other))) }, want: search.UncertainMissing},
+		"an agent is not registered": {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA))) }, want: search.UncertainRegistry},
 		"the registry was not read":  {prepare: func(f *fixture) { f.started(f.now.Add(-time.Minute)) }, want: search.UncertainSnapshot},
 		"another balancer names an agent": {
 			prepare: func(f *fixture) {
-				fleet.Names{Holders: []flow.IPv4{other}}.Append(nil, func(msg []byte) { f.HandleNode(f.now, peer, msg) })
+				fleet.NodeList{ActiveAgents: []flow.IPv4{other}}.Append(nil, func(msg []byte) { f.HandleNode(f.now, peer, msg) })
 			},
 			want: search.UncertainMissing,
 		},
@@ -92,7 +92,7 @@
 				f.SetSeeds([]flow.IPv4{self, peer})
 				f.hears(peer)
 				f.now = f.now.Add(search.FreshTime)
-				f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+				f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 			},
 			want: "",
 		},
--- a/balancer/packetfront/fixture_test.go
+++ b/balancer/packetfront/fixture_test.go
@@ -46,7 +46,7 @@
 func (quiet) TargetChanged(*fleet.Target, fleet.Change)            {}
 func (quiet) TargetForgotten(flow.IPv4)                            {}
 func (quiet) PeerChanged(flow.IPv4, string)                        {}
-func (quiet) ZoneSilenceChanged(fleet.Silence)                     {}
+func (quiet) ZoneSilenceChanged(fleet.ZoneSilence)                 {}
 func (quiet) ZoneRelayed(flow.Tag, int, bool)                      {}
 func (quiet) Relayed(int)                                          {}
 func (quiet) Probed(flow.IPv4, time.Duration)                      {}
@@ -68,13 +68,13 @@
 // fixtureIn is newFixture in a zone; its targets are in zone zero.
 func fixtureIn(zone flow.Tag) *fixture {
 	f := &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)}
-	opts := Options{Self: self, Zone: zone, Epoch: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}}
+	opts := Options{Self: self, Zone: zone, Incarnation: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}}
 	f.Core = New(f.now, opts, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, rand.New(rand.NewPCG(1, 1)))
 	f.SetConfig(f.now, config(5))
 	f.now = f.now.Add(search.SettleTime + time.Second)
 	f.announce(targetA, fleet.Ready)
 	f.announce(targetB, fleet.Ready)
-	f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+	f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 	f.port.Nodes = nil
 	return f
 }
@@ -94,7 +94,7 @@
 func registered(ips ...flow.IPv4) []fleet.Entry {
 	var out []fleet.Entry
 	for _, ip := range ips {
-		out = append(out, fleet.Entry{IP: ip, Epoch: uint64(ip), Revision: 1})
+		out = append(out, fleet.Entry{IP: ip, Incarnation: uint64(ip), Revision: 1})
 	}
 	return out
 }
@@ -107,13 +107,13 @@
 
 func (f *fixture) announce(ip flow.IPv4, state fleet.State) {
 	f.seq++
-	a := fleet.Announcement{Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Service: alpha, State: state, Slots: 4}
+	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: state, Slots: 4}
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
 // hears lets another balancer say for the first time that it is there.
 func (f *fixture) hears(ip flow.IPv4) {
-	m := fleet.Beacon{Identity: fleet.Identity{Epoch: uint64(ip), Seq: 1}, Digest: f.View().Digest(f.now, self)}
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}, Digest: f.View().Digest(f.now, self)}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
--- a/balancer/packetfront/followregistry.go
+++ b/balancer/packetfront/followregistry.go
@@ -38,7 +38,7 @@
 	wanted := false
 	f.locked(func(now time.Time) { wanted = f.core.MustRegister(now) })
 	if wanted {
-		f.entry.SetPresence(fleet.PresenceHere)
+		f.entry.SetPresence(fleet.EntryPresent)
 	}
 }
 
@@ -88,8 +88,8 @@
 	return page, err
 }
 
-func snapshotOf(began, ended time.Time, l registry.EntryList) fleet.Survey {
-	return fleet.Survey{Earliest: began, Latest: ended, Revision: l.Revision, Agents: l.Entries}
+func snapshotOf(began, ended time.Time, l registry.EntryList) fleet.Snapshot {
+	return fleet.Snapshot{Earliest: began, Latest: ended, Revision: l.Revision, Agents: l.Entries}
 }
 
 // refreshSnapshot reads which agents are registered when the core wants to know, or has
@@ -121,7 +121,7 @@
 	}
 }
 
-func (f *Front) recordSnapshot(s fleet.Survey, from string) {
+func (f *Front) recordSnapshot(s fleet.Snapshot, from string) {
 	f.locked(func(now time.Time) {
 		f.log.Debug("registry read", zap.Int("agents", len(s.Agents)), zap.Int64(telemetry.FieldRevision, s.Revision),
 			zap.Duration("age", now.Sub(s.Earliest)), zap.String("from", from))
--- a/balancer/packetfront/front.go
+++ b/balancer/packetfront/front.go
@@ -54,7 +54,7 @@
 	// mu guards core; nothing else is locked under it.
 	mu        sync.Mutex
 	core      *Core
-	isolation fleet.Alone
+	isolation fleet.IsolationTimer
 	// snapshotReader reads the agents' registry for this balancer and others of its zone,
 	// surveyClient asks others for their readings.
 	snapshotReader *surveycopy.Reader
@@ -80,7 +80,7 @@
 		return nil, errors.Wrap(err, "field \"internal\"")
 	}
 	opts := Options{
-		Self: f.self, Zone: flow.TagOf(cfg.Zone), Seeds: flow.ParseAddrs(cfg.Seeds), Epoch: rand.Uint64() | 1,
+		Self: f.self, Zone: flow.TagOf(cfg.Zone), Seeds: flow.ParseAddrs(cfg.Seeds), Incarnation: rand.Uint64() | 1,
 		Weights:    choose.Weights{CrossZoneCost: cfg.OtherZoneCost, CrossZonePrice: cfg.OtherZonePrice.D(), Warming: warmingFactor},
 		LinkMbps:   cfg.LinkMbps,
 		FollowTime: operator.FollowTime(cfg.CatchUpWithin.D()),
@@ -88,7 +88,7 @@
 	calls := telemetry.NewStoreCalls(counters)
 	f.registry = calls.For(telemetry.PurposeRegistry, stored)
 	f.snapshotReader, f.snapshotClient = surveycopy.NewReader(f.readAgents), surveycopy.NewClient()
-	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleBalancer, f.self, opts.Epoch, log, func(fleet.Presence) {})
+	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleBalancer, f.self, opts.Incarnation, log, func(fleet.EntryState) {})
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	f.core = New(time.Now(), opts, f, platform.Codec{}, newObserver(log, f.reg), rnd)
 	f.source = &operator.Source{
--- a/balancer/packetfront/front_test.go
+++ b/balancer/packetfront/front_test.go
@@ -245,7 +245,7 @@
 		go func() {
 			_ = telemetry.ServeHTTP(ctx, address.String(), configcopy.Handler(func() *configcopy.Copy { return kept }, zap.NewNop()))
 		}()
-		a := fleet.Announcement{Identity: fleet.Identity{Epoch: 1, Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 4, ConfigVersion: 7}
+		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 4, ConfigVersion: 7}
 		f.locked(func(now time.Time) { f.core.HandleNode(now, flow.FromAddr(address.Addr()), a.Append(nil)) })
 	}
 	require.Eventually(t, func() bool { return f.version() == 7 }, 3*time.Second, time.Millisecond)
--- a/balancer/packetfront/join_test.go
+++ b/balancer/packetfront/join_test.go
@@ -29,8 +29,8 @@
 		for _, s := range f.port.OfKind(envelope.Beacon) {
 			greeted[s.To] = append(greeted[s.To], f.now.Sub(began))
 		}
-		if f.now.Sub(began) >= 100*time.Millisecond && !f.view.KnowsBalancer(peer) {
-			m := fleet.Beacon{Identity: fleet.Identity{Epoch: 1, Seq: 1}}
+		if f.now.Sub(began) >= 100*time.Millisecond && !f.view.HasBalancer(peer) {
+			m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 1, Seq: 1}}
 			f.HandleNode(f.now, peer, m.Append(nil))
 		}
 		f.now = f.now.Add(f.TickPeriod(f.now))
--- a/balancer/packetfront/keeper.go
+++ b/balancer/packetfront/keeper.go
@@ -20,7 +20,7 @@
 // AuditDue tells whether the whole registry is to be read. A balancer that has
 // just started does not know yet who lives.
 func (c *Core) AuditDue(now time.Time) bool {
-	if now.Sub(c.startedAt) < fleet.Forget || now.Before(c.nextAudit) || !c.view.Keeper(now, c.opts.Self) {
+	if now.Sub(c.startedAt) < fleet.ExpireAfter || now.Before(c.nextAudit) || !c.view.IsReaper(now, c.opts.Self) {
 		return false
 	}
 	c.nextAudit = now.Add(auditPeriod)
@@ -29,9 +29,9 @@
 
 // Audited takes a reading of the whole registry; that of the balancers began at the given
 // time.
-func (c *Core) Audited(now, began time.Time, balancers []fleet.Entry, agents fleet.Survey) {
+func (c *Core) Audited(now, began time.Time, balancers []fleet.Entry, agents fleet.Snapshot) {
 	balancers = slices.DeleteFunc(balancers, func(e fleet.Entry) bool { return e.IP == c.opts.Self })
-	c.registeredBalancers.Take(began, balancers, c.view.KnowsBalancer)
+	c.registeredBalancers.Update(began, balancers, c.view.HasBalancer)
 	c.TakeSnapshot(now, agents)
 }
 
@@ -70,8 +70,8 @@
 		c.events.PeerChanged(e.IP, "forgotten")
 	}
 	targets = append(targets, c.proof.Purge(now)...)
-	balancers = append(balancers, c.registeredBalancers.Strike(now, c.view.KnowsBalancer)...)
-	if !c.view.Keeper(now, c.opts.Self) || len(targets)+len(balancers) > c.view.Heard(now) {
+	balancers = append(balancers, c.registeredBalancers.Purge(now, c.view.HasBalancer)...)
+	if !c.view.IsReaper(now, c.opts.Self) || len(targets)+len(balancers) > c.view.AliveCount(now) {
 		return
 	}
 	for _, e := range targets {
--- a/balancer/packetfront/keeper_test.go
+++ b/balancer/packetfront/keeper_test.go
@@ -12,7 +12,7 @@
 
 func (f *fixture) beacon(ip flow.IPv4) {
 	f.seq++
-	m := fleet.Beacon{Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, ConfigVersion: 5}
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, ConfigVersion: 5}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
@@ -37,7 +37,9 @@
 // TestTheKeeperStrikesDeadNodes: the first living balancer by address does, and
 // only nodes that were unheard for as long as nodes are remembered.
 func TestTheKeeperStrikesDeadNodes(t *testing.T) {
-	agent := func(ip flow.IPv4) DeadNode { return DeadNode{fleet.RoleAgent, fleet.Entry{IP: ip, Epoch: uint64(ip)}} }
+	agent := func(ip flow.IPv4) DeadNode {
+		return DeadNode{fleet.RoleAgent, fleet.Entry{IP: ip, Incarnation: uint64(ip)}}
+	}
 	surveyed := func(ip flow.IPv4) DeadNode { return DeadNode{fleet.RoleAgent, registered(ip)[0]} }
 	for name, c := range map[string]struct {
 		prepare   func(f *fixture)
@@ -48,21 +50,21 @@
 	}{
 		"all live":               {agents: []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higher}},
 		"an agent died":          {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higher}, want: []DeadNode{agent(targetB)}},
-		"an agent died just now": {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higher}, after: fleet.Forget / 2},
+		"an agent died just now": {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higher}, after: fleet.ExpireAfter / 2},
 		"another one keeps it":   {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{lower, higher}},
 		"the other keeper died": {
 			prepare: func(f *fixture) { f.beacon(lower) },
 			agents:  []flow.IPv4{targetA}, balancers: []flow.IPv4{higher},
-			want: []DeadNode{agent(targetB), {fleet.RoleBalancer, fleet.Entry{IP: lower, Epoch: uint64(lower)}}},
+			want: []DeadNode{agent(targetB), {fleet.RoleBalancer, fleet.Entry{IP: lower, Incarnation: uint64(lower)}}},
 		},
 		"a registered agent was never heard": {
-			prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) },
+			prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other))) },
 			agents:  []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higher},
 			want: []DeadNode{surveyed(other)},
 		},
 		"a registered balancer was never heard": {
 			prepare: func(f *fixture) {
-				f.Audited(f.now, f.now, registered(self, higher, lower), fleet.SurveyAt(f.now, registered(targetA, targetB)))
+				f.Audited(f.now, f.now, registered(self, higher, lower), fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 			},
 			agents: []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higher},
 			want: []DeadNode{{fleet.RoleBalancer, registered(lower)[0]}},
@@ -74,7 +76,7 @@
 			c.prepare(f)
 		}
 		if c.after == 0 {
-			c.after = fleet.Forget + 3*time.Second
+			c.after = fleet.ExpireAfter + 3*time.Second
 		}
 		f.live(c.after, c.agents, c.balancers)
 		require.ElementsMatch(t, c.want, f.DeadNodes(f.now), name)
@@ -85,8 +87,8 @@
 // TestTheRosterIsReadRarely, by the keeper, once it knows who lives.
 func TestTheRosterIsReadRarely(t *testing.T) {
 	f := newFixture()
-	require.False(t, f.AuditDue(f.startedAt.Add(fleet.Forget-1)))
-	now := f.startedAt.Add(fleet.Forget)
+	require.False(t, f.AuditDue(f.startedAt.Add(fleet.ExpireAfter-1)))
+	now := f.startedAt.Add(fleet.ExpireAfter)
 	require.True(t, f.AuditDue(now))
 	require.False(t, f.AuditDue(now.Add(auditPeriod-1)))
 	require.True(t, f.AuditDue(now.Add(auditPeriod)))
--- a/balancer/packetfront/nodes.go
+++ b/balancer/packetfront/nodes.go
@@ -61,15 +61,15 @@
 
 // recordAnnouncement notes what a target's agent says.
 func (c *Core) recordAnnouncement(now time.Time, from flow.IPv4, a fleet.Announcement) fleet.Change {
-	change := c.view.Announce(now, from, a)
+	change := c.view.ApplyAnnouncement(now, from, a)
 	target, _ := c.view.Target(from)
 	c.invalidateLoad(target.Service)
 	if change == fleet.Joined || change == fleet.Altered {
 		c.digestAt = time.Time{}
 		c.events.TargetChanged(target, change)
 	}
-	if change != fleet.Stale && a.Listing == fleet.ListingLeft && c.view.Keeper(now, c.opts.Self) {
-		c.deadNodes = append(c.deadNodes, DeadNode{fleet.RoleAgent, c.view.EntryOf(target)})
+	if change != fleet.Stale && a.Registration == fleet.RegistrationAbandoned && c.view.IsReaper(now, c.opts.Self) {
+		c.deadNodes = append(c.deadNodes, DeadNode{fleet.RoleAgent, c.view.AbandonedEntry(target)})
 	}
 	return change
 }
@@ -97,7 +97,7 @@
 
 // recordBeacon notes what a balancer says.
 func (c *Core) recordBeacon(now time.Time, from flow.IPv4, m fleet.Beacon) fleet.Change {
-	change := c.view.Beacon(now, from, m)
+	change := c.view.ApplyBeacon(now, from, m)
 	if change == fleet.Stale {
 		return change
 	}
@@ -124,32 +124,32 @@
 // handlePeers greets nodes that are not known yet; agents answer with their
 // announcement, balancers with their beacon.
 func (c *Core) handlePeers(now time.Time, datagram []byte) error {
-	names, err := fleet.DecodeNames(datagram)
+	names, err := fleet.DecodeNodeList(datagram)
 	if err != nil {
 		return err
 	}
 	for _, ip := range names.Balancers {
-		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
+		if ip != c.opts.Self && !c.view.HasBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{})
 		}
 	}
-	for _, ip := range names.Holders {
+	for _, ip := range names.ActiveAgents {
 		c.proof.AgentNamed(now, ip)
 	}
-	c.Contact(now, nil, names.Holders)
-	c.Contact(now, nil, names.Idle)
+	c.Contact(now, nil, names.ActiveAgents)
+	c.Contact(now, nil, names.IdleAgents)
 	return nil
 }
 
 // Contact makes the balancer known to nodes that the seeds or the store name.
 func (c *Core) Contact(now time.Time, balancers, agents []flow.IPv4) {
 	for _, ip := range balancers {
-		if ip != c.opts.Self && !c.view.KnowsBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
+		if ip != c.opts.Self && !c.view.HasBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 		}
 	}
 	for _, ip := range agents {
-		if !c.view.KnowsTarget(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
+		if !c.view.HasTarget(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 		}
 	}
@@ -183,7 +183,7 @@
 
 // Tick does what is due.
 func (c *Core) Tick(now time.Time) {
-	for _, silence := range c.view.JudgeZones(now) {
+	for _, silence := range c.view.DetectSilentZones(now) {
 		c.events.ZoneSilenceChanged(silence)
 	}
 	c.join(now)
@@ -238,7 +238,7 @@
 		known, _ = c.view.BalancersByZone(c.opts.Zone)
 	}
 	c.rnd.Shuffle(len(known), func(i, j int) { known[i], known[j] = known[j], known[i] })
-	asked := slices.DeleteFunc(slices.Clone(c.opts.Seeds), func(ip flow.IPv4) bool { return !c.view.KnowsBalancer(ip) })
+	asked := slices.DeleteFunc(slices.Clone(c.opts.Seeds), func(ip flow.IPv4) bool { return !c.view.HasBalancer(ip) })
 	for _, ip := range append(asked, known[:min(bootstrapQueries, len(known))]...) {
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
@@ -253,7 +253,7 @@
 // other zones, and agents, less often.
 func (c *Core) sendPeriodicBeacons(now time.Time) {
 	if !now.Before(c.nextSameZone) {
-		c.nextSameZone = fleet.NextRound(now, fleet.NearPeriod, c.opts.Self)
+		c.nextSameZone = fleet.NextSendTime(now, fleet.SameZonePeriod, c.opts.Self)
 		c.beaconRounds++
 		balancers, _ := c.view.BalancersByZone(c.opts.Zone)
 		c.sendBeacons(now, balancers)
@@ -276,7 +276,7 @@
 // periodTo is how soon another balancer hears of this one again.
 func (c *Core) periodTo(ip flow.IPv4) time.Duration {
 	if zone, known := c.view.ZoneOf(ip); known && zone == c.opts.Zone {
-		return fleet.NearPeriod
+		return fleet.SameZonePeriod
 	}
 	return c.crossZonePeriod
 }
@@ -297,10 +297,10 @@
 // beacon fills in what this balancer says of itself.
 func (c *Core) beacon(now time.Time, to flow.IPv4, m fleet.Beacon) fleet.Beacon {
 	c.seq++
-	m.Identity = fleet.Identity{Epoch: c.opts.Epoch, Seq: c.seq}
+	m.MessageID = fleet.MessageID{Incarnation: c.opts.Incarnation, Seq: c.seq}
 	m.Zone = c.opts.Zone
 	if h, known := c.view.Target(to); known {
-		m.Heard = h.Identity
+		m.LastReceived = h.MessageID
 	}
 	m.ConfigVersion = c.ConfigVersion()
 	m.Evacuations = c.Evacuations()
@@ -310,7 +310,7 @@
 	m.Digest = c.digest(now)
 	m.Period = c.periodTo(to)
 	m.Leaving = c.leaving
-	m.Feeding = c.operator.Feeding(now)
+	m.Feeder = c.operator.Feeding(now)
 	return m
 }
 
@@ -318,7 +318,7 @@
 func mbpsOnWire(rate float64) uint16 { return uint16(min(math.Ceil(rate), math.MaxUint16)) }
 
 func (c *Core) sendPeers(now time.Time, to flow.IPv4) {
-	names := c.view.Names(now)
+	names := c.view.KnownNodes(now)
 	names.Balancers = append(names.Balancers, c.opts.Self)
 	names.Append(c.buf[:0], func(msg []byte) { c.port.ToNode(to, msg, nil) })
 }
--- a/balancer/packetfront/observer.go
+++ b/balancer/packetfront/observer.go
@@ -107,8 +107,8 @@
 	o.Write(&o.opening, "flow sent to target",
 		zap.Stringer(fieldFlow, d.Key), zap.String(fieldRoute, d.Route),
 		zap.String(telemetry.FieldService, d.Service), zap.Stringer(fieldTarget, d.Target.IP),
-		zap.Uint16(fieldLoad, d.Target.Busy), zap.Uint16(fieldSlots, d.Target.Slots),
-		zap.Int(fieldSent, d.Target.Sent-1), zap.Int64(fieldEach, d.Target.Each.Microseconds()), zap.Int64(fieldExpected, d.Expected.Milliseconds()),
+		zap.Uint16(fieldLoad, d.Target.Outstanding), zap.Uint16(fieldSlots, d.Target.Slots),
+		zap.Int(fieldSent, d.Target.FlowsSent-1), zap.Int64(fieldEach, d.Target.AnswerInterval.Microseconds()), zap.Int64(fieldExpected, d.Expected.Milliseconds()),
 		zap.Bool(fieldOtherZone, d.OtherZone),
 		zap.Int64(fieldReadingAge, d.Age.Milliseconds()), zap.Int64(telemetry.FieldConfig, d.Config), zap.Int64(telemetry.FieldEvacuations, d.Evacuations),
 		zap.Int(fieldCandidates, d.Candidates), zap.Uint32(fieldCopy, d.Copy))
@@ -173,7 +173,7 @@
 		what = "target joined"
 	}
 	o.Log.Info(what, zap.Stringer(fieldTarget, h.IP), zap.Stringer(fieldState, h.State), zap.Uint32("service_tag", uint32(h.Service)),
-		zap.Uint32("incarnation", uint32(h.Incarnation)), zap.Uint16(fieldSlots, h.Slots), zap.Uint16("warmup_ms", h.WarmupMillis))
+		zap.Uint32("incarnation", uint32(h.TargetIncarnation)), zap.Uint16(fieldSlots, h.Slots), zap.Uint16("warmup_ms", h.WarmupMillis))
 }
 
 // TargetForgotten implements Events.
@@ -182,13 +182,13 @@
 }
 
 // ZoneSilenceChanged implements Events.
-func (o *observer) ZoneSilenceChanged(s fleet.Silence) {
+func (o *observer) ZoneSilenceChanged(s fleet.ZoneSilence) {
 	what := "zone heard again"
 	if s.Silent {
 		what = "zone silent"
 		o.silences.Inc()
 	}
-	o.Log.Info(what, zap.Uint32("zone_tag", uint32(s.Zone)), zap.Int("missed", s.Missed), zap.Time("heard_at", s.HeardAt))
+	o.Log.Info(what, zap.Uint32("zone_tag", uint32(s.Zone)), zap.Int("missed", s.Missed), zap.Time("heard_at", s.LastSeen))
 }
 
 // PeerChanged implements Events.
--- a/balancer/packetfront/overload.go
+++ b/balancer/packetfront/overload.go
@@ -85,18 +85,18 @@
 // sum sums up what the targets that may take new flows announced last.
 func (l *serviceLoad) sum(now time.Time, c *Core, service flow.Tag) {
 	o := Overload{Service: l.Service}
-	for _, h := range c.view.Service(service) {
-		if !c.acceptsFlows(h) || h.Quiet(now) {
+	for _, h := range c.view.TargetsOf(service) {
+		if !c.acceptsFlows(h) || h.Overdue(now) {
 			continue
 		}
 		o.Slots += int(h.Slots)
 		if h.Overloaded {
 			o.OverloadedSlots += int(h.Slots)
 		}
-		if !h.Overloaded && h.Busy < h.Slots {
-			o.FreeSlots += int(h.Slots - h.Busy)
+		if !h.Overloaded && h.Outstanding < h.Slots {
+			o.FreeSlots += int(h.Slots - h.Outstanding)
 		}
-		o.Age = max(o.Age, now.Sub(h.HeardAt))
+		o.Age = max(o.Age, now.Sub(h.LastSeen))
 	}
 	o.Overloaded = o.begins() || (l.Overloaded && !o.ends())
 	l.Overload = o
@@ -114,7 +114,7 @@
 func (c *Core) updateOverloads(now time.Time) {
 	for tag, l := range c.loads {
 		c.updateOverload(now, tag, l)
-		if !l.Overloaded && now.Sub(l.usedAt) > fleet.Forget {
+		if !l.Overloaded && now.Sub(l.usedAt) > fleet.ExpireAfter {
 			delete(c.loads, tag)
 		}
 	}
@@ -125,7 +125,7 @@
 func (c *Core) preferFreeSlots(now time.Time, candidates []flow.Candidate) {
 	for _, item := range candidates {
 		h, known := c.view.Target(item.Target)
-		if known && !h.Overloaded && !h.Quiet(now) && int(h.Busy)+h.Sent < int(h.Slots) {
+		if known && !h.Overloaded && !h.Overdue(now) && int(h.Outstanding)+h.FlowsSent < int(h.Slots) {
 			toFront(candidates, item.Target)
 			return
 		}
@@ -138,7 +138,7 @@
 	kept := candidates[:1]
 	for _, item := range candidates[1:] {
 		h, known := c.view.Target(item.Target)
-		refuses := known && h.Overloaded && !h.Quiet(now) && objective > 0 && !h.InTime(0, objective)
+		refuses := known && h.Overloaded && !h.Overdue(now) && objective > 0 && !h.MeetsObjective(0, objective)
 		if !refuses {
 			kept = append(kept, item)
 		}
--- a/balancer/packetfront/overload_test.go
+++ b/balancer/packetfront/overload_test.go
@@ -48,7 +48,7 @@
 		heard:   &overloadHeard{drops: map[DropReason]int{}},
 	}
 	f.heard.quiet = quiet{&f.doubt, &f.kept}
-	f.Core = New(f.now, Options{Self: self, Zone: 1, Epoch: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}},
+	f.Core = New(f.now, Options{Self: self, Zone: 1, Incarnation: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}},
 		f.port, platform.Codec{}, f.heard, rand.New(rand.NewPCG(1, 1)))
 	backends := []flow.Backend{{Name: "alpha", Tag: alpha, Weight: 1}}
 	f.SetConfig(f.now, &flow.Config{Version: 5, Routes: map[flow.Front]*flow.Route{
@@ -65,7 +65,7 @@
 func (f *overloadFixture) tell(i int, a fleet.Announcement) {
 	f.seq++
 	ip := firstOverloaded + flow.IPv4(i)
-	a.Identity = fleet.Identity{Epoch: uint64(ip), Seq: f.seq}
+	a.MessageID = fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}
 	a.Service, a.Slots, a.Zone = alpha, 4, 1
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
@@ -73,7 +73,7 @@
 // overload lets all targets announce, the first n of them that they are overloaded.
 func (f *overloadFixture) overload(n int) {
 	for i := range overloadTargets {
-		f.tell(i, fleet.Announcement{State: fleet.Ready, Readings: fleet.Readings{Overloaded: i < n, Each: f.each}})
+		f.tell(i, fleet.Announcement{State: fleet.Ready, LoadReport: fleet.LoadReport{Overloaded: i < n, AnswerInterval: f.each}})
 	}
 }
 
@@ -134,10 +134,10 @@
 		"half":      {func(f *overloadFixture) { f.overload(4) }, false},
 		"most":      {func(f *overloadFixture) { f.overload(5) }, true},
 		"all":       {func(f *overloadFixture) { f.overload(8) }, true},
-		"no target": {func(f *overloadFixture) { f.now = f.now.Add(fleet.Forget); f.Tick(f.now) }, false},
+		"no target": {func(f *overloadFixture) { f.now = f.now.Add(fleet.ExpireAfter); f.Tick(f.now) }, false},
 		"most, but these are quiet": {func(f *overloadFixture) {
 			f.overload(5)
-			f.now = f.now.Add(fleet.Quiet + time.Millisecond)
+			f.now = f.now.Add(fleet.OverdueAfter + time.Millisecond)
 			for i := 5; i < overloadTargets; i++ {
 				f.tell(i, fleet.Announcement{State: fleet.Ready})
 			}
@@ -151,7 +151,7 @@
 		"a message of a former process does not count": {func(f *overloadFixture) {
 			f.overload(4)
 			ip := firstOverloaded + 7
-			late := fleet.Announcement{Identity: fleet.Identity{Epoch: uint64(ip), Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 400, Readings: fleet.Readings{Overloaded: true}}
+			late := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 400, LoadReport: fleet.LoadReport{Overloaded: true}}
 			f.HandleNode(f.now, ip, late.Append(nil))
 		}, false},
 		"told twice is told once": {func(f *overloadFixture) { f.overload(5); f.overload(5) }, true},
@@ -181,7 +181,7 @@
 		f := newOverloadFixture()
 		f.operator.Config().Routes[front].Objective = 200 * time.Millisecond
 		for i := range overloadTargets {
-			f.tell(i, fleet.Announcement{State: fleet.Ready, Readings: fleet.Readings{Overloaded: true, Wait: wait, Took: 24 * time.Millisecond}})
+			f.tell(i, fleet.Announcement{State: fleet.Ready, LoadReport: fleet.LoadReport{Overloaded: true, QueueDelay: wait, ResponseTime: 24 * time.Millisecond}})
 		}
 		f.open(front.Port)
 		require.Equal(t, others, f.port.Last().Env.Count, wait)
@@ -231,7 +231,7 @@
 func TestAnOverloadEndsWhenItsAgentsFallSilent(t *testing.T) {
 	f := newOverloadFixture()
 	f.offerFlows(time.Second, front.Port, 20, 2, overloadTargets)
-	f.now = f.now.Add(fleet.Quiet + tickPeriod)
+	f.now = f.now.Add(fleet.OverdueAfter + tickPeriod)
 	f.Tick(f.now)
 	require.False(t, f.heard.changes[len(f.heard.changes)-1].Overloaded)
 }
@@ -241,7 +241,7 @@
 	f := newOverloadFixture()
 	f.open(front.Port)
 	require.Len(t, f.loads, 1)
-	f.now = f.now.Add(fleet.Forget + tickPeriod)
+	f.now = f.now.Add(fleet.ExpireAfter + tickPeriod)
 	f.Tick(f.now)
 	require.Empty(t, f.loads)
 }
--- a/balancer/packetfront/plan.go
+++ b/balancer/packetfront/plan.go
@@ -44,10 +44,10 @@
 func (c *Core) openCandidates(now time.Time, hash uint64, service flow.Tag) []flow.Candidate {
 	p := &c.plan
 	p.reset()
-	targets := c.view.Service(service)
+	targets := c.view.TargetsOf(service)
 	ejectable, heard := c.ejectable(targets), c.anyZoneReachable(targets)
 	for _, h := range targets {
-		if !c.acceptsFlows(h) || (ejectable && h.Ejected) || c.coldLimitReached(now, h) || (heard && c.view.ZoneSilent(h.Zone)) {
+		if !c.acceptsFlows(h) || (ejectable && h.Ejected) || c.coldLimitReached(now, h) || (heard && c.view.IsZoneSilent(h.Zone)) {
 			continue
 		}
 		ranking := p.crossZone
@@ -96,7 +96,7 @@
 // anyZoneReachable tells whether some targets of a service are in zones that are not silent.
 // Where all are it may be this balancer that is cut off.
 func (c *Core) anyZoneReachable(targets []*fleet.Target) bool {
-	return slices.ContainsFunc(targets, func(h *fleet.Target) bool { return c.acceptsFlows(h) && !c.view.ZoneSilent(h.Zone) })
+	return slices.ContainsFunc(targets, func(h *fleet.Target) bool { return c.acceptsFlows(h) && !c.view.IsZoneSilent(h.Zone) })
 }
 
 // addOffers adds targets to the offers of a choice.
@@ -104,10 +104,10 @@
 	for _, item := range list {
 		h, _ := c.view.Target(item.Target)
 		c.offers = append(c.offers, choose.Offer{
-			Busy: int(h.Busy), Sent: h.Sent, Slots: int(h.Slots), AnswerInterval: h.Each,
+			Busy: int(h.Outstanding), Sent: h.FlowsSent, Slots: int(h.Slots), AnswerInterval: h.AnswerInterval,
 			CrossZone: h.Zone != c.opts.Zone,
-			Warming:   h.WarmupMillis > 0 && now.Sub(h.HeardAt) < time.Duration(h.WarmupMillis)*time.Millisecond,
-			Avoid:     h.Quiet(now),
+			Warming:   h.WarmupMillis > 0 && now.Sub(h.LastSeen) < time.Duration(h.WarmupMillis)*time.Millisecond,
+			Avoid:     h.Overdue(now),
 		})
 		c.offerOf = append(c.offerOf, h)
 	}
--- a/balancer/packetfront/plan_test.go
+++ b/balancer/packetfront/plan_test.go
@@ -14,8 +14,8 @@
 func (f *fixture) announcePaced(ip flow.IPv4, zone flow.Tag, busy uint16, each time.Duration) {
 	f.seq++
 	a := fleet.Announcement{
-		Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Zone: zone, Service: alpha, State: fleet.Ready, Slots: 4, Busy: busy,
-		Readings: fleet.Readings{Each: each, Took: 4 * each},
+		MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Zone: zone, Service: alpha, State: fleet.Ready, Slots: 4, Outstanding: busy,
+		LoadReport: fleet.LoadReport{AnswerInterval: each, ResponseTime: 4 * each},
 	}
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
--- a/balancer/packetfront/relay.go
+++ b/balancer/packetfront/relay.go
@@ -50,7 +50,7 @@
 	round := c.relays.planner.StartRound()
 	plan := c.relays.planner.Plan(now, c.view)
 	c.crossZonePeriod = plan.Period
-	c.nextCrossZone = fleet.NextRound(now, c.crossZonePeriod, c.opts.Self)
+	c.nextCrossZone = fleet.NextSendTime(now, c.crossZonePeriod, c.opts.Self)
 	c.sendBeacons(now, plan.Direct)
 	c.sendBeaconViaRelays(now, plan.Relays)
 	if round%agentBeacons == 0 {
@@ -97,7 +97,7 @@
 		err = c.handleBeacon(now, from, message)
 	}
 	if err == nil {
-		c.view.Relayed(from)
+		c.view.MarkRelayed(from)
 		c.bufferForRelay(now, from, kind, message)
 	}
 	return err
@@ -106,7 +106,7 @@
 // bufferForRelay keeps a message for the nodes of the own zone: only balancers need to know of
 // targets.
 func (c *Core) bufferForRelay(now time.Time, from flow.IPv4, kind envelope.Kind, message []byte) {
-	id, err := fleet.IdentityOf(message)
+	id, err := fleet.DecodeMessageID(message)
 	kept := err == nil && c.relays.forBalancers.Put(now, from, id, message)
 	if kind == envelope.Beacon {
 		kept = kept && c.relays.forAgents.Put(now, from, id, message)
@@ -129,7 +129,7 @@
 	}
 	if !now.Before(c.relays.nextProbe) {
 		c.relays.nextProbe = now.Add(probeCheckPeriod)
-		c.relays.usesRelays = c.view.ZoneBalancers(c.opts.Zone)+1 >= c.opts.RelayFrom
+		c.relays.usesRelays = c.view.BalancerCountIn(c.opts.Zone)+1 >= c.opts.RelayFrom
 		c.probeOverdue(now)
 	}
 }
--- a/balancer/packetfront/relay_test.go
+++ b/balancer/packetfront/relay_test.go
@@ -21,8 +21,8 @@
 
 func farAnnouncement(epoch uint64, seq uint32, state fleet.State) fleet.Announcement {
 	return fleet.Announcement{
-		Identity: fleet.Identity{Epoch: epoch, Seq: seq}, Zone: farZone, Service: alpha, State: state, Slots: 4,
-		Listing: fleet.ListingThere, Period: zonecast.RelayPeriod,
+		MessageID: fleet.MessageID{Incarnation: epoch, Seq: seq}, Zone: farZone, Service: alpha, State: state, Slots: 4,
+		Registration: fleet.RegistrationPresent, Period: zonecast.RelayPeriod,
 	}
 }
 
@@ -66,16 +66,16 @@
 		f.port.Nodes = nil
 		heard := f.now
 		f.now = f.now.Add(time.Second)
-		c.relayed.Busy = 3
+		c.relayed.Outstanding = 3
 		relayed := fleet.RelayedMessage{From: farAgent, Message: c.relayed.Append(nil)}
 		f.relays(relayed, relayed)
 		f.relays(relayed)
 		h, known := f.view.Target(farAgent)
 		require.Equal(t, c.known, known, name)
 		if known {
-			require.Equal(t, uint64(7), h.Epoch, name)
-			require.Equal(t, c.busy, h.Busy, name)
-			require.Equal(t, c.busy > 0, h.HeardAt.After(heard), name)
+			require.Equal(t, uint64(7), h.Incarnation, name)
+			require.Equal(t, c.busy, h.Outstanding, name)
+			require.Equal(t, c.busy > 0, h.LastSeen.After(heard), name)
 		}
 		require.Equal(t, c.greeted, len(f.sentTo(farAgent)) == 1, name)
 	}
@@ -89,12 +89,12 @@
 	f.HandleNode(f.now, farAgent, a.Append(nil))
 	f.port.Nodes = nil
 	gone := farAnnouncement(7, 2, fleet.Gone)
-	gone.Listing = fleet.ListingTakenAway
+	gone.Registration = fleet.RegistrationRemoved
 	f.relays(fleet.RelayedMessage{From: farAgent, Message: gone.Append(nil)})
 	h, _ := f.view.Target(farAgent)
 	require.Equal(t, fleet.Draining, h.State)
-	require.Equal(t, fleet.ListingThere, h.Listing)
-	require.True(t, h.MayHold(f.now))
+	require.Equal(t, fleet.RegistrationPresent, h.Registration)
+	require.True(t, h.MayHoldFlows(f.now))
 	require.Equal(t, []envelope.Kind{envelope.Beacon}, f.sentTo(farAgent))
 
 	gone.Seq = 3
@@ -106,7 +106,7 @@
 func TestARelayHandsWordsOnInItsZone(t *testing.T) {
 	f := newFixture()
 	f.hears(peer)
-	a, b := farAnnouncement(7, 1, fleet.Ready), fleet.Beacon{Identity: fleet.Identity{Epoch: 5, Seq: 1}, Zone: farZone}
+	a, b := farAnnouncement(7, 1, fleet.Ready), fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: farZone}
 	f.HandleNode(f.now, farAgent, fleet.AppendRelay(nil, a.Append(nil)))
 	f.HandleNode(f.now, farPeer, fleet.AppendRelay(nil, b.Append(nil)))
 	for range int(zonecast.AgentFlushPeriod/tickPeriod) + 1 {
@@ -132,7 +132,7 @@
 func TestAMessageThatAnotherRelayHasSentIsNotRepeated(t *testing.T) {
 	f := newFixture()
 	f.hears(peer)
-	b := fleet.Beacon{Identity: fleet.Identity{Epoch: 5, Seq: 1}, Zone: farZone}
+	b := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: farZone}
 	f.HandleNode(f.now, farPeer, fleet.AppendRelay(nil, b.Append(nil)))
 	f.relays(fleet.RelayedMessage{From: farPeer, Message: b.Append(nil)})
 	for range int(zonecast.AgentFlushPeriod/tickPeriod) + 1 {
@@ -154,7 +154,7 @@
 	f.relays(fleet.RelayedMessage{From: farAgent, Message: a.Append(nil)})
 	f.port.Nodes = nil
 	h, _ := f.view.Target(farAgent)
-	for !h.Quiet(f.now) {
+	for !h.Overdue(f.now) {
 		f.sendRelayed(f.now)
 		f.now = f.now.Add(tickPeriod)
 	}
@@ -167,6 +167,6 @@
 		f.relays(fleet.RelayedMessage{From: farAgent, Message: message})
 		f.HandleNode(f.now, farAgent, fleet.AppendRelay(nil, message))
 	}
-	require.False(t, f.view.KnowsTarget(farAgent))
+	require.False(t, f.view.HasTarget(farAgent))
 	require.Empty(t, f.sentTo(farAgent))
 }
--- a/balancer/packetfront/relayed.go
+++ b/balancer/packetfront/relayed.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	if id, e := fleet.IdentityOf(r.Message); e == nil && c.relays.forBalancers.Discard(r.From, id) {
+	if id, e := fleet.DecodeMessageID(r.Message); e == nil && c.relays.forBalancers.Discard(r.From, id) {
 		// Who was first tells the agents too.
 		c.relays.forAgents.Discard(r.From, id)
 	}
@@ -47,10 +47,10 @@
 	if err != nil {
 		return err
 	}
-	switch c.view.TargetProcess(r.From, a.Epoch) {
-	case fleet.Present:
+	switch c.view.TargetProcess(r.From, a.Incarnation) {
+	case fleet.ProcessCurrent:
 		c.refreshTarget(now, r.From, a)
-	case fleet.Unknown:
+	case fleet.ProcessUnknown:
 		c.probeNamed(now, r.From)
 	}
 	return nil
@@ -60,11 +60,11 @@
 // not enough.
 func (c *Core) refreshTarget(now time.Time, ip flow.IPv4, a fleet.Announcement) {
 	h, _ := c.view.Target(ip)
-	a, ask := h.TakeRelayed(a)
+	a, ask := h.FilterRelayed(a)
 	if c.recordAnnouncement(now, ip, a) == fleet.Stale {
 		return
 	}
-	c.view.Relayed(ip)
+	c.view.MarkRelayed(ip)
 	if ask {
 		c.probeNamed(now, ip)
 	}
@@ -75,11 +75,11 @@
 	if err != nil {
 		return err
 	}
-	switch c.view.PeerProcess(r.From, m.Epoch) {
-	case fleet.Present:
+	switch c.view.PeerProcess(r.From, m.Incarnation) {
+	case fleet.ProcessCurrent:
 		c.recordBeacon(now, r.From, m)
-		c.view.Relayed(r.From)
-	case fleet.Unknown:
+		c.view.MarkRelayed(r.From)
+	case fleet.ProcessUnknown:
 		c.probeNamed(now, r.From)
 	}
 	return nil
@@ -98,12 +98,12 @@
 		c.events.Probed(ip, now.Sub(heardAt))
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
-	for _, ip := range c.view.OverdueTargets(now, c.opts.Zone, c.relays.usesRelays) {
+	for _, ip := range c.view.TargetsToProbe(now, c.opts.Zone, c.relays.usesRelays) {
 		h, _ := c.view.Target(ip)
-		ask(ip, h.HeardAt)
+		ask(ip, h.LastSeen)
 	}
-	for _, ip := range c.view.OverduePeers(now, c.opts.Zone, 0, c.relays.usesRelays) {
+	for _, ip := range c.view.PeersToProbe(now, c.opts.Zone, 0, c.relays.usesRelays) {
 		p, _ := c.view.Peer(ip)
-		ask(ip, p.HeardAt)
+		ask(ip, p.LastSeen)
 	}
 }
--- a/balancer/packetfront/rotation.go
+++ b/balancer/packetfront/rotation.go
@@ -87,7 +87,7 @@
 	own := c.opts.LinkMbps
 	z := zoneLinks{nodes: 1, mbps: c.rotation.mbps()}
 	weaker := 0
-	for _, p := range c.view.ZonePeers(now, c.opts.Zone) {
+	for _, p := range c.view.EligiblePeers(now, c.opts.Zone) {
 		z.nodes++
 		z.mbps += float64(p.SentMbps)
 		link := float64(p.LinkMbps)
--- a/balancer/packetfront/rotation_test.go
+++ b/balancer/packetfront/rotation_test.go
@@ -45,7 +45,7 @@
 	for _, m := range mates {
 		f.seq++
 		b := fleet.Beacon{
-			Identity: fleet.Identity{Epoch: uint64(m.ip), Seq: f.seq}, InRotation: !m.out, LinkMbps: m.link, SentMbps: m.sent,
+			MessageID: fleet.MessageID{Incarnation: uint64(m.ip), Seq: f.seq}, InRotation: !m.out, LinkMbps: m.link, SentMbps: m.sent,
 		}
 		f.HandleNode(f.now, m.ip, b.Append(nil))
 	}
--- a/balancer/packetfront/silence_test.go
+++ b/balancer/packetfront/silence_test.go
@@ -34,7 +34,7 @@
 		for _, zone := range zones {
 			for _, ip := range z.targets[zone] {
 				z.seq++
-				a := fleet.Announcement{Identity: fleet.Identity{Epoch: uint64(ip), Seq: z.seq}, Zone: flow.Tag(zone), Service: alpha, State: fleet.Ready, Slots: 4}
+				a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: z.seq}, Zone: flow.Tag(zone), Service: alpha, State: fleet.Ready, Slots: 4}
 				z.HandleNode(z.now, ip, a.Append(nil))
 			}
 		}
@@ -107,7 +107,7 @@
 	z.speak(3*time.Second, 0, 1)
 	z.table.Put(z.now, key, z.targets[1][0])
 	z.speak(1500*time.Millisecond, 0)
-	require.True(t, z.view.ZoneSilent(1))
+	require.True(t, z.view.IsZoneSilent(1))
 	z.client(packet(false, 0))
 	require.Equal(t, z.targets[1][0], z.port.Last().To)
 	require.Empty(t, z.port.Resets)
--- a/balancer/packetfront/survey.go
+++ b/balancer/packetfront/survey.go
@@ -41,7 +41,7 @@
 	if c.view.BalancerCount() == 0 {
 		return age >= search.FreshTime
 	}
-	return age >= search.SettleTime && c.view.Registers(now, c.opts.Self, c.opts.Zone)
+	return age >= search.SettleTime && c.view.ShouldRegister(now, c.opts.Self, c.opts.Zone)
 }
 
 // SnapshotSources tells whether the registry of agents is to be read, and which balancers are to
@@ -73,7 +73,7 @@
 
 // TakeSnapshot takes a reading of the agents' registry. Flows that waited for it are looked at
 // again.
-func (c *Core) TakeSnapshot(now time.Time, s fleet.Survey) {
+func (c *Core) TakeSnapshot(now time.Time, s fleet.Snapshot) {
 	if !c.proof.ApplySnapshot(now, s) {
 		return
 	}
--- a/balancer/packetfront/survey_test.go
+++ b/balancer/packetfront/survey_test.go
@@ -27,7 +27,7 @@
 func (f *fixture) feeds(zone flow.Tag, feeding bool, ips ...flow.IPv4) {
 	for _, ip := range ips {
 		f.seq++
-		m := fleet.Beacon{Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Zone: zone, Feeding: feeding}
+		m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Zone: zone, Feeder: feeding}
 		f.HandleNode(f.now, ip, m.Append(nil))
 	}
 }
@@ -76,7 +76,7 @@
 		"they have not been heard lately": {prepare: func(f *fixture) {
 			f.feeds(ownZone, true, first, second)
 			f.feeds(otherZone, true, third)
-			f.now = f.now.Add(fleet.Forget / 2)
+			f.now = f.now.Add(fleet.ExpireAfter / 2)
 		}},
 	} {
 		f := fixtureIn(ownZone)
@@ -109,7 +109,7 @@
 	for _, ahead := range []time.Duration{10, 60, 110} {
 		f := newFixture()
 		f.started(f.now)
-		f.TakeSnapshot(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+		f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 		settled := f.now.Add(search.FreshTime)
 		f.now = settled.Add(-ahead * time.Millisecond)
 		f.announce(targetA, fleet.Ready)
@@ -131,11 +131,11 @@
 // two would get lost, and the end of its flows look certain.
 func TestAnOlderReadingDoesNotTakeTheNewersPlace(t *testing.T) {
 	f := newFixture()
-	newer := fleet.SurveyAt(f.now, registered(targetA, targetB, other))
+	newer := fleet.SnapshotAt(f.now, registered(targetA, targetB, other))
 	newer.Revision = 8
 	f.TakeSnapshot(f.now, newer)
 	f.now = f.now.Add(time.Second)
-	older := fleet.SurveyAt(f.now, registered(targetA, targetB))
+	older := fleet.SnapshotAt(f.now, registered(targetA, targetB))
 	older.Revision = 7
 	f.TakeSnapshot(f.now, older)
 	f.client(packet(false, 9))
@@ -211,7 +211,7 @@
 			if i == 2 {
 				zone = otherZone
 			}
-			m := fleet.Beacon{Identity: fleet.Identity{Epoch: 1, Seq: 1}, Zone: zone, Feeding: true, Period: time.Minute}
+			m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 1, Seq: 1}, Zone: zone, Feeder: true, Period: time.Minute}
 			f.core.HandleNode(now, ip, m.Append(nil))
 		}
 	})
--- a/balancer/search/buffer.go
+++ b/balancer/search/buffer.go
@@ -92,7 +92,7 @@
 
 // includes reports whether a target has denied the flow.
 func (d denials) includes(now time.Time, t *fleet.Target) bool {
-	return d.known && !t.MayHoldSince(now, d.generation)
+	return d.known && !t.MayHoldFlowsSince(now, d.generation)
 }
 
 // denials returns the denials of a flow; b is nil for a flow that is not buffered.
--- a/balancer/search/candidates.go
+++ b/balancer/search/candidates.go
@@ -42,8 +42,8 @@
 	hash := key.Hash()
 	picked := route.Pick(hash).Tag
 	for _, tag := range f.view.Services() {
-		for _, t := range f.view.Service(tag) {
-			if !t.MayHold(now) || denied.includes(now, t) {
+		for _, t := range f.view.TargetsOf(tag) {
+			if !t.MayHoldFlows(now) || denied.includes(now, t) {
 				continue
 			}
 			f.ranked = append(f.ranked, rankedCandidate{f.classOf(now, t, picked), flow.Score(hash, t.IP), flow.Candidate{Target: t.IP, Service: tag}})
@@ -72,7 +72,7 @@
 
 func (f *Finder) classOf(now time.Time, t *fleet.Target, picked flow.Tag) searchClass {
 	switch {
-	case t.Quiet(now):
+	case t.Overdue(now):
 		return classOverdue
 	case t.Service != picked:
 		return classOtherService
--- a/balancer/search/doc.go
+++ b/balancer/search/doc.go
@@ -23,7 +23,7 @@
 // first one. A packet of an open flow is buffered for bufferTTL, a SYN for synBufferTTL. A
 // packet to search for that finds the buffer full is sent to the first targets only and left
 // to its client's retransmission. A target is probed once per search round. The table is
-// bounded by its limit. The registry is read as often as fleet.SurveyPace allows at most, less
+// bounded by its limit. The registry is read as often as fleet.SnapshotPacer allows at most, less
 // often while the uncertainty lasts.
 //
 // Cost. A known flow costs a table lookup. A search sorts the targets that may hold the flow,
--- a/balancer/search/fixture_test.go
+++ b/balancer/search/fixture_test.go
@@ -72,7 +72,7 @@
 	f.now = f.now.Add(SettleTime + time.Second)
 	f.announce(targetA, fleet.Ready)
 	f.announce(targetB, fleet.Ready)
-	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+	f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 	f.port.Nodes = nil
 	return f
 }
@@ -81,7 +81,7 @@
 func registered(ips ...flow.IPv4) []fleet.Entry {
 	var out []fleet.Entry
 	for _, ip := range ips {
-		out = append(out, fleet.Entry{IP: ip, Epoch: uint64(ip), Revision: 1})
+		out = append(out, fleet.Entry{IP: ip, Incarnation: uint64(ip), Revision: 1})
 	}
 	return out
 }
@@ -99,7 +99,7 @@
 func (f *fixture) View() *fleet.View { return f.fleet }
 
 // Surveyed applies a snapshot of the registry and rechecks denied flows.
-func (f *fixture) Surveyed(now time.Time, s fleet.Survey) {
+func (f *fixture) Surveyed(now time.Time, s fleet.Snapshot) {
 	f.Proof.ApplySnapshot(now, s)
 	f.RetryDenied(now)
 }
@@ -153,9 +153,9 @@
 	check(err)
 	switch kind {
 	case envelope.Peers:
-		names, err := fleet.DecodeNames(datagram)
+		names, err := fleet.DecodeNodeList(datagram)
 		check(err)
-		for _, ip := range names.Holders {
+		for _, ip := range names.ActiveAgents {
 			f.AgentNamed(now, ip)
 		}
 	case envelope.Owner:
@@ -175,7 +175,7 @@
 	case envelope.Announce:
 		a, err := fleet.DecodeAnnouncement(datagram)
 		check(err)
-		f.fleet.Announce(now, from, a)
+		f.fleet.ApplyAnnouncement(now, from, a)
 	default:
 		panic(kind)
 	}
@@ -189,22 +189,22 @@
 
 // beaconFrom delivers the first beacon of another balancer.
 func (f *fixture) beaconFrom(ip flow.IPv4) {
-	m := fleet.Beacon{Identity: fleet.Identity{Epoch: uint64(ip), Seq: 1}}
-	if f.fleet.Beacon(f.now, ip, m) == fleet.Joined {
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}}
+	if f.fleet.ApplyBeacon(f.now, ip, m) == fleet.Joined {
 		f.BalancerJoined(f.now, ip)
 	}
 }
 
 func (f *fixture) announce(ip flow.IPv4, state fleet.State) {
 	f.seq++
-	a := fleet.Announcement{Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Service: alpha, State: state, Slots: 4}
+	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: state, Slots: 4}
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
 // announceRegistered announces a ready target whose agent is in the registry.
 func (f *fixture) announceRegistered(ip flow.IPv4) {
 	f.seq++
-	a := fleet.Announcement{Identity: fleet.Identity{Epoch: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, Listing: fleet.ListingThere}
+	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, Registration: fleet.RegistrationPresent}
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
--- a/balancer/search/proof.go
+++ b/balancer/search/proof.go
@@ -56,12 +56,12 @@
 // its first start on, so a balancer that has just started learns from the registry which
 // targets may hold flows, even if their agents are not back yet.
 type registrySnapshot struct {
-	fleet.RegistryReading
+	fleet.UnseenTracker
 	// earliest and latest bound when the snapshot was begun; zero before the first.
 	earliest, latest time.Time
 	revision         int64
 	refreshWanted    bool
-	schedule         fleet.SurveyPace
+	schedule         fleet.SnapshotPacer
 }
 
 // Proof determines whether this balancer knows all targets that may hold flows. It is not safe
@@ -96,7 +96,7 @@
 
 // AgentNamed records that another balancer knows an agent.
 func (p *Proof) AgentNamed(now time.Time, agent flow.IPv4) {
-	if !p.view.KnowsTarget(agent) {
+	if !p.view.HasTarget(agent) {
 		p.namedAgents[agent] = now
 	}
 }
@@ -155,13 +155,13 @@
 
 // missingTarget returns a target that may hold flows and could not be asked.
 func (p *Proof) missingTarget(now time.Time) (flow.IPv4, bool) {
-	if ip, missing := p.snapshot.Missing(now, missingAgentTimeout, p.view.KnowsTarget); missing {
+	if ip, missing := p.snapshot.Missing(now, missingAgentTimeout, p.view.HasTarget); missing {
 		// It may have been removed from the registry since.
 		p.snapshot.refreshWanted = true
 		return ip, true
 	}
 	for ip, at := range p.namedAgents {
-		if p.view.KnowsTarget(ip) || now.Sub(at) > fleet.Forget {
+		if p.view.HasTarget(ip) || now.Sub(at) > fleet.ExpireAfter {
 			delete(p.namedAgents, ip)
 			continue
 		}
@@ -176,7 +176,7 @@
 
 // reachable reports whether a target's agent can be asked.
 func reachable(now time.Time, t *fleet.Target) bool {
-	return !t.Quiet(now) && t.Listing != fleet.ListingLeft
+	return !t.Overdue(now) && t.Registration != fleet.RegistrationAbandoned
 }
 
 // mayHoldFlows reports whether a target whose agent does not answer may hold flows. One that
@@ -186,7 +186,7 @@
 	if t.State != fleet.Gone {
 		return true
 	}
-	return p.view.MayLive(t) && now.Sub(t.HeardAt) < missingAgentTimeout
+	return p.view.MayHaveRestarted(t) && now.Sub(t.LastSeen) < missingAgentTimeout
 }
 
 // unregisteredTarget returns an agent that was seen but is not in the registry. An agent that
@@ -194,7 +194,7 @@
 // does not count.
 func (p *Proof) unregisteredTarget() (flow.IPv4, bool) {
 	return p.view.FirstTarget(func(t *fleet.Target) bool {
-		return t.State != fleet.Gone && !t.Listed && !t.RegisteredSince(p.snapshot.latest)
+		return t.State != fleet.Gone && !t.Registered && !t.RegisteredAfter(p.snapshot.latest)
 	})
 }
 
@@ -205,24 +205,24 @@
 	if now.Sub(p.startedAt) < FreshTime-SnapshotLead || (!p.snapshot.refreshWanted && !p.snapshot.earliest.IsZero()) {
 		return false
 	}
-	return p.snapshot.schedule.Begin(now)
+	return p.snapshot.schedule.TryBegin(now)
 }
 
 // SnapshotPending records that another balancer is reading the registry, so that it is asked
 // again soon.
-func (p *Proof) SnapshotPending() { p.snapshot.schedule.Pending() }
+func (p *Proof) SnapshotPending() { p.snapshot.schedule.ResetPause() }
 
 // ApplySnapshot applies a snapshot of the agents' registry and reports whether it was accepted. A
 // snapshot older than the last one is rejected: an agent that has registered since must not
 // get lost.
-func (p *Proof) ApplySnapshot(now time.Time, s fleet.Survey) bool {
+func (p *Proof) ApplySnapshot(now time.Time, s fleet.Snapshot) bool {
 	if s.Revision < p.snapshot.revision {
 		return false
 	}
-	p.snapshot.Take(s.Latest, s.Agents, p.view.KnowsTarget)
-	p.view.List(now, s.Latest, s.Agents)
+	p.snapshot.Update(s.Latest, s.Agents, p.view.HasTarget)
+	p.view.ApplySnapshot(now, s.Latest, s.Agents)
 	p.snapshot.revision, p.snapshot.refreshWanted = s.Revision, false
-	p.snapshot.schedule.Got(s.Earliest)
+	p.snapshot.schedule.Received(s.Earliest)
 	if s.Earliest.After(p.snapshot.earliest) {
 		p.snapshot.earliest = s.Earliest
 	}
@@ -234,4 +234,4 @@
 
 // Purge removes from the last snapshot the agents that were not seen for as long as nodes are
 // remembered, and returns them.
-func (p *Proof) Purge(now time.Time) []fleet.Entry { return p.snapshot.Strike(now, p.view.KnowsTarget) }
+func (p *Proof) Purge(now time.Time) []fleet.Entry { return p.snapshot.Purge(now, p.view.HasTarget) }
--- a/balancer/search/proof_test.go
+++ b/balancer/search/proof_test.go
@@ -76,14 +76,14 @@
 		"just started": {prepare: func(f *fixture) { f.startedAt = f.now }, want: UncertainFresh},
 		"an agent was missing for a while": {
 			prepare: func(f *fixture) {
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other)))
 				f.advanceAnnouncing(missingAgentTimeout - time.Millisecond)
 			},
 			want: UncertainMissing,
 		},
 		"an agent was missing for long": {
 			prepare: func(f *fixture) {
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other)))
 				f.advanceAnnouncing(missingAgentTimeout)
 				f.snapshot.earliest = f.now
 			},
@@ -91,34 +91,34 @@
 		},
 		"an agent is still missing in a new snapshot": {
 			prepare: func(f *fixture) {
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other)))
 				f.advanceAnnouncing(missingAgentTimeout)
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other)))
 			},
 			want: "",
 		},
 		"a gone target is registered and overdue": {
 			prepare: func(f *fixture) {
 				f.announce(other, fleet.Gone)
-				f.advanceAnnouncing(fleet.Quiet + time.Second)
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
+				f.advanceAnnouncing(fleet.OverdueAfter + time.Second)
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other)))
 			},
 			want: UncertainMissing,
 		},
 		"a gone target is registered and becomes overdue": {
 			prepare: func(f *fixture) {
 				f.announce(other, fleet.Gone)
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other)))
 			},
 			during: func(f *fixture) {
-				f.advanceAnnouncing(fleet.Quiet + 1)
+				f.advanceAnnouncing(fleet.OverdueAfter + 1)
 				f.snapshot.earliest = f.now
 			},
 			want: UncertainMissing,
 		},
 		"one was registered after the snapshot": {
 			prepare: func(f *fixture) {
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 				f.now = f.now.Add(1)
 				f.announceRegistered(other)
 			},
@@ -127,39 +127,42 @@
 		"one was registered before the snapshot": {
 			prepare: func(f *fixture) {
 				f.announceRegistered(other)
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 			},
 			want: UncertainRegistry,
 		},
 		"registry not read":          {prepare: func(f *fixture) { f.snapshot.earliest = time.Time{} }, want: UncertainSnapshot},
 		"registry read too early":    {prepare: func(f *fixture) { f.snapshot.earliest = f.now.Add(-snapshotMaxAge - 1) }, want: UncertainSnapshot},
-		"an agent is missing":        {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other))) }, want: UncertainMissing},
-		"an agent is not registered": {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA))) }, want: UncertainRegistry},
+		"an agent is missing":        {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other))) }, want: UncertainMissing},
+		"an agent is not registered": {prepare: func(f *fixture) { f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA))) }, want: UncertainRegistry},
 		"another balancer names one": {
 			prepare: func(f *fixture) {
-				fleet.Names{Holders: []flow.IPv4{other}}.Append(nil, func(msg []byte) { f.HandleNode(f.now, peer, msg) })
+				fleet.NodeList{ActiveAgents: []flow.IPv4{other}}.Append(nil, func(msg []byte) { f.HandleNode(f.now, peer, msg) })
 			},
 			want: UncertainMissing,
 		},
 		"an agent is overdue": {
-			prepare: func(f *fixture) { f.now = f.now.Add(fleet.Quiet + time.Second); f.announce(targetA, fleet.Ready) },
-			want:    UncertainMissing,
+			prepare: func(f *fixture) {
+				f.now = f.now.Add(fleet.OverdueAfter + time.Second)
+				f.announce(targetA, fleet.Ready)
+			},
+			want: UncertainMissing,
 		},
 		"an overdue agent has no target": {
 			prepare: func(f *fixture) {
 				f.announce(targetB, fleet.Gone)
-				f.now = f.now.Add(fleet.Quiet + time.Second)
+				f.now = f.now.Add(fleet.OverdueAfter + time.Second)
 				f.announce(targetA, fleet.Ready)
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA)))
 			},
 			want: "",
 		},
 		"an overdue agent without a target is registered": {
 			prepare: func(f *fixture) {
 				f.announce(targetB, fleet.Gone)
-				f.now = f.now.Add(fleet.Quiet + time.Second)
+				f.now = f.now.Add(fleet.OverdueAfter + time.Second)
 				f.announce(targetA, fleet.Ready)
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 			},
 			want: UncertainMissing,
 		},
@@ -168,7 +171,7 @@
 				f.announce(targetB, fleet.Gone)
 				f.now = f.now.Add(missingAgentTimeout)
 				f.announce(targetA, fleet.Ready)
-				f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+				f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 			},
 			want: "",
 		},
@@ -219,7 +222,7 @@
 	} {
 		f := newFixture()
 		f.announce(other, fleet.Gone)
-		f.Surveyed(f.now, fleet.SurveyAt(f.now, c.agents))
+		f.Surveyed(f.now, fleet.SnapshotAt(f.now, c.agents))
 		f.client(packet(false, 9))
 		require.Equal(t, c.asked, slices.Contains(targetsOf(f.outstandingProbes()...), other), name)
 		for _, s := range f.outstandingProbes() {
@@ -244,7 +247,7 @@
 		if !during {
 			f.announce(other, fleet.Ready)
 		}
-		f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
+		f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other)))
 		f.advance(BufferRetryInterval)
 		asked := f.port.Delivered()
 		require.Len(t, asked, 2, name)
@@ -277,7 +280,7 @@
 // missing for long.
 func TestUncertainFlowIsSearchedForOnce(t *testing.T) {
 	f := newFixture()
-	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB, other)))
+	f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other)))
 	f.client(packet(false, 9))
 	f.returnLast(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Equal(t, UncertainMissing, f.uncertainty)
@@ -295,7 +298,7 @@
 	f.SetConfig(f.now, config(5))
 	f.announce(targetA, fleet.Ready)
 	f.announce(targetB, fleet.Ready)
-	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(targetA, targetB)))
+	f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 	former.client(packet(false, 9))
 	f.client(packet(false, 9))
 	late := former.port.Delivered()[0]
--- a/balancer/search/search.go
+++ b/balancer/search/search.go
@@ -80,7 +80,7 @@
 // not overdue.
 func (f *Finder) usable(now time.Time, target flow.IPv4) bool {
 	t, known := f.view.Target(target)
-	return !known || !t.Quiet(now)
+	return !known || !t.Overdue(now)
 }
 
 // Found records which target holds a flow and forwards the buffered packets to it.
@@ -196,7 +196,7 @@
 	reachableCount := 0
 	for _, candidate := range targets {
 		t, known := f.view.Target(candidate.Target)
-		if !known || t.State == fleet.Gone || t.Quiet(now) {
+		if !known || t.State == fleet.Gone || t.Overdue(now) {
 			single = append(single, []flow.Candidate{candidate})
 			continue
 		}
@@ -224,7 +224,7 @@
 	targets := b.notProbed
 	for _, id := range slices.Sorted(maps.Keys(b.probes)) {
 		for _, candidate := range b.probes[id] {
-			if target, known := f.view.Target(candidate.Target); known && target.MayHold(now) {
+			if target, known := f.view.Target(candidate.Target); known && target.MayHoldFlows(now) {
 				targets = append(targets, candidate)
 			}
 		}
@@ -314,8 +314,8 @@
 // of the view.
 func (f *Finder) hasTargetSince(now time.Time, generation uint32) bool {
 	for _, tag := range f.view.Services() {
-		for _, t := range f.view.Service(tag) {
-			if t.MayHoldSince(now, generation) {
+		for _, t := range f.view.TargetsOf(tag) {
+			if t.MayHoldFlowsSince(now, generation) {
 				return true
 			}
 		}
--- a/balancer/search/search_test.go
+++ b/balancer/search/search_test.go
@@ -20,7 +20,7 @@
 	for i := range flow.IPv4(count - 2) {
 		f.announce(0x0a020000+i, fleet.Ready)
 	}
-	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(f.View().Targets()...)))
+	f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(f.View().Targets()...)))
 	f.port.Nodes = nil
 	return f
 }
@@ -99,7 +99,7 @@
 	}
 	lost := targetsOf(probes[0])
 	f.announce(lost[2], fleet.Gone)
-	f.Surveyed(f.now, fleet.SurveyAt(f.now, registered(slices.DeleteFunc(f.View().Targets(), func(ip flow.IPv4) bool { return ip == lost[2] })...)))
+	f.Surveyed(f.now, fleet.SnapshotAt(f.now, registered(slices.DeleteFunc(f.View().Targets(), func(ip flow.IPv4) bool { return ip == lost[2] })...)))
 	f.advance(searchRetryInterval)
 	repeated := f.outstandingProbes()
 	reversed := slices.Delete(slices.Clone(lost), 2, 3)
@@ -127,7 +127,7 @@
 	f.client(packet(false, 9))
 	f.announce(targetA, fleet.Gone)
 	f.announce(targetB, fleet.Gone)
-	f.Surveyed(f.now, fleet.SurveyAt(f.now, nil))
+	f.Surveyed(f.now, fleet.SnapshotAt(f.now, nil))
 	f.advance(searchRetryInterval)
 	require.Len(t, f.port.Resets, 1)
 }
@@ -211,10 +211,10 @@
 	f := newFixture()
 	add := func(ip flow.IPv4, zone, service flow.Tag) {
 		f.seq++
-		a := fleet.Announcement{Identity: fleet.Identity{Epoch: 1, Seq: f.seq}, Service: service, Zone: zone, State: fleet.Ready, Slots: 4}
+		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: f.seq}, Service: service, Zone: zone, State: fleet.Ready, Slots: 4}
 		f.HandleNode(f.now, ip, a.Append(nil))
 	}
-	f.now = f.now.Add(fleet.Quiet + 1)
+	f.now = f.now.Add(fleet.OverdueAfter + 1)
 	for i := range flow.IPv4(20) {
 		add(0x0a020000+i, 9, alpha)
 		add(0x0a030000+i, 0, alpha+1)
@@ -244,7 +244,7 @@
 	f := newFixture()
 	for i := range flow.IPv4(targets) {
 		f.seq++
-		a := fleet.Announcement{Identity: fleet.Identity{Epoch: 1, Seq: f.seq}, Service: alpha, Zone: flow.Tag(1 + i%zones), State: fleet.Ready, Slots: 4}
+		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: f.seq}, Service: alpha, Zone: flow.Tag(1 + i%zones), State: fleet.Ready, Slots: 4}
 		f.HandleNode(f.now, 0x0a020000+i, a.Append(nil))
 	}
 	f.client(packet(false, 9))
--- a/choose/offer.go
+++ b/choose/offer.go
@@ -104,7 +104,7 @@
 // Cheapest returns the index of the offer for a new flow, or -1 if there is none. Two random
 // offers of the local zone and two of other zones are compared (power of two choices), so that
 // balancers with the same stale load reports do not all choose the same target. typical is the
-// TypicalService of all candidates.
+// TypicalServiceTime of all candidates.
 func (w Weights) Cheapest(offers []Offer, typical time.Duration, rnd *rand.Rand) int {
 	if len(offers) == 0 {
 		return -1
--- a/e2e/packets/blackout_test.go
+++ b/e2e/packets/blackout_test.go
@@ -182,7 +182,7 @@
 			}
 		}
 		for _, ip := range w.BalancerIPs() {
-			require.True(t, w.Balancers[ip].Core.View().KnowsTarget(fresh.IP), "seed %d: %v", seed, ip)
+			require.True(t, w.Balancers[ip].Core.View().HasTarget(fresh.IP), "seed %d: %v", seed, ip)
 		}
 		for range 12 {
 			w.addClient("z1", frontA)
--- a/e2e/packets/membership_test.go
+++ b/e2e/packets/membership_test.go
@@ -51,7 +51,7 @@
 		return (from == apart && to == w.Seeds[0]) || (from == w.Seeds[0] && to == apart)
 	}
 	w.Run(3 * time.Second)
-	require.False(t, w.Balancers[w.Seeds[0]].Core.View().KnowsTarget(apart))
+	require.False(t, w.Balancers[w.Seeds[0]].Core.View().HasTarget(apart))
 	w.Cut = func(_, _ flow.IPv4) bool { return false }
 	w.Run(3 * time.Second)
 	requireKnown(t, w)
@@ -115,7 +115,7 @@
 	dead.crash()
 	dead.Stop()
 	late.Restart(3 * time.Second)
-	w.Run(fleet.Forget + 5*time.Second)
+	w.Run(fleet.ExpireAfter + 5*time.Second)
 	require.NotContains(t, w.Registry, dead.IP)
 	require.Contains(t, w.Registry, late.IP)
 	require.Len(t, w.Registry, len(agents)-1)
@@ -129,6 +129,6 @@
 	w.Run(3 * time.Second)
 	keeper := w.BalancerIPs()[0]
 	w.Cut = func(from, to flow.IPv4) bool { return from == keeper || to == keeper }
-	w.Run(2*fleet.Forget + 5*time.Second)
+	w.Run(2*fleet.ExpireAfter + 5*time.Second)
 	require.Zero(t, w.StruckAlive)
 }
--- a/e2e/packets/mesh_test.go
+++ b/e2e/packets/mesh_test.go
@@ -119,7 +119,7 @@
 		w.Run(50 * time.Millisecond)
 		for _, ip := range w.BalancerIPs()[:6] {
 			for i := range 3 {
-				require.False(t, w.Balancers[ip].Core.View().ZoneSilent(flow.TagOf(meshZone(i))), "%v after %v", ip, w.Since())
+				require.False(t, w.Balancers[ip].Core.View().IsZoneSilent(flow.TagOf(meshZone(i))), "%v after %v", ip, w.Since())
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 }
 
 // saidAt is when the agent sent what a view holds of it.
-func (w *world) saidAt(h *fleet.Target) time.Time { return w.sent[said{h.IP, h.Identity}] }
+func (w *world) saidAt(h *fleet.Target) time.Time { return w.sent[said{h.IP, h.MessageID}] }
 
 // farTargets calls do for each balancer that is up and each target of another zone that it
 // knows.
@@ -219,8 +219,8 @@
 				for range 150 {
 					w.Run(100 * time.Millisecond)
 					w.farTargets(func(b *sim.Balancer, h *fleet.Target) {
-						if b.Core.View().KnowsTarget(h.IP) && w.Agents[h.IP].Up && h.Quiet(w.Now) {
-							t.Fatalf("seed %d, %v: balancer %v takes %v for dead, heard %v ago", seed, w.Since(), b.IP, h.IP, w.Now.Sub(h.HeardAt))
+						if b.Core.View().HasTarget(h.IP) && w.Agents[h.IP].Up && h.Overdue(w.Now) {
+							t.Fatalf("seed %d, %v: balancer %v takes %v for dead, heard %v ago", seed, w.Since(), b.IP, h.IP, w.Now.Sub(h.LastSeen))
 						}
 					})
 				}
@@ -256,7 +256,7 @@
 	dead.Stop()
 	w.Run(6250*time.Millisecond + 100*time.Millisecond)
 	w.farTargets(func(b *sim.Balancer, h *fleet.Target) {
-		require.Equal(t, h.IP == dead.IP, h.Quiet(w.Now), "balancer %v, target %v", b.IP, h.IP)
+		require.Equal(t, h.IP == dead.IP, h.Overdue(w.Now), "balancer %v, target %v", b.IP, h.IP)
 	})
 }
 
@@ -281,13 +281,13 @@
 	fresh := w.AddBalancer("z1")
 	w.Run(time.Second)
 	current, _ := fresh.Core.View().Target(agent.IP)
-	epoch := current.Epoch
+	epoch := current.Incarnation
 	for _, datagram := range late {
 		for _, b := range append(zone, fresh) {
 			b.Core.HandleNode(w.Now, zone[0].IP, datagram)
 			h, known := b.Core.View().Target(agent.IP)
 			require.True(t, known)
-			require.Equal(t, epoch, h.Epoch, "balancer %v", b.IP)
+			require.Equal(t, epoch, h.Incarnation, "balancer %v", b.IP)
 		}
 	}
 }
--- a/e2e/packets/packets_test.go
+++ b/e2e/packets/packets_test.go
@@ -72,7 +72,7 @@
 		for _, ip := range w.BalancerIPs() {
 			// The fresh balancer learns of the dead VM as the others know it.
 			if h, known := w.Balancers[ip].Core.View().Target(dead.IP); known {
-				fresh.Core.View().Announce(w.Now, dead.IP, h.Announcement)
+				fresh.Core.View().ApplyAnnouncement(w.Now, dead.IP, h.Announcement)
 				break
 			}
 		}
@@ -264,7 +264,7 @@
 	if planned {
 		if a.Core.RemovesEntry() && !a.w.Now.Before(a.w.StoreBack) {
 			delete(a.w.Registry, a.IP)
-			a.Core.PresenceStored(a.w.Now, fleet.PresenceEnded)
+			a.Core.PresenceStored(a.w.Now, fleet.EntryAbsent)
 		}
 		a.Core.Stop(a.w.Now)
 	}
--- a/e2e/packets/target_test.go
+++ b/e2e/packets/target_test.go
@@ -38,7 +38,9 @@
 	openedAt  []time.Time
 }
 
-func (h *target) life() fleet.Life { return fleet.Life{TargetID: h.id, Born: h.born} }
+func (h *target) life() fleet.Incarnation {
+	return fleet.Incarnation{TargetID: h.id, StartedMillis: h.born}
+}
 
 type targetFlow struct {
 	seq, next uint32
@@ -72,7 +74,7 @@
 	if !a.Up {
 		return
 	}
-	acknowledged := a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Life: h.life(), Service: h.service, Slots: h.slots, Draining: h.draining, Sequence: h.sequence, WarmupLeft: max(h.coldUntil.Sub(a.w.Now), 0)})
+	acknowledged := a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: h.life(), Service: h.service, Slots: h.slots, Draining: h.draining, Sequence: h.sequence, WarmupLeft: max(h.coldUntil.Sub(a.w.Now), 0)})
 	h.unseen = h.unseen && !acknowledged
 	if acknowledged && h.draining && h.ackedBy != a.Life {
 		h.ackedBy, h.ackedAt = a.Life, a.w.Now
@@ -110,7 +112,7 @@
 		return
 	}
 	h.sequence++
-	a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Life: h.life(), Service: h.service, Slots: h.slots, Draining: true, Sequence: h.sequence})
+	a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: h.life(), Service: h.service, Slots: h.slots, Draining: true, Sequence: h.sequence})
 }
 
 // Take is what a target does with a packet.
--- a/e2e/packets/world_test.go
+++ b/e2e/packets/world_test.go
@@ -43,7 +43,7 @@
 // said is one announcement of an agent.
 type said struct {
 	ip flow.IPv4
-	fleet.Identity
+	fleet.MessageID
 }
 
 func newWorld(seed uint64) *world {
@@ -63,7 +63,7 @@
 		message = inner
 	}
 	if a, err := fleet.DecodeAnnouncement(message); err == nil {
-		w.sent[said{from, a.Identity}] = w.Now
+		w.sent[said{from, a.MessageID}] = w.Now
 	}
 }
 
--- a/fleet/alone.go
+++ b/fleet/alone.go
@@ -6,12 +6,12 @@
 // registry, and the interval between further reads.
 const isolationTimeout = 1500 * time.Millisecond
 
-// Alone measures how long a node has known no other node.
-type Alone struct{ since time.Time }
+// IsolationTimer measures how long a node has known no other node.
+type IsolationTimer struct{ since time.Time }
 
 // Due reports whether the registry is to be read now. The argument alone states whether
 // the node currently knows no other node.
-func (a *Alone) Due(now time.Time, alone bool) bool {
+func (a *IsolationTimer) Due(now time.Time, alone bool) bool {
 	if !alone {
 		a.since = time.Time{}
 		return false
--- a/fleet/balancers.go
+++ b/fleet/balancers.go
@@ -6,8 +6,8 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// ZoneBalancers returns the number of other balancers known in a zone.
-func (v *View) ZoneBalancers(zone flow.Tag) int {
+// BalancerCountIn returns the number of other balancers known in a zone.
+func (v *View) BalancerCountIn(zone flow.Tag) int {
 	count := 0
 	for _, p := range v.peers {
 		if p.Zone == zone {
@@ -17,10 +17,10 @@
 	return count
 }
 
-// FarBalancers returns the balancers outside the local zone, grouped by zone and sorted by
+// CrossZoneBalancers returns the balancers outside the local zone, grouped by zone and sorted by
 // address: all known ones, and those that are not leaving and were last seen within the
 // given time.
-func (v *View) FarBalancers(now time.Time, local flow.Tag, within time.Duration) (known, recent map[flow.Tag][]flow.IPv4) {
+func (v *View) CrossZoneBalancers(now time.Time, local flow.Tag, within time.Duration) (known, recent map[flow.Tag][]flow.IPv4) {
 	known, recent = map[flow.Tag][]flow.IPv4{}, map[flow.Tag][]flow.IPv4{}
 	for _, ip := range v.Balancers() {
 		p := v.peers[ip]
@@ -28,7 +28,7 @@
 			continue
 		}
 		known[p.Zone] = append(known[p.Zone], ip)
-		if !p.Leaving && now.Sub(p.HeardAt) <= within {
+		if !p.Leaving && now.Sub(p.LastSeen) <= within {
 			recent[p.Zone] = append(recent[p.Zone], ip)
 		}
 	}
--- a/fleet/batch.go
+++ b/fleet/batch.go
@@ -92,11 +92,11 @@
 // and beacon.
 const messageIDLen = 8 + 4
 
-// IdentityOf decodes only the message ID of an announcement or a beacon.
-func IdentityOf(message []byte) (Identity, error) {
+// DecodeMessageID decodes only the message ID of an announcement or a beacon.
+func DecodeMessageID(message []byte) (MessageID, error) {
 	if _, err := relayableKind(message); err != nil || len(message) < envelope.PrefixLen+messageIDLen {
-		return Identity{}, ErrMalformed
+		return MessageID{}, ErrMalformed
 	}
 	b := message[envelope.PrefixLen:]
-	return Identity{Epoch: binary.BigEndian.Uint64(b), Seq: binary.BigEndian.Uint32(b[8:])}, nil
+	return MessageID{Incarnation: binary.BigEndian.Uint64(b), Seq: binary.BigEndian.Uint32(b[8:])}, nil
 }
--- a/fleet/batch_test.go
+++ b/fleet/batch_test.go
@@ -21,7 +21,7 @@
 			a := announcement(uint64(i+1), 1, alpha, Ready)
 			message := a.Append(nil)
 			if rapid.Bool().Draw(t, "beacon") {
-				message = (&Beacon{Identity: Identity{uint64(i + 1), 2}}).Append(nil)
+				message = (&Beacon{MessageID: MessageID{uint64(i + 1), 2}}).Append(nil)
 			}
 			sent = append(sent, RelayedMessage{From: flow.IPv4(i), Message: message})
 		}
@@ -42,22 +42,22 @@
 // TestOnlyAnnouncementsAndBeaconsAreRelayed guards against relaying of other messages, and of
 // relay requests within relay requests.
 func TestOnlyAnnouncementsAndBeaconsAreRelayed(t *testing.T) {
-	a, b := announcement(7, 8, alpha, Ready), Beacon{Identity: Identity{1, 2}}
+	a, b := announcement(7, 8, alpha, Ready), Beacon{MessageID: MessageID{1, 2}}
 	for name, c := range map[string]struct {
 		message []byte
 		kind    envelope.Kind
-		id      Identity
+		id      MessageID
 	}{
-		"an announcement":        {a.Append(nil), envelope.Announce, a.Identity},
-		"a beacon":               {b.Append(nil), envelope.Beacon, b.Identity},
-		"nothing":                {nil, 0, Identity{}},
-		"a node list":            {envelope.AppendPrefix(nil, envelope.Peers), 0, Identity{}},
-		"a nested relay request": {AppendRelay(nil, a.Append(nil)), 0, Identity{}},
+		"an announcement":        {a.Append(nil), envelope.Announce, a.MessageID},
+		"a beacon":               {b.Append(nil), envelope.Beacon, b.MessageID},
+		"nothing":                {nil, 0, MessageID{}},
+		"a node list":            {envelope.AppendPrefix(nil, envelope.Peers), 0, MessageID{}},
+		"a nested relay request": {AppendRelay(nil, a.Append(nil)), 0, MessageID{}},
 	} {
 		kind, message, err := DecodeRelay(AppendRelay(nil, c.message))
 		relayed := RelayedMessage{ip1, c.message}
 		_, relayedErr := relayed.Kind()
-		id, idErr := IdentityOf(c.message)
+		id, idErr := DecodeMessageID(c.message)
 		if c.kind == 0 {
 			require.ErrorIs(t, err, ErrMalformed, name)
 			require.ErrorIs(t, relayedErr, ErrMalformed, name)
@@ -73,7 +73,7 @@
 	}
 	_, _, err := DecodeRelay(a.Append(nil))
 	require.ErrorIs(t, err, ErrMalformed, "without a relay request")
-	_, err = IdentityOf(a.Append(nil)[:envelope.PrefixLen+messageIDLen-1])
+	_, err = DecodeMessageID(a.Append(nil)[:envelope.PrefixLen+messageIDLen-1])
 	require.ErrorIs(t, err, ErrMalformed, "truncated")
 }
 
@@ -81,13 +81,13 @@
 // applied, those of a former one ignored, and an unknown process is probed first.
 func TestCurrentAndFormerProcessesAreDistinguished(t *testing.T) {
 	v := NewView()
-	require.Equal(t, Unknown, v.TargetProcess(ip1, 1))
-	require.Equal(t, Unknown, v.PeerProcess(ip2, 1))
+	require.Equal(t, ProcessUnknown, v.TargetProcess(ip1, 1))
+	require.Equal(t, ProcessUnknown, v.PeerProcess(ip2, 1))
 	for incarnation := uint64(1); incarnation <= 2; incarnation++ {
-		v.Announce(start, ip1, announcement(incarnation, 1, alpha, Ready))
-		v.Beacon(start, ip2, Beacon{Identity: Identity{incarnation, 1}})
+		v.ApplyAnnouncement(start, ip1, announcement(incarnation, 1, alpha, Ready))
+		v.ApplyBeacon(start, ip2, Beacon{MessageID: MessageID{incarnation, 1}})
 	}
-	for incarnation, want := range map[uint64]Process{1: Former, 2: Present, 3: Unknown} {
+	for incarnation, want := range map[uint64]ProcessRelation{1: ProcessFormer, 2: ProcessCurrent, 3: ProcessUnknown} {
 		require.Equal(t, want, v.TargetProcess(ip1, incarnation), incarnation)
 		require.Equal(t, want, v.PeerProcess(ip2, incarnation), incarnation)
 	}
@@ -99,26 +99,26 @@
 func TestRelayedMessagesDoNotEndATarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, relayed  State
-		known, announced Listing
+		known, announced Registration
 		want             State
 		ask              bool
 	}{
-		"unchanged":         {Ready, Ready, ListingThere, ListingThere, Ready, false},
-		"starts draining":   {Ready, Draining, ListingThere, ListingThere, Draining, false},
-		"ended":             {Ready, Gone, ListingThere, ListingThere, Draining, true},
-		"still ended":       {Gone, Gone, ListingTakenAway, ListingTakenAway, Gone, false},
-		"started again":     {Gone, Ready, ListingThere, ListingThere, Ready, false},
-		"entry removed":     {Gone, Gone, ListingThere, ListingTakenAway, Gone, true},
-		"entry left behind": {Draining, Gone, ListingThere, ListingLeft, Draining, true},
-		"registered again":  {Gone, Ready, ListingTakenAway, ListingThere, Ready, true},
+		"unchanged":         {Ready, Ready, RegistrationPresent, RegistrationPresent, Ready, false},
+		"starts draining":   {Ready, Draining, RegistrationPresent, RegistrationPresent, Draining, false},
+		"ended":             {Ready, Gone, RegistrationPresent, RegistrationPresent, Draining, true},
+		"still ended":       {Gone, Gone, RegistrationRemoved, RegistrationRemoved, Gone, false},
+		"started again":     {Gone, Ready, RegistrationPresent, RegistrationPresent, Ready, false},
+		"entry removed":     {Gone, Gone, RegistrationPresent, RegistrationRemoved, Gone, true},
+		"entry left behind": {Draining, Gone, RegistrationPresent, RegistrationAbandoned, Draining, true},
+		"registered again":  {Gone, Ready, RegistrationRemoved, RegistrationPresent, Ready, true},
 	} {
 		target := Target{Announcement: announcement(1, 1, alpha, c.before)}
-		target.Listing = c.known
+		target.Registration = c.known
 		relayed := announcement(1, 2, alpha, c.relayed)
-		relayed.Listing = c.announced
-		got, ask := target.TakeRelayed(relayed)
+		relayed.Registration = c.announced
+		got, ask := target.FilterRelayed(relayed)
 		require.Equal(t, c.want, got.State, name)
-		require.Equal(t, c.known, got.Listing, name)
+		require.Equal(t, c.known, got.Registration, name)
 		require.Equal(t, c.ask, ask, name)
 	}
 }
@@ -140,25 +140,25 @@
 		v := NewView()
 		a := announcement(1, 1, alpha, Ready)
 		a.Zone, a.Period = c.zone, period
-		v.Announce(start, ip1, a)
-		v.Beacon(start, ip2, Beacon{Identity: Identity{1, 1}, Zone: c.zone, Period: period})
+		v.ApplyAnnouncement(start, ip1, a)
+		v.ApplyBeacon(start, ip2, Beacon{MessageID: MessageID{1, 1}, Zone: c.zone, Period: period})
 		if c.relayed {
-			v.Relayed(ip1)
-			v.Relayed(ip2)
+			v.MarkRelayed(ip1)
+			v.MarkRelayed(ip2)
 		}
 		targets, peers := 0, 0
 		for now := start; now.Sub(start) <= 10*time.Second; now = now.Add(100 * time.Millisecond) {
-			probed := v.OverdueTargets(now, local, c.all)
+			probed := v.TargetsToProbe(now, local, c.all)
 			require.False(t, len(probed) > 0 && now.Sub(start) <= 3*time.Second, "%s: too early", name)
 			target, _ := v.Target(ip1)
-			require.False(t, len(probed) > 0 && target.Quiet(now), "%s: too late", name)
+			require.False(t, len(probed) > 0 && target.Overdue(now), "%s: too late", name)
 			targets += len(probed)
-			peers += len(v.OverduePeers(now, local, 0, c.all))
+			peers += len(v.PeersToProbe(now, local, 0, c.all))
 		}
 		require.Equal(t, c.want, targets, name)
 		require.Equal(t, c.want, peers, name)
-		v.Announce(start.Add(20*time.Second), ip1, announcement(1, 2, alpha, Ready))
-		require.Empty(t, v.OverdueTargets(start.Add(20*time.Second), local, c.all), "%s: seen again", name)
+		v.ApplyAnnouncement(start.Add(20*time.Second), ip1, announcement(1, 2, alpha, Ready))
+		require.Empty(t, v.TargetsToProbe(start.Add(20*time.Second), local, c.all), "%s: seen again", name)
 	}
 }
 
@@ -168,13 +168,13 @@
 	const local, other = flow.Tag(1), flow.Tag(2)
 	v := NewView()
 	receive := func(ip flow.IPv4, zone flow.Tag, at time.Duration, leaving bool) {
-		v.Beacon(start.Add(at), ip, Beacon{Identity: Identity{uint64(ip), 1}, Zone: zone, Leaving: leaving})
+		v.ApplyBeacon(start.Add(at), ip, Beacon{MessageID: MessageID{uint64(ip), 1}, Zone: zone, Leaving: leaving})
 	}
 	receive(1, local, 5*time.Second, false)
 	receive(2, other, 5*time.Second, false)
 	receive(3, other, 0, false)
 	receive(4, other, 5*time.Second, true)
-	known, recent := v.FarBalancers(start.Add(5*time.Second), local, 4*time.Second)
+	known, recent := v.CrossZoneBalancers(start.Add(5*time.Second), local, 4*time.Second)
 	require.Equal(t, map[flow.Tag][]flow.IPv4{other: {2, 3, 4}}, known)
 	require.Equal(t, map[flow.Tag][]flow.IPv4{other: {2}}, recent)
 }
--- a/fleet/digest_test.go
+++ b/fleet/digest_test.go
@@ -15,12 +15,12 @@
 func viewOf(now time.Time, nodes int) *View {
 	v := NewView()
 	for i := range nodes {
-		id := Identity{Epoch: 1, Seq: 1}
+		id := MessageID{Incarnation: 1, Seq: 1}
 		if i%7 < 2 {
-			v.Beacon(now, flow.IPv4(0x0a000001+i), Beacon{Identity: id})
+			v.ApplyBeacon(now, flow.IPv4(0x0a000001+i), Beacon{MessageID: id})
 			continue
 		}
-		v.Announce(now, flow.IPv4(0x0a000001+i), Announcement{Identity: id, State: Ready})
+		v.ApplyAnnouncement(now, flow.IPv4(0x0a000001+i), Announcement{MessageID: id, State: Ready})
 	}
 	return v
 }
@@ -45,7 +45,7 @@
 		sum ^= memberHash(ip, true)
 	}
 	for ip, target := range v.targets {
-		if target.State != Gone || !target.Quiet(now) {
+		if target.State != Gone || !target.Overdue(now) {
 			sum ^= memberHash(ip, false)
 		}
 	}
@@ -60,16 +60,16 @@
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			ip := flow.IPv4(rapid.IntRange(1, 8).Draw(t, "node"))
 			seq++
-			id := Identity{Epoch: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), Seq: seq}
+			id := MessageID{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), Seq: seq}
 			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0:
-				v.Beacon(now, 100+ip, Beacon{Identity: id})
+				v.ApplyBeacon(now, 100+ip, Beacon{MessageID: id})
 			case 1:
 				v.Expire(now)
 			case 2:
 				now = now.Add(time.Duration(rapid.IntRange(0, 9).Draw(t, "seconds")) * time.Second)
 			default:
-				v.Announce(now, ip, Announcement{Identity: id, State: State(rapid.IntRange(0, 3).Draw(t, "state"))})
+				v.ApplyAnnouncement(now, ip, Announcement{MessageID: id, State: State(rapid.IntRange(0, 3).Draw(t, "state"))})
 			}
 			require.Equal(t, digestOf(v, now, 7), v.Digest(now, 7))
 		}
--- a/fleet/feeders.go
+++ b/fleet/feeders.go
@@ -25,8 +25,8 @@
 // ZoneFeeders returns the other eligible feeders of a zone, sorted by address.
 func (v *View) ZoneFeeders(now time.Time, zone flow.Tag) []flow.IPv4 {
 	var out []flow.IPv4
-	for _, p := range v.ZonePeers(now, zone) {
-		if p.Feeding {
+	for _, p := range v.EligiblePeers(now, zone) {
+		if p.Feeder {
 			out = append(out, p.IP)
 		}
 	}
@@ -34,9 +34,9 @@
 	return out
 }
 
-// Registers reports whether the balancer self is to have a registry entry: it is among the
+// ShouldRegister reports whether the balancer self is to have a registry entry: it is among the
 // first RegisteredPerZone eligible balancers of its zone by address.
-func (v *View) Registers(now time.Time, self flow.IPv4, zone flow.Tag) bool {
+func (v *View) ShouldRegister(now time.Time, self flow.IPv4, zone flow.Tag) bool {
 	return v.rank(now, self, zone) < RegisteredPerZone
 }
 
@@ -51,16 +51,16 @@
 	return before
 }
 
-// Feeds reports whether the balancer self is to be a feeder: it is among the first
+// ShouldFeed reports whether the balancer self is to be a feeder: it is among the first
 // FeedersPerZone eligible balancers of its zone by address, or it sees fewer than minFeeders
 // eligible feeders in the whole fleet.
-func (v *View) Feeds(now time.Time, self flow.IPv4, zone flow.Tag) bool {
+func (v *View) ShouldFeed(now time.Time, self flow.IPv4, zone flow.Tag) bool {
 	if v.rank(now, self, zone) < FeedersPerZone {
 		return true
 	}
 	feeding := 0
 	for _, p := range v.peers {
-		if p.Feeding && p.eligible(now) {
+		if p.Feeder && p.eligible(now) {
 			feeding++
 		}
 	}
--- a/fleet/overdue.go
+++ b/fleet/overdue.go
@@ -45,17 +45,17 @@
 // probeDelay returns the time without a message after which a node with the given period is
 // probed.
 func probeDelay(period time.Duration) time.Duration {
-	return time.Duration(probePeriods * float64(max(period, NearPeriod)))
+	return time.Duration(probePeriods * float64(max(period, SameZonePeriod)))
 }
 
-// OverdueTargets returns the targets of other zones whose relayed messages have stopped
+// TargetsToProbe returns the targets of other zones whose relayed messages have stopped
 // arriving and that are to be probed now, sorted by address, and counts the probes.
 // allRelayed states that nodes of other zones use relays in the local zone, so that the
 // messages of any of them may arrive relayed.
-func (v *View) OverdueTargets(now time.Time, local flow.Tag, allRelayed bool) []flow.IPv4 {
+func (v *View) TargetsToProbe(now time.Time, local flow.Tag, allRelayed bool) []flow.IPv4 {
 	var out []flow.IPv4
 	for ip, t := range v.targets {
-		if t.Zone != local && (allRelayed || t.relayed) && t.beginProbe(now, t.HeardAt, probeDelay(t.Period)) {
+		if t.Zone != local && (allRelayed || t.relayed) && t.beginProbe(now, t.LastSeen, probeDelay(t.Period)) {
 			out = append(out, ip)
 		}
 	}
@@ -63,12 +63,12 @@
 	return out
 }
 
-// OverduePeers does the same for the balancers of other zones. A balancer is not probed
+// PeersToProbe does the same for the balancers of other zones. A balancer is not probed
 // until minDelay has passed since its last message.
-func (v *View) OverduePeers(now time.Time, local flow.Tag, minDelay time.Duration, allRelayed bool) []flow.IPv4 {
+func (v *View) PeersToProbe(now time.Time, local flow.Tag, minDelay time.Duration, allRelayed bool) []flow.IPv4 {
 	var out []flow.IPv4
 	for ip, p := range v.peers {
-		if p.Zone != local && (allRelayed || p.relayed) && p.beginProbe(now, p.HeardAt, max(minDelay, probeDelay(p.Period))) {
+		if p.Zone != local && (allRelayed || p.relayed) && p.beginProbe(now, p.LastSeen, max(minDelay, probeDelay(p.Period))) {
 			out = append(out, ip)
 		}
 	}
--- a/fleet/period.go
+++ b/fleet/period.go
@@ -9,8 +9,8 @@
 // Periodic repetition of a node's state message. Changes are sent immediately; the
 // repetition shows that the node is alive and carries its load report.
 const (
-	// NearPeriod is the time between repetitions to nodes of the local zone.
-	NearPeriod = time.Second
+	// SameZonePeriod is the time between repetitions to nodes of the local zone.
+	SameZonePeriod = time.Second
 	// crossZoneRate is how many repetitions a second a node sends to nodes of other zones in
 	// total. Traffic between zones is expensive and would otherwise grow with the square of
 	// the fleet size.
@@ -26,17 +26,17 @@
 	eligiblePeriods = 2.2
 )
 
-// FarPeriod returns the time between repetitions to each node of other zones, given the
+// CrossZonePeriod returns the time between repetitions to each node of other zones, given the
 // number of those nodes.
-func FarPeriod(nodes int) time.Duration {
-	return min(max(time.Duration(nodes)*time.Second/crossZoneRate, NearPeriod), maxCrossZonePeriod)
+func CrossZonePeriod(nodes int) time.Duration {
+	return min(max(time.Duration(nodes)*time.Second/crossZoneRate, SameZonePeriod), maxCrossZonePeriod)
 }
 
-// NextRound returns the next send time of a node that sends once per period. Each node sends
+// NextSendTime returns the next send time of a node that sends once per period. Each node sends
 // at a phase of the period of its own, derived from its address and counted by the wall
 // clock, so that nodes that started together or learned of the same change do not all send
 // at once. A step of the clock only shortens one interval.
-func NextRound(now time.Time, period time.Duration, self flow.IPv4) time.Time {
+func NextSendTime(now time.Time, period time.Duration, self flow.IPv4) time.Time {
 	phase := time.Duration(flow.Score(phaseSalt, self) % uint64(period))
 	since := (time.Duration(now.UnixNano()) - phase) % period
 	if since < 0 {
@@ -52,7 +52,7 @@
 // periods ago. A period of zero stands for that within a zone.
 func overdue(now, lastSeen time.Time, period time.Duration, periods float64) bool {
 	if period <= 0 {
-		period = NearPeriod
+		period = SameZonePeriod
 	}
 	return float64(now.Sub(lastSeen)) > periods*float64(period)
 }
--- a/fleet/readings.go
+++ b/fleet/readings.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Readings is the load report of a target: what its agent measured. All fields are zero
+// LoadReport is the load report of a target: what its agent measured. All fields are zero
 // before the first measurement, and for a node that sends no load report.
-type Readings struct {
-	// Wait is the time that a new request would wait for a slot, in whole milliseconds.
-	Wait time.Duration
-	// Each is the mean time between two answers of the target when it is fully used. Took is
+type LoadReport struct {
+	// QueueDelay is the time that a new request would wait for a slot, in whole milliseconds.
+	QueueDelay time.Duration
+	// AnswerInterval is the mean time between two answers of the target when it is fully used. ResponseTime is
 	// the mean service time, from the delivery of a request to its answer. Both are sent in
 	// tenths of a millisecond.
-	Each, Took time.Duration
+	AnswerInterval, ResponseTime time.Duration
 	// Overloaded targets have an active overload: they persistently receive more requests
 	// than they can answer, and take only requests that can meet their objective.
 	Overloaded bool
@@ -25,10 +25,10 @@
 // that long.
 const serviceTimeFactor = 2
 
-// InTime reports whether a request of the given age that still has to wait for a slot would
+// MeetsObjective reports whether a request of the given age that still has to wait for a slot would
 // be answered within its objective.
-func (r Readings) InTime(age, objective time.Duration) bool {
-	return age+r.Wait+serviceTimeFactor*r.Took <= objective
+func (r LoadReport) MeetsObjective(age, objective time.Duration) bool {
+	return age+r.QueueDelay+serviceTimeFactor*r.ResponseTime <= objective
 }
 
 // loadReportWire is the encoding of a load report. It is preceded by its length, so that a
@@ -44,10 +44,10 @@
 // loadReportUnit is the unit of measured times in an encoded load report.
 const loadReportUnit = 100 * time.Microsecond
 
-func (r Readings) append(b []byte) []byte {
+func (r LoadReport) append(b []byte) []byte {
 	return appendFixed(append(b, loadReportLen), loadReportWire{
-		QueueDelayMillis:     wholeUnits(r.Wait, time.Millisecond),
-		AnswerIntervalTenths: wholeUnits(r.Each, loadReportUnit), ServiceTimeTenths: wholeUnits(r.Took, loadReportUnit),
+		QueueDelayMillis:     wholeUnits(r.QueueDelay, time.Millisecond),
+		AnswerIntervalTenths: wholeUnits(r.AnswerInterval, loadReportUnit), ServiceTimeTenths: wholeUnits(r.ResponseTime, loadReportUnit),
 		Overloaded: bit(r.Overloaded),
 	})
 }
@@ -58,17 +58,17 @@
 
 // decodeLoadReport decodes the last part of an announcement. A load report that is shorter
 // than loadReportLen decodes as an empty one.
-func decodeLoadReport(b []byte) (Readings, error) {
+func decodeLoadReport(b []byte) (LoadReport, error) {
 	if len(b) == 0 || int(b[0]) != len(b)-1 {
-		return Readings{}, ErrMalformed
+		return LoadReport{}, ErrMalformed
 	}
 	var w loadReportWire
 	if _, err := binary.Decode(b[1:], binary.BigEndian, &w); err != nil {
-		return Readings{}, nil
+		return LoadReport{}, nil
 	}
-	return Readings{
-		Wait: time.Duration(w.QueueDelayMillis) * time.Millisecond,
-		Each: time.Duration(w.AnswerIntervalTenths) * loadReportUnit, Took: time.Duration(w.ServiceTimeTenths) * loadReportUnit,
+	return LoadReport{
+		QueueDelay:     time.Duration(w.QueueDelayMillis) * time.Millisecond,
+		AnswerInterval: time.Duration(w.AnswerIntervalTenths) * loadReportUnit, ResponseTime: time.Duration(w.ServiceTimeTenths) * loadReportUnit,
 		Overloaded: w.Overloaded == 1,
 	}, nil
 }
--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -42,7 +42,7 @@
 	maxRetryPause = 1600 * time.Millisecond
 	// checkPeriod is the period at which a node checks its entry: the time for which other
 	// nodes remember an overdue node.
-	checkPeriod = fleet.Forget
+	checkPeriod = fleet.ExpireAfter
 	// removeTimeout limits the removal of the entry of a node that stops; if it fails, a
 	// balancer removes the entry.
 	removeTimeout = 200 * time.Millisecond
@@ -56,23 +56,23 @@
 	incarnation uint64
 	log         *zap.Logger
 	// onApplied is called each time that the store has reached the desired presence.
-	onApplied func(fleet.Presence)
+	onApplied func(fleet.EntryState)
 
 	// mu guards desired; no other lock is taken while it is held.
 	mu      sync.Mutex
-	desired fleet.Presence
+	desired fleet.EntryState
 	// changed wakes Run when desired has changed.
 	changed chan struct{}
 }
 
 // New returns a registry for the process of the given incarnation at an address. onApplied
 // is called each time that the store has reached the desired presence.
-func New(s store.Store, role fleet.Role, self flow.IPv4, incarnation uint64, log *zap.Logger, onApplied func(fleet.Presence)) *Registration {
+func New(s store.Store, role fleet.Role, self flow.IPv4, incarnation uint64, log *zap.Logger, onApplied func(fleet.EntryState)) *Registration {
 	return &Registration{store: s, role: role, self: self, incarnation: incarnation, log: log, onApplied: onApplied, changed: make(chan struct{}, 1)}
 }
 
 // SetPresence sets the desired presence of the node in the registry.
-func (r *Registration) SetPresence(p fleet.Presence) {
+func (r *Registration) SetPresence(p fleet.EntryState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.desired == p {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (r *Registration) desiredPresence() fleet.Presence {
+func (r *Registration) desiredPresence() fleet.EntryState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.desired
@@ -94,7 +94,7 @@
 
 // Run keeps the entry in line with the desired presence until ctx ends.
 func (r *Registration) Run(ctx context.Context) error {
-	applied, pause := fleet.PresenceUnknown, retryPause
+	applied, pause := fleet.EntryUnchanged, retryPause
 	for ctx.Err() == nil {
 		desired := r.desiredPresence()
 		if desired != applied {
@@ -107,9 +107,9 @@
 			applied, pause = desired, retryPause
 			r.onApplied(desired)
 		}
-		if r.wait(ctx, checkPeriod) && applied == fleet.PresenceHere && r.entryMissing(ctx) {
+		if r.wait(ctx, checkPeriod) && applied == fleet.EntryPresent && r.entryMissing(ctx) {
 			r.log.Warn("registry entry is missing and will be written again")
-			applied = fleet.PresenceUnknown
+			applied = fleet.EntryUnchanged
 		}
 	}
 	return nil
@@ -130,11 +130,11 @@
 }
 
 // apply writes or removes the entry according to p.
-func (r *Registration) apply(ctx context.Context, p fleet.Presence) error {
+func (r *Registration) apply(ctx context.Context, p fleet.EntryState) error {
 	switch p {
-	case fleet.PresenceHere:
+	case fleet.EntryPresent:
 		return r.writeEntry(ctx)
-	case fleet.PresenceEnded:
+	case fleet.EntryAbsent:
 		return r.removeEntry(ctx)
 	default:
 		return nil
@@ -157,7 +157,7 @@
 // entryMissing reports whether the store has answered without a valid entry. Any replica may
 // answer: an entry that is newer than the replica's state is only written once more.
 func (r *Registration) entryMissing(ctx context.Context) bool {
-	if r.desiredPresence() != fleet.PresenceHere {
+	if r.desiredPresence() != fleet.EntryPresent {
 		return false
 	}
 	resp, err := r.store.Range(ctx, store.RangeRequest{Key: entryKey(r.role, r.self), Stale: true})
@@ -180,7 +180,7 @@
 		r.log.Info("registry entry not removed, a balancer will remove it", zap.String("reason", reason(err)))
 		return
 	}
-	r.onApplied(fleet.PresenceEnded)
+	r.onApplied(fleet.EntryAbsent)
 }
 
 // EntryList is a list of the entries of a role.
@@ -253,8 +253,8 @@
 }
 
 func matches(found, expected fleet.Entry) bool {
-	if expected.Epoch != 0 {
-		return found.Epoch == expected.Epoch
+	if expected.Incarnation != 0 {
+		return found.Incarnation == expected.Incarnation
 	}
 	return found.Revision == expected.Revision
 }
@@ -271,7 +271,7 @@
 	if err != nil || incarnation == 0 {
 		return fleet.Entry{}, false
 	}
-	return fleet.Entry{IP: flow.FromAddr(ip), Epoch: incarnation, Revision: kv.ModRevision}, true
+	return fleet.Entry{IP: flow.FromAddr(ip), Incarnation: incarnation, Revision: kv.ModRevision}, true
 }
 
 const hexBase = 16
--- a/fleet/registry/registry_test.go
+++ b/fleet/registry/registry_test.go
@@ -30,14 +30,14 @@
 	t.Helper()
 	require.Eventually(t, func() bool {
 		got, err := List(context.Background(), s, fleet.RoleAgent)
-		return err == nil && len(got.Entries) == 1 && got.Entries[0].IP == self && got.Entries[0].Epoch == incarnation
+		return err == nil && len(got.Entries) == 1 && got.Entries[0].IP == self && got.Entries[0].Incarnation == incarnation
 	}, 5*time.Second, 5*time.Millisecond)
 }
 
 // startRegistry starts a registry; the returned function stops it.
 func startRegistry(s store.Store, incarnation uint64) (r *Registration, stop func()) {
-	r = New(s, fleet.RoleAgent, self, incarnation, zap.NewNop(), func(fleet.Presence) {})
-	r.SetPresence(fleet.PresenceHere)
+	r = New(s, fleet.RoleAgent, self, incarnation, zap.NewNop(), func(fleet.EntryState) {})
+	r.SetPresence(fleet.EntryPresent)
 	return r, worker.Start(r.Run)
 }
 
@@ -64,13 +64,13 @@
 // TestEntryFollowsDesiredPresence also covers an entry that an earlier process has left.
 func TestEntryFollowsDesiredPresence(t *testing.T) {
 	s := standin.NewStore(time.Now)
-	require.NoError(t, New(s, fleet.RoleAgent, self, 6, zap.NewNop(), func(fleet.Presence) {}).writeEntry(context.Background()))
+	require.NoError(t, New(s, fleet.RoleAgent, self, 6, zap.NewNop(), func(fleet.EntryState) {}).writeEntry(context.Background()))
 	r, stop := startRegistry(s, 7)
 	defer stop()
 	waitForEntry(t, s, 7)
-	r.SetPresence(fleet.PresenceEnded)
+	r.SetPresence(fleet.EntryAbsent)
 	require.Eventually(t, func() bool { return len(listEntries(t, s)) == 0 }, 5*time.Second, 5*time.Millisecond)
-	r.SetPresence(fleet.PresenceHere)
+	r.SetPresence(fleet.EntryPresent)
 	waitForEntry(t, s, 7)
 }
 
@@ -117,8 +117,8 @@
 func TestRemovedEntryIsReportedMissing(t *testing.T) {
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
-	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {})
-	r.SetPresence(fleet.PresenceHere)
+	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.EntryState) {})
+	r.SetPresence(fleet.EntryPresent)
 	require.NoError(t, r.writeEntry(ctx))
 	require.False(t, r.entryMissing(ctx))
 	s.Down(true)
@@ -126,7 +126,7 @@
 	s.Down(false)
 	r.Deregister()
 	require.True(t, r.entryMissing(ctx))
-	r.SetPresence(fleet.PresenceEnded)
+	r.SetPresence(fleet.EntryAbsent)
 	require.False(t, r.entryMissing(ctx), "the desired presence is absent")
 }
 
@@ -138,15 +138,15 @@
 		dead    func(found fleet.Entry) fleet.Entry
 		removed bool
 	}{
-		"same incarnation":                 {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Epoch: 7} }, true},
-		"earlier incarnation":              {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Epoch: 6} }, false},
+		"same incarnation":                 {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Incarnation: 7} }, true},
+		"earlier incarnation":              {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Incarnation: 6} }, false},
 		"same revision":                    {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Revision: e.Revision} }, true},
 		"earlier revision":                 {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Revision: e.Revision - 1} }, false},
-		"another node":                     {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self + 1, Epoch: 7} }, false},
+		"another node":                     {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self + 1, Incarnation: 7} }, false},
 		"incarnation and revision unknown": {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self} }, false},
 	} {
 		s := standin.NewStore(time.Now)
-		require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {}).writeEntry(ctx))
+		require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.EntryState) {}).writeEntry(ctx))
 		found := listEntries(t, s)[0]
 		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, c.dead(found)), name)
 		require.Equal(t, c.removed, len(listEntries(t, s)) == 0, name)
@@ -170,11 +170,11 @@
 func TestARemovalLosesAgainstANewEntry(t *testing.T) {
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
-	require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {}).writeEntry(ctx))
+	require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.EntryState) {}).writeEntry(ctx))
 	r := racingStore{s, func() {
-		require.NoError(t, New(s, fleet.RoleAgent, self, 8, zap.NewNop(), func(fleet.Presence) {}).writeEntry(ctx))
+		require.NoError(t, New(s, fleet.RoleAgent, self, 8, zap.NewNop(), func(fleet.EntryState) {}).writeEntry(ctx))
 	}}
-	require.NoError(t, Remove(ctx, r, fleet.RoleAgent, fleet.Entry{IP: self, Epoch: 7}))
+	require.NoError(t, Remove(ctx, r, fleet.RoleAgent, fleet.Entry{IP: self, Incarnation: 7}))
 	require.Len(t, listEntries(t, s), 1)
 }
 
@@ -197,7 +197,7 @@
 		"a document of another shape": {Key: entryKey(fleet.RoleAgent, self+1), Value: []byte(`{"epoch":"7"}`)},
 	} {
 		s := standin.NewStore(time.Now)
-		require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {}).writeEntry(ctx))
+		require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.EntryState) {}).writeEntry(ctx))
 		s.Operator(foreign)
 		got, err := List(ctx, s, fleet.RoleAgent)
 		require.NoError(t, err, name)
@@ -205,7 +205,7 @@
 		require.Len(t, got.Entries, 1, name)
 		require.Equal(t, self, got.Entries[0].IP, name)
 
-		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, fleet.Entry{IP: self + 1, Epoch: 9}), name)
+		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, fleet.Entry{IP: self + 1, Incarnation: 9}), name)
 		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, fleet.Entry{IP: self + 1}), name)
 		got, err = List(ctx, s, fleet.RoleAgent)
 		require.NoError(t, err, name)
@@ -225,8 +225,8 @@
 func TestAnEntryThatAnotherHasWrittenOverIsWrittenAgain(t *testing.T) {
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
-	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.Presence) {})
-	r.SetPresence(fleet.PresenceHere)
+	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.EntryState) {})
+	r.SetPresence(fleet.EntryPresent)
 	require.NoError(t, r.writeEntry(ctx))
 	s.Operator(store.Put{Key: entryKey(fleet.RoleAgent, self), Value: []byte("no epoch")})
 	require.True(t, r.entryMissing(ctx))
--- a/fleet/registryreading.go
+++ b/fleet/registryreading.go
@@ -7,16 +7,16 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// RegistryReading holds the last registry snapshot of one role, and tracks since when each
+// UnseenTracker holds the last registry snapshot of one role, and tracks since when each
 // node in it has not been seen.
-type RegistryReading struct {
+type UnseenTracker struct {
 	entries     []Entry
 	unseenSince map[flow.IPv4]time.Time
 }
 
-// Take replaces the snapshot by a newer one. seen reports whether a node has been seen. A node
+// Update replaces the snapshot by a newer one. seen reports whether a node has been seen. A node
 // that was already tracked as unseen keeps its time.
-func (r *RegistryReading) Take(now time.Time, entries []Entry, seen func(flow.IPv4) bool) {
+func (r *UnseenTracker) Update(now time.Time, entries []Entry, seen func(flow.IPv4) bool) {
 	unseen := map[flow.IPv4]time.Time{}
 	for _, e := range entries {
 		if seen(e.IP) {
@@ -33,7 +33,7 @@
 
 // Missing returns a node that has not been seen, for less than the timeout after which it
 // counts as gone.
-func (r *RegistryReading) Missing(now time.Time, timeout time.Duration, seen func(flow.IPv4) bool) (flow.IPv4, bool) {
+func (r *UnseenTracker) Missing(now time.Time, timeout time.Duration, seen func(flow.IPv4) bool) (flow.IPv4, bool) {
 	for _, e := range r.entries {
 		since, unseen := r.unseenSince[e.IP]
 		if unseen && !seen(e.IP) && now.Sub(since) < timeout {
@@ -43,13 +43,13 @@
 	return 0, false
 }
 
-// Strike removes the entries of nodes that have been unseen for longer than a view keeps a
+// Purge removes the entries of nodes that have been unseen for longer than a view keeps a
 // node, and returns them.
-func (r *RegistryReading) Strike(now time.Time, seen func(flow.IPv4) bool) []Entry {
+func (r *UnseenTracker) Purge(now time.Time, seen func(flow.IPv4) bool) []Entry {
 	var dead []Entry
 	r.entries = slices.DeleteFunc(r.entries, func(e Entry) bool {
 		since, unseen := r.unseenSince[e.IP]
-		if !unseen || seen(e.IP) || now.Sub(since) <= Forget {
+		if !unseen || seen(e.IP) || now.Sub(since) <= ExpireAfter {
 			return false
 		}
 		dead = append(dead, e)
--- a/fleet/registryreading_test.go
+++ b/fleet/registryreading_test.go
@@ -31,9 +31,9 @@
 		"unseen for just less than the timeout":    {seenAtFirst: []flow.IPv4{1}, after: gone - 1, missing: 2},
 		"second snapshot keeps the time":           {seenAtFirst: []flow.IPv4{1}, again: gone / 2, after: gone, missing: 0},
 		"lost after it was seen":                   {seenAtFirst: []flow.IPv4{1, 2}, after: time.Hour, missing: 0},
-		"unseen until it is removed":               {seenAtFirst: []flow.IPv4{1}, after: Forget + 1, missing: 0, removed: 1},
-		"not unseen for long enough to be removed": {seenAtFirst: []flow.IPv4{1}, after: Forget, missing: 0},
-		"seen late":                                {seenAtFirst: []flow.IPv4{1}, seen: []flow.IPv4{2}, after: Forget + 1, missing: 0},
+		"unseen until it is removed":               {seenAtFirst: []flow.IPv4{1}, after: ExpireAfter + 1, missing: 0, removed: 1},
+		"not unseen for long enough to be removed": {seenAtFirst: []flow.IPv4{1}, after: ExpireAfter, missing: 0},
+		"seen late":                                {seenAtFirst: []flow.IPv4{1}, seen: []flow.IPv4{2}, after: ExpireAfter + 1, missing: 0},
 	} {
 		among := func(list []flow.IPv4) func(flow.IPv4) bool {
 			return func(ip flow.IPv4) bool {
@@ -45,16 +45,16 @@
 				return false
 			}
 		}
-		var r RegistryReading
-		r.Take(begin, append([]Entry(nil), entries...), among(c.seenAtFirst))
+		var r UnseenTracker
+		r.Update(begin, append([]Entry(nil), entries...), among(c.seenAtFirst))
 		if c.again > 0 {
-			r.Take(begin.Add(c.again), append([]Entry(nil), entries...), among(c.seenAtFirst))
+			r.Update(begin.Add(c.again), append([]Entry(nil), entries...), among(c.seenAtFirst))
 		}
 		now := begin.Add(c.after)
 		ip, missing := r.Missing(now, gone, among(c.seen))
 		require.Equal(t, c.missing, ip, name)
 		require.Equal(t, c.missing != 0, missing, name)
-		require.Len(t, r.Strike(now, among(c.seen)), c.removed, name)
-		require.Empty(t, r.Strike(now, among(c.seen)), "%s: each entry is removed once", name)
+		require.Len(t, r.Purge(now, among(c.seen)), c.removed, name)
+		require.Empty(t, r.Purge(now, among(c.seen)), "%s: each entry is removed once", name)
 	}
 }
--- a/fleet/silence.go
+++ b/fleet/silence.go
@@ -17,14 +17,14 @@
 	messageSlack = 200 * time.Millisecond
 )
 
-// Silence reports that a zone has become silent, or that it was seen again.
-type Silence struct {
+// ZoneSilence reports that a zone has become silent, or that it was seen again.
+type ZoneSilence struct {
 	Zone   flow.Tag
 	Silent bool
-	// HeardAt is when a node of the zone was last seen, Missed how many messages of its nodes
+	// LastSeen is when a node of the zone was last seen, Missed how many messages of its nodes
 	// have become overdue since.
-	HeardAt time.Time
-	Missed  int
+	LastSeen time.Time
+	Missed   int
 }
 
 // zoneStates holds when each zone was last seen and whether it is silent.
@@ -37,25 +37,25 @@
 	return zoneStates{lastSeen: map[flow.Tag]time.Time{}, silent: map[flow.Tag]bool{}}
 }
 
-// ZoneSilent reports whether a zone is silent, most likely because it lost power or is
+// IsZoneSilent reports whether a zone is silent, most likely because it lost power or is
 // partitioned. A single node is overdue only after 2.5 of its periods, whereas some message
 // of a zone's many nodes is always due, so the loss of a zone shows within a fraction of one
 // period. Packets sent to a silent zone are most likely lost, but its silence does not prove
 // that a flow there has ended.
-func (v *View) ZoneSilent(zone flow.Tag) bool { return v.zones.silent[zone] }
+func (v *View) IsZoneSilent(zone flow.Tag) bool { return v.zones.silent[zone] }
 
-// JudgeZones detects which zones are silent and returns the changes. It scans the nodes only
+// DetectSilentZones detects which zones are silent and returns the changes. It scans the nodes only
 // while some zone has not been seen for messageSlack.
-func (v *View) JudgeZones(now time.Time) []Silence {
+func (v *View) DetectSilentZones(now time.Time) []ZoneSilence {
 	missed := v.missedByZone(now)
-	var changed []Silence
+	var changed []ZoneSilence
 	for _, zone := range sortedKeys(v.zones.lastSeen) {
 		silent := missed[zone] >= missedMessages
 		if silent == v.zones.silent[zone] {
 			continue
 		}
 		v.zones.silent[zone] = silent
-		changed = append(changed, Silence{Zone: zone, Silent: silent, HeardAt: v.zones.lastSeen[zone], Missed: missed[zone]})
+		changed = append(changed, ZoneSilence{Zone: zone, Silent: silent, LastSeen: v.zones.lastSeen[zone], Missed: missed[zone]})
 	}
 	return changed
 }
@@ -68,16 +68,16 @@
 		return out
 	}
 	count := func(zone flow.Tag, lastSeen time.Time, period time.Duration) {
-		due := lastSeen.Add(max(period, NearPeriod) + messageSlack)
+		due := lastSeen.Add(max(period, SameZonePeriod) + messageSlack)
 		if due.Before(now) && due.After(v.zones.lastSeen[zone]) {
 			out[zone]++
 		}
 	}
 	for _, t := range v.targets {
-		count(t.Zone, t.HeardAt, t.Period)
+		count(t.Zone, t.LastSeen, t.Period)
 	}
 	for _, p := range v.peers {
-		count(p.Zone, p.HeardAt, p.Period)
+		count(p.Zone, p.LastSeen, p.Period)
 	}
 	return out
 }
--- a/fleet/silence_test.go
+++ b/fleet/silence_test.go
@@ -22,7 +22,7 @@
 
 // sendFor lets the nodes send their periodic messages for a time, spread evenly over the
 // period or all at once.
-func (z *zoneOfNodes) sendFor(d time.Duration, together bool) (silences []Silence) {
+func (z *zoneOfNodes) sendFor(d time.Duration, together bool) (silences []ZoneSilence) {
 	const step = 50 * time.Millisecond
 	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(step) {
 		for i := range z.nodes {
@@ -34,7 +34,7 @@
 				z.send(i)
 			}
 		}
-		silences = append(silences, z.JudgeZones(z.now)...)
+		silences = append(silences, z.DetectSilentZones(z.now)...)
 	}
 	return silences
 }
@@ -43,7 +43,7 @@
 	z.seq++
 	a := announcement(uint64(node+1), z.seq, alpha, Ready)
 	a.Zone, a.Period = z.zone, z.period
-	z.Announce(z.now, z.first+flow.IPv4(node), a)
+	z.ApplyAnnouncement(z.now, z.first+flow.IPv4(node), a)
 }
 
 // timeToSilence advances time without messages of the zone, for at most d. It returns the time
@@ -51,8 +51,8 @@
 func (z *zoneOfNodes) timeToSilence(d time.Duration) time.Duration {
 	began := z.now
 	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(50 * time.Millisecond) {
-		z.JudgeZones(z.now)
-		if z.ZoneSilent(z.zone) {
+		z.DetectSilentZones(z.now)
+		if z.IsZoneSilent(z.zone) {
 			return z.now.Sub(began)
 		}
 	}
@@ -82,8 +82,8 @@
 		require.NotZero(t, silent, name)
 		require.LessOrEqual(t, silent, c.max, name)
 		z.send(0)
-		require.Equal(t, []Silence{{Zone: 3, Silent: false, HeardAt: z.now}}, z.JudgeZones(z.now), name)
-		require.False(t, z.ZoneSilent(3), name)
+		require.Equal(t, []ZoneSilence{{Zone: 3, Silent: false, LastSeen: z.now}}, z.DetectSilentZones(z.now), name)
+		require.False(t, z.IsZoneSilent(3), name)
 	}
 }
 
@@ -111,7 +111,7 @@
 	silences := 0
 	for range 10 {
 		z.sendFor(time.Second, false)
-		if z.ZoneSilent(z.zone) {
+		if z.IsZoneSilent(z.zone) {
 			silences++
 		}
 	}
@@ -135,8 +135,8 @@
 		for i := range other.nodes {
 			other.send(i)
 		}
-		other.JudgeZones(other.now)
+		other.DetectSilentZones(other.now)
 	}
-	require.True(t, z.ZoneSilent(3))
-	require.False(t, z.ZoneSilent(4))
+	require.True(t, z.IsZoneSilent(3))
+	require.False(t, z.IsZoneSilent(4))
 }
--- a/fleet/survey.go
+++ b/fleet/survey.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Survey is a snapshot of the agents' registry. Its time may be known only within bounds,
+// Snapshot is a snapshot of the agents' registry. Its time may be known only within bounds,
 // because another node may have read it by its own clock.
-type Survey struct {
+type Snapshot struct {
 	// Earliest and Latest bound the time that the snapshot reflects.
 	Earliest, Latest time.Time
 	// Revision is the store revision when the read began; zero if unknown.
@@ -13,9 +13,9 @@
 	Agents []Entry
 }
 
-// SurveyAt returns a snapshot whose time is known exactly.
-func SurveyAt(at time.Time, agents []Entry) Survey {
-	return Survey{Earliest: at, Latest: at, Agents: agents}
+// SnapshotAt returns a snapshot whose time is known exactly.
+func SnapshotAt(at time.Time, agents []Entry) Snapshot {
+	return Snapshot{Earliest: at, Latest: at, Agents: agents}
 }
 
 // Minimum and maximum time between two reads of the registry. Each page of a read is a
@@ -25,26 +25,26 @@
 	maxSnapshotPause = 1600 * time.Millisecond
 )
 
-// SurveyPace limits the rate of registry reads: while reads follow one another, the pause
+// SnapshotPacer limits the rate of registry reads: while reads follow one another, the pause
 // between them doubles up to maxSnapshotPause.
-type SurveyPace struct {
+type SnapshotPacer struct {
 	beganAt time.Time
 	pause   time.Duration
 }
 
-// Got records when the read of a received snapshot began. A snapshot that another node had
+// Received records when the read of a received snapshot began. A snapshot that another node had
 // read before it was requested is outdated sooner, so the next read may begin sooner.
-func (p *SurveyPace) Got(began time.Time) {
+func (p *SnapshotPacer) Received(began time.Time) {
 	if began.Before(p.beganAt) {
 		p.beganAt = began
 	}
 }
 
-// Pending records that a requested snapshot is not available yet, and resets the pause.
-func (p *SurveyPace) Pending() { p.pause = minSnapshotPause }
+// ResetPause records that a requested snapshot is not available yet, and resets the pause.
+func (p *SnapshotPacer) ResetPause() { p.pause = minSnapshotPause }
 
-// Begin reports whether a read may begin now, and records its start if so.
-func (p *SurveyPace) Begin(now time.Time) bool {
+// TryBegin reports whether a read may begin now, and records its start if so.
+func (p *SnapshotPacer) TryBegin(now time.Time) bool {
 	since := now.Sub(p.beganAt)
 	if since < p.pause {
 		return false
--- a/fleet/surveycopy/doc.go
+++ b/fleet/surveycopy/doc.go
@@ -7,6 +7,6 @@
 // a balancer that gets no response in time reads the store.
 //
 // A Reader reads the store once for all concurrent callers, at most as often as
-// fleet.SurveyPace allows, and returns its last snapshot in between. Cost: 12 bytes per
+// fleet.SnapshotPacer allows, and returns its last snapshot in between. Cost: 12 bytes per
 // entry; a receiver that already has the same entries gets none.
 package surveycopy
--- a/fleet/surveycopy/http.go
+++ b/fleet/surveycopy/http.go
@@ -74,10 +74,10 @@
 
 // Fetch requests a balancer's snapshot. It returns ErrPending if that balancer is still
 // reading the registry.
-func (c *Client) Fetch(ctx context.Context, node netip.AddrPort) (fleet.Survey, error) {
+func (c *Client) Fetch(ctx context.Context, node netip.AddrPort) (fleet.Snapshot, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.String()+Path, nil)
 	if err != nil {
-		return fleet.Survey{}, err
+		return fleet.Snapshot{}, err
 	}
 	if len(c.known) > 0 {
 		req.Header.Set(headerKnownChecksum, strconv.FormatUint(checksum(c.known), checksumBase))
@@ -86,15 +86,15 @@
 	response, err := transfer.Do(c.http, req, transfer.Limits{Begin: beginTimeout, Silence: stallTimeout, Most: maxLen})
 	switch {
 	case err != nil:
-		return fleet.Survey{}, err
+		return fleet.Snapshot{}, err
 	case response.Status == http.StatusAccepted:
-		return fleet.Survey{}, ErrPending
+		return fleet.Snapshot{}, ErrPending
 	case response.Status != http.StatusOK:
-		return fleet.Survey{}, errors.Errorf("unexpected response status %d", response.Status)
+		return fleet.Snapshot{}, errors.Errorf("unexpected response status %d", response.Status)
 	}
 	snapshot, err := decode(requestedAt, time.Now(), response.Body, c.known)
 	if err != nil {
-		return fleet.Survey{}, err
+		return fleet.Snapshot{}, err
 	}
 	c.known = snapshot.Agents
 	return snapshot, nil
--- a/fleet/surveycopy/reader.go
+++ b/fleet/surveycopy/reader.go
@@ -26,8 +26,8 @@
 
 	// mu guards the fields below; no other lock is taken while it is held.
 	mu     sync.Mutex
-	pacing fleet.SurveyPace
-	last   fleet.Survey
+	pacing fleet.SnapshotPacer
+	last   fleet.Snapshot
 	err    error
 	// inFlight is closed when the current read has ended; it is nil if there is none.
 	inFlight chan struct{}
@@ -38,12 +38,12 @@
 
 // Get returns the last snapshot, or a new one if a read is due or in progress. If ctx ends
 // before that read it returns ErrPending; the read continues.
-func (r *Reader) Get(ctx context.Context) (fleet.Survey, error) {
+func (r *Reader) Get(ctx context.Context) (fleet.Snapshot, error) {
 	if inFlight := r.startIfDue(time.Now()); inFlight != nil {
 		select {
 		case <-inFlight:
 		case <-ctx.Done():
-			return fleet.Survey{}, ErrPending
+			return fleet.Snapshot{}, ErrPending
 		}
 	}
 	r.mu.Lock()
@@ -56,7 +56,7 @@
 func (r *Reader) startIfDue(now time.Time) chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.inFlight == nil && r.pacing.Begin(now) {
+	if r.inFlight == nil && r.pacing.TryBegin(now) {
 		r.inFlight = make(chan struct{})
 		go r.readOnce(now, r.inFlight)
 	}
@@ -69,7 +69,7 @@
 	agents, revision, err := r.read(context.Background())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last, r.err = fleet.Survey{Earliest: began, Latest: time.Now(), Revision: revision, Agents: agents}, err
+	r.last, r.err = fleet.Snapshot{Earliest: began, Latest: time.Now(), Revision: revision, Agents: agents}, err
 	r.inFlight = nil
 	close(done)
 }
--- a/fleet/surveycopy/surveycopy_test.go
+++ b/fleet/surveycopy/surveycopy_test.go
@@ -27,7 +27,7 @@
 func agents(count int) []fleet.Entry {
 	var out []fleet.Entry
 	for i := range count {
-		out = append(out, fleet.Entry{IP: flow.IPv4(0x0a010000 + i), Epoch: uint64(7 + i)})
+		out = append(out, fleet.Entry{IP: flow.IPv4(0x0a010000 + i), Incarnation: uint64(7 + i)})
 	}
 	return out
 }
@@ -46,7 +46,7 @@
 		endedAt := answeredAt.Add(-span("since the read"))
 		beganAt := endedAt.Add(-span("read"))
 		list := agents(rapid.IntRange(0, 5).Draw(t, "agents"))
-		body := encode(answeredAt, fleet.Survey{Earliest: beganAt, Latest: endedAt, Revision: 9, Agents: list}, 0)
+		body := encode(answeredAt, fleet.Snapshot{Earliest: beganAt, Latest: endedAt, Revision: 9, Agents: list}, 0)
 		got, err := decode(requestedAt, receivedAt, body, nil)
 		require.NoError(t, err)
 		require.False(t, got.Earliest.After(beganAt), "earliest %v, began %v", got.Earliest, beganAt)
@@ -58,7 +58,7 @@
 
 func TestKnownEntriesAreOmitted(t *testing.T) {
 	list := agents(600)
-	s := fleet.SurveyAt(start, list)
+	s := fleet.SnapshotAt(start, list)
 	whole := encode(start, s, 0)
 	require.Less(t, len(whole), 600*entryLen+headerLen+1)
 	same := encode(start, s, checksum(list))
@@ -73,7 +73,7 @@
 }
 
 func TestDecodeRejectsDamagedSnapshots(t *testing.T) {
-	whole := encode(start, fleet.SurveyAt(start, agents(3)), 0)
+	whole := encode(start, fleet.SnapshotAt(start, agents(3)), 0)
 	for i := range whole {
 		if i >= 1 && i < 17 {
 			// The checksum does not cover ages and revision.
@@ -91,8 +91,8 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(encode(start, fleet.SurveyAt(start, agents(2)), 0))
-	f.Add(encode(start, fleet.SurveyAt(start, agents(2)), checksum(agents(2))))
+	f.Add(encode(start, fleet.SnapshotAt(start, agents(2)), 0))
+	f.Add(encode(start, fleet.SnapshotAt(start, agents(2)), checksum(agents(2))))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := decode(start, start, b, agents(2))
 		if err != nil {
--- a/fleet/surveycopy/wire.go
+++ b/fleet/surveycopy/wire.go
@@ -46,14 +46,14 @@
 func appendEntries(b []byte, agents []fleet.Entry) []byte {
 	for _, e := range agents {
 		b = binary.BigEndian.AppendUint32(b, uint32(e.IP))
-		b = binary.BigEndian.AppendUint64(b, e.Epoch)
+		b = binary.BigEndian.AppendUint64(b, e.Incarnation)
 	}
 	return b
 }
 
 // encode encodes a snapshot that is sent at now to a receiver whose known entries have the
 // given checksum, zero for none.
-func encode(now time.Time, snapshot fleet.Survey, knownChecksum uint64) []byte {
+func encode(now time.Time, snapshot fleet.Snapshot, knownChecksum uint64) []byte {
 	entries := appendEntries(nil, snapshot.Agents)
 	entriesChecksum := checksumOf(entries)
 	b := append(make([]byte, 0, headerLen+len(entries)), wireVersion)
@@ -70,25 +70,25 @@
 
 // decode decodes a snapshot from the times of its request and its response, which bound the
 // time to which its ages relate. known are the entries that the receiver has.
-func decode(requestedAt, receivedAt time.Time, b []byte, known []fleet.Entry) (fleet.Survey, error) {
+func decode(requestedAt, receivedAt time.Time, b []byte, known []fleet.Entry) (fleet.Snapshot, error) {
 	if len(b) < headerLen || b[0] != wireVersion {
-		return fleet.Survey{}, ErrMalformed
+		return fleet.Snapshot{}, ErrMalformed
 	}
 	startAge := time.Duration(binary.BigEndian.Uint32(b[1:])) * ageUnit
 	endAge := time.Duration(binary.BigEndian.Uint32(b[5:])) * ageUnit
 	want, count := binary.BigEndian.Uint64(b[17:]), int(binary.BigEndian.Uint32(b[25:]))
-	s := fleet.Survey{Earliest: requestedAt.Add(-startAge - ageUnit), Latest: receivedAt.Add(-endAge), Revision: int64(binary.BigEndian.Uint64(b[9:]))}
+	s := fleet.Snapshot{Earliest: requestedAt.Add(-startAge - ageUnit), Latest: receivedAt.Add(-endAge), Revision: int64(binary.BigEndian.Uint64(b[9:]))}
 	if endAge > startAge || startAge > maxAge || s.Revision < 0 {
-		return fleet.Survey{}, ErrMalformed
+		return fleet.Snapshot{}, ErrMalformed
 	}
 	if s.Agents = known; len(b) > headerLen || count == 0 {
 		var err error
 		if s.Agents, err = decodeEntries(b[headerLen:], count); err != nil {
-			return fleet.Survey{}, err
+			return fleet.Snapshot{}, err
 		}
 	}
 	if len(s.Agents) != count || checksum(s.Agents) != want {
-		return fleet.Survey{}, ErrMalformed
+		return fleet.Snapshot{}, ErrMalformed
 	}
 	return s, nil
 }
@@ -99,8 +99,8 @@
 	}
 	out := make([]fleet.Entry, 0, count)
 	for ; len(b) > 0; b = b[entryLen:] {
-		e := fleet.Entry{IP: flow.IPv4(binary.BigEndian.Uint32(b)), Epoch: binary.BigEndian.Uint64(b[4:])}
-		if e.Epoch == 0 {
+		e := fleet.Entry{IP: flow.IPv4(binary.BigEndian.Uint32(b)), Incarnation: binary.BigEndian.Uint64(b[4:])}
+		if e.Incarnation == 0 {
 			return nil, ErrMalformed
 		}
 		out = append(out, e)
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -13,30 +13,30 @@
 // replayFilter rejects duplicate and outdated messages of a node. It keeps the ID of the last
 // message and the earlier process incarnations.
 type replayFilter struct {
-	Identity
+	MessageID
 	formerIncarnations [maxFormerIncarnations]uint64
 }
 
 // accept reports whether a message is newer than all before it, and records it if so.
 // A former process is accepted again once the current one is overdue: the supposed successor
 // was then a late message of a predecessor.
-func (f *replayFilter) accept(id Identity, currentOverdue bool) bool {
-	if id.Epoch == 0 {
+func (f *replayFilter) accept(id MessageID, currentOverdue bool) bool {
+	if id.Incarnation == 0 {
 		return false
 	}
-	if id.Epoch == f.Epoch {
+	if id.Incarnation == f.Incarnation {
 		if int32(id.Seq-f.Seq) <= 0 {
 			return false
 		}
-		f.Identity = id
+		f.MessageID = id
 		return true
 	}
-	if !currentOverdue && slices.Contains(f.formerIncarnations[:], id.Epoch) {
+	if !currentOverdue && slices.Contains(f.formerIncarnations[:], id.Incarnation) {
 		return false
 	}
 	copy(f.formerIncarnations[1:], f.formerIncarnations[:maxFormerIncarnations-1])
-	f.formerIncarnations[0] = f.Epoch
-	f.Identity = id
+	f.formerIncarnations[0] = f.Incarnation
+	f.MessageID = id
 	return true
 }
 
@@ -44,56 +44,56 @@
 type Target struct {
 	IP flow.IPv4
 	Announcement
-	// HeardAt is when the last announcement of the agent was accepted.
-	HeardAt time.Time
-	// Sent counts the new flows sent to the target since its last announcement.
-	Sent int
-	// Listed is set if the last registry snapshot contains the target's agent, and the agent
+	// LastSeen is when the last announcement of the agent was accepted.
+	LastSeen time.Time
+	// FlowsSent counts the new flows sent to the target since its last announcement.
+	FlowsSent int
+	// Registered is set if the last registry snapshot contains the target's agent, and the agent
 	// has not announced since that its entry was removed.
-	Listed bool
-	// ListingAt is when the agent first announced the current state of its registry entry.
-	ListingAt time.Time
-	// Since is the generation of the view since which the target may hold flows.
-	Since  uint32
-	filter replayFilter
+	Registered bool
+	// RegistrationChangedAt is when the agent first announced the current state of its registry entry.
+	RegistrationChangedAt time.Time
+	// MayHoldFlowsFrom is the generation of the view since which the target may hold flows.
+	MayHoldFlowsFrom uint32
+	filter           replayFilter
 	probeState
 }
 
-// Quiet reports whether the target's announcements are overdue.
-func (t *Target) Quiet(now time.Time) bool {
-	return overdue(now, t.HeardAt, t.Period, overduePeriods)
+// Overdue reports whether the target's announcements are overdue.
+func (t *Target) Overdue(now time.Time) bool {
+	return overdue(now, t.LastSeen, t.Period, overduePeriods)
 }
 
 // Peer is another balancer.
 type Peer struct {
 	IP flow.IPv4
 	Beacon
-	HeardAt time.Time
-	filter  replayFilter
+	LastSeen time.Time
+	filter   replayFilter
 	probeState
 }
 
-// MayHold reports whether the target may hold flows and can be asked about them. A target
+// MayHoldFlows reports whether the target may hold flows and can be asked about them. A target
 // that last announced that it holds none, and that is in the registry, may have started
 // again while the announcement of the start was lost; its agent has the answer.
-func (t *Target) MayHold(now time.Time) bool {
-	return t.State != Gone || (t.Listed && t.Listing != ListingLeft && !t.Quiet(now))
+func (t *Target) MayHoldFlows(now time.Time) bool {
+	return t.State != Gone || (t.Registered && t.Registration != RegistrationAbandoned && !t.Overdue(now))
 }
 
-// RegisteredSince reports whether the agent first announced after the given time that it is
+// RegisteredAfter reports whether the agent first announced after the given time that it is
 // in the registry.
-func (t *Target) RegisteredSince(moment time.Time) bool {
-	return t.Listing == ListingThere && t.ListingAt.After(moment)
+func (t *Target) RegisteredAfter(moment time.Time) bool {
+	return t.Registration == RegistrationPresent && t.RegistrationChangedAt.After(moment)
 }
 
-// MayHoldSince reports whether the target may hold flows, and became one that may after the
+// MayHoldFlowsSince reports whether the target may hold flows, and became one that may after the
 // given generation of the view.
-func (t *Target) MayHoldSince(now time.Time, generation uint32) bool {
-	return t.MayHold(now) && int32(t.Since-generation) > 0
+func (t *Target) MayHoldFlowsSince(now time.Time, generation uint32) bool {
+	return t.MayHoldFlows(now) && int32(t.MayHoldFlowsFrom-generation) > 0
 }
 
 // eligible reports whether other balancers may rely on this one for a shared duty, such as
 // watching the store: it is not leaving and was seen recently.
 func (p *Peer) eligible(now time.Time) bool {
-	return !p.Leaving && !overdue(now, p.HeardAt, p.Period, eligiblePeriods)
+	return !p.Leaving && !overdue(now, p.LastSeen, p.Period, eligiblePeriods)
 }
