--- a/fleet/view.go
+++ b/fleet/view.go
@@ -12,12 +12,12 @@
 
 // Expiry of nodes that are not seen.
 const (
-	// Quiet is the time without an announcement after which a target of the local zone is
+	// OverdueAfter is the time without an announcement after which a target of the local zone is
 	// overdue and gets no new flows while another target can take them.
-	Quiet = time.Duration(overduePeriods * float64(NearPeriod))
-	// Forget is how long a target that is not seen stays in the search for open flows, and a
+	OverdueAfter = time.Duration(overduePeriods * float64(SameZonePeriod))
+	// ExpireAfter is how long a target that is not seen stays in the search for open flows, and a
 	// balancer that is not seen in the list of balancers.
-	Forget = 20 * time.Second
+	ExpireAfter = 20 * time.Second
 )
 
 // View is a node's view of the fleet. It is not safe for concurrent use; its owner
@@ -61,9 +61,9 @@
 	return p, ok
 }
 
-// Service returns the targets of a service, in no particular order. The slice belongs to
+// TargetsOf returns the targets of a service, in no particular order. The slice belongs to
 // the view.
-func (v *View) Service(tag flow.Tag) []*Target { return v.services[tag] }
+func (v *View) TargetsOf(tag flow.Tag) []*Target { return v.services[tag] }
 
 // Targets returns the addresses of the known targets, sorted.
 func (v *View) Targets() []flow.IPv4 { return keys(v.targets) }
@@ -94,8 +94,8 @@
 	return v.ZoneOf(ip)
 }
 
-// ZonePeers returns the other eligible balancers of a zone, in no particular order.
-func (v *View) ZonePeers(now time.Time, zone flow.Tag) []*Peer {
+// EligiblePeers returns the other eligible balancers of a zone, in no particular order.
+func (v *View) EligiblePeers(now time.Time, zone flow.Tag) []*Peer {
 	var out []*Peer
 	for _, p := range v.peers {
 		if p.Zone == zone && p.eligible(now) {
@@ -150,16 +150,16 @@
 // holds the flow, only targets of later generations can.
 func (v *View) Generation() uint32 { return v.generation }
 
-// Names returns the known nodes. It omits overdue agents whose target is gone, which no
+// KnownNodes returns the known nodes. It omits overdue agents whose target is gone, which no
 // other node needs.
-func (v *View) Names(now time.Time) Names {
-	n := Names{Balancers: v.Balancers()}
+func (v *View) KnownNodes(now time.Time) NodeList {
+	n := NodeList{Balancers: v.Balancers()}
 	for _, ip := range v.Targets() {
 		switch t := v.targets[ip]; {
 		case t.State != Gone:
-			n.Holders = append(n.Holders, ip)
-		case !t.Quiet(now):
-			n.Idle = append(n.Idle, ip)
+			n.ActiveAgents = append(n.ActiveAgents, ip)
+		case !t.Overdue(now):
+			n.IdleAgents = append(n.IdleAgents, ip)
 		}
 	}
 	return n
@@ -171,7 +171,7 @@
 func (v *View) Digest(now time.Time, self flow.IPv4) uint32 {
 	sum := v.memberDigest ^ memberHash(self, true)
 	for ip, t := range v.gone {
-		if !t.Quiet(now) {
+		if !t.Overdue(now) {
 			sum ^= memberHash(ip, false)
 		}
 	}
@@ -216,59 +216,59 @@
 const (
 	// Stale: the message was outdated or a duplicate and was ignored.
 	Stale Change = iota
-	// Same: nothing changed but measurements and other details.
-	Same
+	// Unchanged: nothing changed but measurements and other details.
+	Unchanged
 	// Joined: the node was not known before, or another process runs at its address.
 	Joined
 	// Altered: the target's service, incarnation or state changed.
 	Altered
 )
 
-// Announce applies an agent's announcement and returns its effect.
-func (v *View) Announce(now time.Time, ip flow.IPv4, a Announcement) Change {
+// ApplyAnnouncement applies an agent's announcement and returns its effect.
+func (v *View) ApplyAnnouncement(now time.Time, ip flow.IPv4, a Announcement) Change {
 	t, known := v.targets[ip]
 	if !known {
 		t = &Target{IP: ip}
 	}
-	former, couldHold := t.Announcement, t.MayHold(now)
-	if !t.filter.accept(a.Identity, t.Quiet(now)) {
+	former, couldHold := t.Announcement, t.MayHoldFlows(now)
+	if !t.filter.accept(a.MessageID, t.Overdue(now)) {
 		return Stale
 	}
 	v.targets[ip] = t
-	if former.State == Draining && a.State == Ready && a.Incarnation == 0 {
+	if former.State == Draining && a.State == Ready && a.TargetIncarnation == 0 {
 		// A restarted agent finds its target listening before it receives the target's
 		// heartbeat. Until then the target keeps its former state.
 		a.State = Draining
 	}
-	t.Announcement, t.HeardAt, t.Sent = a, now, 0
+	t.Announcement, t.LastSeen, t.FlowsSent = a, now, 0
 	v.updateDigest(t, known && former.State != Gone)
 	v.recordZone(now, a.Zone)
 	t.resetProbes()
-	if !known || former.Epoch != a.Epoch || former.Listing != a.Listing {
-		t.ListingAt = now
+	if !known || former.Incarnation != a.Incarnation || former.Registration != a.Registration {
+		t.RegistrationChangedAt = now
 	}
-	t.Listed = v.isRegistered(t)
+	t.Registered = v.isRegistered(t)
 	if !known || former.Service != a.Service {
 		v.moveToService(t, former.Service)
 	}
-	replaced := !known || former.Epoch != a.Epoch || former.Service != a.Service
-	if t.MayHold(now) && (replaced || former.State == Gone && a.State != Gone || !couldHold) {
+	replaced := !known || former.Incarnation != a.Incarnation || former.Service != a.Service
+	if t.MayHoldFlows(now) && (replaced || former.State == Gone && a.State != Gone || !couldHold) {
 		v.markMayHold(t)
 	}
 	switch {
-	case !known || former.Epoch != a.Epoch:
+	case !known || former.Incarnation != a.Incarnation:
 		return Joined
-	case former.Service != a.Service || former.Incarnation != a.Incarnation || former.State != a.State:
+	case former.Service != a.Service || former.TargetIncarnation != a.TargetIncarnation || former.State != a.State:
 		return Altered
 	default:
-		return Same
+		return Unchanged
 	}
 }
 
 // markMayHold records that a target may hold flows from now on.
 func (v *View) markMayHold(t *Target) {
 	v.generation++
-	t.Since = v.generation
+	t.MayHoldFlowsFrom = v.generation
 }
 
 // moveToService moves a target to the list of its service.
@@ -293,32 +293,32 @@
 	}
 }
 
-// Beacon applies a balancer's beacon and returns its effect.
-func (v *View) Beacon(now time.Time, ip flow.IPv4, m Beacon) Change {
+// ApplyBeacon applies a balancer's beacon and returns its effect.
+func (v *View) ApplyBeacon(now time.Time, ip flow.IPv4, m Beacon) Change {
 	p, known := v.peers[ip]
 	if !known {
 		p = &Peer{IP: ip}
 	}
-	former := p.Epoch
-	if !p.filter.accept(m.Identity, overdue(now, p.HeardAt, p.Period, overduePeriods)) {
+	former := p.Incarnation
+	if !p.filter.accept(m.MessageID, overdue(now, p.LastSeen, p.Period, overduePeriods)) {
 		return Stale
 	}
 	if !known {
 		v.memberDigest ^= memberHash(ip, true)
 	}
 	v.peers[ip] = p
-	p.Beacon, p.HeardAt = m, now
+	p.Beacon, p.LastSeen = m, now
 	v.recordZone(now, m.Zone)
 	p.resetProbes()
-	if !known || former != m.Epoch {
+	if !known || former != m.Incarnation {
 		return Joined
 	}
-	return Same
+	return Unchanged
 }
 
-// Newest returns a balancer with the highest configuration version among the others, and
+// NewestConfig returns a balancer with the highest configuration version among the others, and
 // that version, if it is higher than the given one.
-func (v *View) Newest(above int64) (ip flow.IPv4, version int64, ok bool) {
+func (v *View) NewestConfig(above int64) (ip flow.IPv4, version int64, ok bool) {
 	for peer, p := range v.peers {
 		if p.ConfigVersion > max(above, version) {
 			ip, version = peer, p.ConfigVersion
@@ -327,10 +327,10 @@
 	return ip, version, ip != 0
 }
 
-// NewestNear selects the balancer from which an agent fetches the configuration. Among the
+// PreferredConfigSource selects the balancer from which an agent fetches the configuration. Among the
 // balancers with the highest version, which must be higher than the given one, it prefers
 // those in the agent's zone, then the highest link capacity, then the lowest address.
-func (v *View) NewestNear(above int64, zone flow.Tag) (ip flow.IPv4, version int64, ok bool) {
+func (v *View) PreferredConfigSource(above int64, zone flow.Tag) (ip flow.IPv4, version int64, ok bool) {
 	best := 0
 	for peer, p := range v.peers {
 		if p.ConfigVersion <= above || p.ConfigVersion < version {
@@ -354,15 +354,15 @@
 	return rank
 }
 
-// NewestKept returns an agent that holds a copy of the configuration, and its version: the
+// NewestConfigCopy returns an agent that holds a copy of the configuration, and its version: the
 // highest among the agents that are not overdue and not excluded by except. Among several
 // such agents, pick selects one by index, given their number.
-func (v *View) NewestKept(now time.Time, except func(flow.IPv4) bool, pick func(n int) int) (ip flow.IPv4, version int64, ok bool) {
+func (v *View) NewestConfigCopy(now time.Time, except func(flow.IPv4) bool, pick func(n int) int) (ip flow.IPv4, version int64, ok bool) {
 	var copies []flow.IPv4
 	for _, target := range v.Targets() {
 		t := v.targets[target]
 		switch {
-		case t.ConfigVersion == 0 || t.Quiet(now) || except(target) || t.ConfigVersion < version:
+		case t.ConfigVersion == 0 || t.Overdue(now) || except(target) || t.ConfigVersion < version:
 			continue
 		case t.ConfigVersion > version:
 			version, copies = t.ConfigVersion, copies[:0]
@@ -378,31 +378,31 @@
 // Expire removes the nodes that have not been seen for too long and returns them.
 func (v *View) Expire(now time.Time) (targets, balancers []Entry) {
 	for ip, t := range v.targets {
-		if now.Sub(t.HeardAt) > Forget {
+		if now.Sub(t.LastSeen) > ExpireAfter {
 			v.removeFromService(t, t.Service)
 			v.removeFromDigest(t)
 			delete(v.targets, ip)
-			targets = append(targets, Entry{IP: ip, Epoch: t.Epoch})
+			targets = append(targets, Entry{IP: ip, Incarnation: t.Incarnation})
 		}
 	}
 	for ip, p := range v.peers {
-		if now.Sub(p.HeardAt) > Forget {
+		if now.Sub(p.LastSeen) > ExpireAfter {
 			delete(v.peers, ip)
 			v.memberDigest ^= memberHash(ip, true)
-			balancers = append(balancers, Entry{IP: ip, Epoch: p.Epoch})
+			balancers = append(balancers, Entry{IP: ip, Incarnation: p.Incarnation})
 		}
 	}
 	return targets, balancers
 }
 
-// KnowsBalancer reports whether a balancer was seen and has not expired.
-func (v *View) KnowsBalancer(ip flow.IPv4) bool {
+// HasBalancer reports whether a balancer was seen and has not expired.
+func (v *View) HasBalancer(ip flow.IPv4) bool {
 	_, ok := v.peers[ip]
 	return ok
 }
 
-// KnowsTarget reports whether a target's agent was seen and has not expired.
-func (v *View) KnowsTarget(ip flow.IPv4) bool {
+// HasTarget reports whether a target's agent was seen and has not expired.
+func (v *View) HasTarget(ip flow.IPv4) bool {
 	_, ok := v.targets[ip]
 	return ok
 }
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -40,10 +40,10 @@
 		for range 20 {
 			v := NewView()
 			for ip, b := range c.balancers {
-				m := Beacon{Identity: Identity{Epoch: 1, Seq: 1}, ConfigVersion: b.version, Zone: b.zone, LinkMbps: b.mbps}
-				v.Beacon(time.Unix(1, 0), ip, m)
+				m := Beacon{MessageID: MessageID{Incarnation: 1, Seq: 1}, ConfigVersion: b.version, Zone: b.zone, LinkMbps: b.mbps}
+				v.ApplyBeacon(time.Unix(1, 0), ip, m)
 			}
-			from, version, ok := v.NewestNear(c.above, local)
+			from, version, ok := v.PreferredConfigSource(c.above, local)
 			require.Equal(t, c.from, from, name)
 			require.Equal(t, c.version, version, name)
 			require.Equal(t, c.from != 0, ok, name)
@@ -59,12 +59,12 @@
 	counts := make([]int, parts)
 	for i := range nodes {
 		self := flow.IPv4(0x0a000001 + i)
-		next := NextRound(now, period, self)
+		next := NextSendTime(now, period, self)
 		pause := next.Sub(now)
 		require.Positive(t, pause)
 		require.LessOrEqual(t, pause, period)
 		counts[int((pause-1)*parts/period)]++
-		require.Equal(t, period, NextRound(next, period, self).Sub(next), "then each period")
+		require.Equal(t, period, NextSendTime(next, period, self).Sub(next), "then each period")
 	}
 	for _, count := range counts {
 		require.InDelta(t, nodes/parts, count, nodes/parts/2)
@@ -74,7 +74,7 @@
 // TestSteppedClockDoesNotLengthenAPause covers wall-clock times before 1970 and far in the future.
 func TestSteppedClockDoesNotLengthenAPause(t *testing.T) {
 	for _, now := range []time.Time{time.Unix(0, 0), time.Unix(-5, 7), time.Unix(1<<33, 0)} {
-		pause := NextRound(now, time.Second, 9).Sub(now)
+		pause := NextSendTime(now, time.Second, 9).Sub(now)
 		require.Positive(t, pause)
 		require.LessOrEqual(t, pause, time.Second)
 	}
--- a/fleet/zonecast/held.go
+++ b/fleet/zonecast/held.go
@@ -26,14 +26,14 @@
 }
 
 type bufferedMessage struct {
-	id         fleet.Identity
+	id         fleet.MessageID
 	message    []byte
 	receivedAt time.Time
 }
 
 // Put buffers a copy of a node's message, which replaces an earlier one of the node. It
 // returns false if the buffer is full.
-func (h *RelayBuffer) Put(now time.Time, from flow.IPv4, id fleet.Identity, message []byte) bool {
+func (h *RelayBuffer) Put(now time.Time, from flow.IPv4, id fleet.MessageID, message []byte) bool {
 	if h.messages == nil {
 		h.messages = map[flow.IPv4]bufferedMessage{}
 	}
@@ -42,7 +42,7 @@
 		return false
 	}
 	if len(h.messages) == 0 {
-		h.due = fleet.NextRound(now, h.FlushPeriod, h.Self)
+		h.due = fleet.NextSendTime(now, h.FlushPeriod, h.Self)
 	}
 	h.messages[from] = bufferedMessage{id: id, message: append(earlier.message[:0], message...), receivedAt: now}
 	return true
@@ -50,7 +50,7 @@
 
 // Discard drops the node's message with the given identity, which another relay has sent.
 // It reports whether the message was buffered.
-func (h *RelayBuffer) Discard(from flow.IPv4, id fleet.Identity) bool {
+func (h *RelayBuffer) Discard(from flow.IPv4, id fleet.MessageID) bool {
 	m, buffered := h.messages[from]
 	if !buffered || m.id != id {
 		return false
--- a/fleet/zonecast/plan.go
+++ b/fleet/zonecast/plan.go
@@ -67,7 +67,7 @@
 			p.Direct = append(p.Direct, known[zone]...)
 		}
 	}
-	p.Period = fleet.FarPeriod(len(p.Direct) + len(p.Relays))
+	p.Period = fleet.CrossZonePeriod(len(p.Direct) + len(p.Relays))
 	if len(p.Relays) > 0 {
 		p.Period = max(p.Period, RelayPeriod)
 	}
--- a/fleet/zonecast/planner.go
+++ b/fleet/zonecast/planner.go
@@ -33,7 +33,7 @@
 
 // Plan plans how the current round reaches the balancers of other zones that are in view.
 func (p *Planner) Plan(now time.Time, view *fleet.View) Plan {
-	known, recent := view.FarBalancers(now, p.Zone, p.RecentWithin)
+	known, recent := view.CrossZoneBalancers(now, p.Zone, p.RecentWithin)
 	plan := NewPlan(known, recent, p.RelayThreshold, p.Self, RotationNumber(now, p.Self), p.round)
 	plan.ReportChanges(p.relayedZones, recent, p.OnChange)
 	p.relayedZones = plan.RelayedZones
--- a/fleet/zonecast/zonecast_test.go
+++ b/fleet/zonecast/zonecast_test.go
@@ -34,10 +34,10 @@
 		relays        int
 		period        time.Duration
 	}{
-		"no balancers": {nil, nil, nil, 0, fleet.NearPeriod},
+		"no balancers": {nil, nil, nil, 0, fleet.SameZonePeriod},
 		"small zones": {
 			map[flow.Tag][]flow.IPv4{a: addresses(100, 4), b: addresses(200, 4)}, map[flow.Tag][]flow.IPv4{a: addresses(100, 4), b: addresses(200, 4)},
-			append(addresses(100, 4), addresses(200, 4)...), 0, fleet.FarPeriod(8),
+			append(addresses(100, 4), addresses(200, 4)...), 0, fleet.CrossZonePeriod(8),
 		},
 		"large zones": {
 			map[flow.Tag][]flow.IPv4{a: addresses(100, 28), b: addresses(200, 28)}, map[flow.Tag][]flow.IPv4{a: addresses(100, 28), b: addresses(200, 28)},
@@ -45,11 +45,11 @@
 		},
 		"one of each": {
 			map[flow.Tag][]flow.IPv4{a: addresses(100, 9), b: addresses(200, 28)}, map[flow.Tag][]flow.IPv4{a: addresses(100, 9), b: addresses(200, 28)},
-			addresses(100, 9), 2, fleet.FarPeriod(11),
+			addresses(100, 9), 2, fleet.CrossZonePeriod(11),
 		},
 		"too few recent balancers": {
 			map[flow.Tag][]flow.IPv4{a: addresses(100, 28)}, map[flow.Tag][]flow.IPv4{a: addresses(100, 9)},
-			addresses(100, 28), 0, fleet.FarPeriod(28),
+			addresses(100, 28), 0, fleet.CrossZonePeriod(28),
 		},
 	} {
 		p := NewPlan(c.known, c.recent, RelayThreshold, 7, 0, 3)
@@ -105,10 +105,10 @@
 func TestMessagesAreBufferedAndRelayedOnce(t *testing.T) {
 	h := newBuffer()
 	message := []byte("first")
-	require.True(t, h.Put(start, 2, fleet.Identity{Epoch: 1, Seq: 1}, message))
+	require.True(t, h.Put(start, 2, fleet.MessageID{Incarnation: 1, Seq: 1}, message))
 	copy(message, "xxxxx")
-	h.Put(start, 1, fleet.Identity{Epoch: 3, Seq: 1}, []byte("other"))
-	due := fleet.NextRound(start, FlushPeriod, h.Self)
+	h.Put(start, 1, fleet.MessageID{Incarnation: 3, Seq: 1}, []byte("other"))
+	due := fleet.NextSendTime(start, FlushPeriod, h.Self)
 	require.False(t, due.After(start.Add(FlushPeriod)))
 	messages, _ := h.Take(due.Add(-1))
 	require.Empty(t, messages, "still buffering")
@@ -121,8 +121,8 @@
 
 func TestLaterMessageReplacesBufferedOne(t *testing.T) {
 	h := newBuffer()
-	h.Put(start, 1, fleet.Identity{Epoch: 1, Seq: 1}, []byte("first"))
-	h.Put(start, 1, fleet.Identity{Epoch: 1, Seq: 2}, []byte("second"))
+	h.Put(start, 1, fleet.MessageID{Incarnation: 1, Seq: 1}, []byte("first"))
+	h.Put(start, 1, fleet.MessageID{Incarnation: 1, Seq: 2}, []byte("second"))
 	messages, _ := h.Take(start.Add(FlushPeriod))
 	require.Equal(t, []fleet.RelayedMessage{{From: 1, Message: []byte("second")}}, messages)
 }
@@ -131,10 +131,10 @@
 // is dropped, so that two relays do not both send it.
 func TestMessageSentByAnotherRelayIsDropped(t *testing.T) {
 	h := newBuffer()
-	h.Put(start, 1, fleet.Identity{Epoch: 1, Seq: 5}, []byte("word"))
-	require.False(t, h.Discard(1, fleet.Identity{Epoch: 1, Seq: 4}))
-	require.False(t, h.Discard(2, fleet.Identity{Epoch: 1, Seq: 5}))
-	require.True(t, h.Discard(1, fleet.Identity{Epoch: 1, Seq: 5}))
+	h.Put(start, 1, fleet.MessageID{Incarnation: 1, Seq: 5}, []byte("word"))
+	require.False(t, h.Discard(1, fleet.MessageID{Incarnation: 1, Seq: 4}))
+	require.False(t, h.Discard(2, fleet.MessageID{Incarnation: 1, Seq: 5}))
+	require.True(t, h.Discard(1, fleet.MessageID{Incarnation: 1, Seq: 5}))
 	messages, _ := h.Take(start.Add(FlushPeriod))
 	require.Empty(t, messages)
 }
@@ -143,9 +143,9 @@
 // messages of nodes that may be gone.
 func TestResumedRelayDropsStaleMessages(t *testing.T) {
 	h := newBuffer()
-	h.Put(start, 1, fleet.Identity{Epoch: 1, Seq: 1}, []byte("old"))
+	h.Put(start, 1, fleet.MessageID{Incarnation: 1, Seq: 1}, []byte("old"))
 	resumedAt := start.Add(5 * time.Second)
-	h.Put(resumedAt, 2, fleet.Identity{Epoch: 2, Seq: 1}, []byte("new"))
+	h.Put(resumedAt, 2, fleet.MessageID{Incarnation: 2, Seq: 1}, []byte("new"))
 	messages, stale := h.Take(resumedAt)
 	require.Equal(t, []fleet.RelayedMessage{{From: 2, Message: []byte("new")}}, messages)
 	require.Equal(t, 1, stale)
@@ -154,8 +154,8 @@
 func TestRelayBufferIsBounded(t *testing.T) {
 	h := newBuffer()
 	for i := range maxBuffered {
-		require.True(t, h.Put(start, flow.IPv4(i), fleet.Identity{Epoch: 1}, nil))
+		require.True(t, h.Put(start, flow.IPv4(i), fleet.MessageID{Incarnation: 1}, nil))
 	}
-	require.False(t, h.Put(start, maxBuffered, fleet.Identity{Epoch: 1}, nil))
-	require.True(t, h.Put(start, 0, fleet.Identity{Epoch: 2}, nil), "replaces the earlier message of the node")
+	require.False(t, h.Put(start, maxBuffered, fleet.MessageID{Incarnation: 1}, nil))
+	require.True(t, h.Put(start, 0, fleet.MessageID{Incarnation: 2}, nil), "replaces the earlier message of the node")
 }
--- a/flow/envelope/envelope.go
+++ b/flow/envelope/envelope.go
@@ -106,7 +106,7 @@
 	// for new flows only.
 	Objective, Deadline time.Duration
 	// ShortestWaitTarget is the target with the shortest wait among those that have declined a new flow,
-	// BestWait its wait; both are zero before the first has declined.
+	// ShortestWaitTime its wait; both are zero before the first has declined.
 	ShortestWaitTarget flow.IPv4
 	ShortestWaitTime   time.Duration
 	// ColdRate is the request rate, in requests per second, that a cold target of the
--- a/measure/packetbench.go
+++ b/measure/packetbench.go
@@ -138,12 +138,12 @@
 // announce keeps the balancer informed of the sink.
 func announce(ctx context.Context, socket *relay.DatagramSocket) error {
 	a := fleetnet.Announcement{Service: flow.TagOf("bench"), Zone: flow.TagOf("z1"), State: fleetnet.Ready, Slots: 8}
-	a.Epoch = 1
+	a.Incarnation = 1
 	for ctx.Err() == nil {
 		a.Seq++
 		// What is lost is sent again.
 		_ = socket.Send(at(packetBalancer, packetInternal), nil, a.Append(nil))
-		worker.Sleep(ctx, fleetnet.NearPeriod/4)
+		worker.Sleep(ctx, fleetnet.SameZonePeriod/4)
 	}
 	return nil
 }
--- a/model/caller.go
+++ b/model/caller.go
@@ -17,7 +17,7 @@
 	// mostRepeats is how often a caller's end repeats what is not acknowledged, whether
 	// or not its caller still waits.
 	mostRepeats = 8
-	// A failed try is followed by the next one after leastPause to backlog.RetryPause.
+	// A failed try is followed by the next one after leastPause to backlog.MaxRetryPause.
 	leastPause = 100 * time.Millisecond
 	// refusedRetries is how many tries more a caller makes whose flow is refused before it
 	// opens: nothing was sent yet, so these follow at once.
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -40,8 +40,8 @@
 	// life tells the ticks of a former process to end.
 	life int
 	// surveyed is the last reading of the registry, by the pace of the process.
-	surveyed fleet.Survey
-	pace     fleet.SurveyPace
+	surveyed fleet.Snapshot
+	pace     fleet.SnapshotPacer
 }
 
 // ToNode implements balancerfront.Port.
@@ -68,11 +68,11 @@
 func (b *Balancer) Start() {
 	w := b.w
 	opts := balancerfront.Options{
-		Self: b.IP, Zone: flow.TagOf(b.Zone), Seeds: w.Seeds, Epoch: w.Rnd.Uint64() | 1, Weights: Weights, RelayFrom: w.RelayFrom, FollowTime: feedTime,
+		Self: b.IP, Zone: flow.TagOf(b.Zone), Seeds: w.Seeds, Incarnation: w.Rnd.Uint64() | 1, Weights: Weights, RelayFrom: w.RelayFrom, FollowTime: feedTime,
 	}
 	b.Core = balancerfront.New(w.Now, opts, b, platform.Codec{}, QuietBalancer{}, w.Rnd)
 	b.Core.SetConfig(w.Now, w.Config)
-	b.pace = fleet.SurveyPace{}
+	b.pace = fleet.SnapshotPacer{}
 	b.Up = true
 	b.life++
 	b.run(b.life)
@@ -115,7 +115,7 @@
 		return
 	}
 	for _, d := range b.Core.DeadNodes(w.Now) {
-		if d.Role != fleet.RoleAgent || w.Registry[d.IP].Epoch != d.Epoch {
+		if d.Role != fleet.RoleAgent || w.Registry[d.IP].Incarnation != d.Incarnation {
 			continue
 		}
 		delete(w.Registry, d.IP)
@@ -198,13 +198,13 @@
 	w := a.w
 	opts := agentfront.Options{
 		Self: a.IP, Zone: flow.TagOf(a.Zone), Service: flow.TagOf(a.Service), Seeds: w.Seeds,
-		Epoch: w.Rnd.Uint64() | 1, HeartbeatPeriod: HeartbeatPeriod, FlowTTL: flowTTL, RelayFrom: w.RelayFrom,
+		Incarnation: w.Rnd.Uint64() | 1, HeartbeatPeriod: HeartbeatPeriod, FlowTTL: flowTTL, RelayFrom: w.RelayFrom,
 	}
 	a.Core = agentfront.New(w.Now, opts, a, platform.Codec{}, agentEvents{w: w})
 	a.Up = true
 	a.Life++
 	life := a.Life
-	a.register(opts.Epoch)
+	a.register(opts.Incarnation)
 	w.Every(AgentTick, func() bool {
 		if a.Up && a.Life == life {
 			a.Core.Tick(w.Now)
@@ -229,27 +229,27 @@
 // register keeps the agent's entry as its target is, and looks for it now and then.
 func (a *Agent) register(epoch uint64) {
 	w, life := a.w, a.Life
-	done := fleet.PresenceUnknown
+	done := fleet.EntryUnchanged
 	w.Every(registryTick, func() bool {
-		want := fleet.PresenceUnknown
+		want := fleet.EntryUnchanged
 		if a.Life == life {
 			want = a.Core.Presence(w.Now)
 		}
-		if want == fleet.PresenceUnknown || want == done || w.Now.Before(w.StoreBack) {
+		if want == fleet.EntryUnchanged || want == done || w.Now.Before(w.StoreBack) {
 			return a.Life == life
 		}
 		done = want
 		delete(w.Registry, a.IP)
-		if want == fleet.PresenceHere {
-			w.Registry[a.IP] = fleet.Entry{IP: a.IP, Epoch: epoch}
+		if want == fleet.EntryPresent {
+			w.Registry[a.IP] = fleet.Entry{IP: a.IP, Incarnation: epoch}
 			w.Calls[CallRegister]++
 		}
 		a.Core.PresenceStored(w.Now, want)
 		return true
 	})
-	w.Every(fleet.Forget, func() bool {
+	w.Every(fleet.ExpireAfter, func() bool {
 		if _, listed := w.Registry[a.IP]; !listed {
-			done = fleet.PresenceUnknown
+			done = fleet.EntryUnchanged
 		}
 		return a.Life == life
 	})
--- a/model/sim/quiet.go
+++ b/model/sim/quiet.go
@@ -28,7 +28,7 @@
 func (QuietBalancer) TargetChanged(*fleet.Target, fleet.Change)                {}
 func (QuietBalancer) TargetForgotten(flow.IPv4)                                {}
 func (QuietBalancer) PeerChanged(flow.IPv4, string)                            {}
-func (QuietBalancer) ZoneSilenceChanged(fleet.Silence)                         {}
+func (QuietBalancer) ZoneSilenceChanged(fleet.ZoneSilence)                     {}
 func (QuietBalancer) ZoneRelayed(flow.Tag, int, bool)                          {}
 func (QuietBalancer) Relayed(int)                                              {}
 func (QuietBalancer) Probed(flow.IPv4, time.Duration)                          {}
--- a/model/sim/survey.go
+++ b/model/sim/survey.go
@@ -30,7 +30,7 @@
 	agents := w.registered()
 	w.Calls[CallTargets]++
 	if len(agents) <= storePage {
-		b.Core.TakeSnapshot(w.Now, fleet.SurveyAt(w.Now, agents))
+		b.Core.TakeSnapshot(w.Now, fleet.SnapshotAt(w.Now, agents))
 		return
 	}
 	w.Calls[CallTargets]++
@@ -61,10 +61,10 @@
 }
 
 // read reads the registry unless that was done a moment ago.
-func (b *Balancer) read() fleet.Survey {
+func (b *Balancer) read() fleet.Snapshot {
 	w := b.w
-	if b.pace.Begin(w.Now) {
-		b.surveyed = fleet.SurveyAt(w.Now, w.registered())
+	if b.pace.TryBegin(w.Now) {
+		b.surveyed = fleet.SnapshotAt(w.Now, w.registered())
 		w.Calls[CallSurvey] += pagesOf(len(b.surveyed.Agents))
 	}
 	return b.surveyed
--- a/model/target.go
+++ b/model/target.go
@@ -99,7 +99,7 @@
 	}
 	now := h.run.world.Now
 	h.agent.Core.Heartbeat(now, fleet.Heartbeat{
-		Life: fleet.Life{TargetID: h.id}, Service: h.service.Name, Slots: h.service.Slots, Draining: h.draining, Sequence: h.sequence,
+		Incarnation: fleet.Incarnation{TargetID: h.id}, Service: h.service.Name, Slots: h.service.Slots, Draining: h.draining, Sequence: h.sequence,
 		WarmupLeft: max(h.startedAt.Add(h.service.ColdTime.D()).Sub(now), 0),
 	})
 }
--- a/route/route.go
+++ b/route/route.go
@@ -201,7 +201,7 @@
 	r := m.base
 	r.Nonce = m.nonce.Add(1)
 	var id [Len]byte
-	// NewMinter verified that base can be encoded, and Encode fails for no
+	// NewIDGenerator verified that base can be encoded, and Encode fails for no
 	// reason other than the host address.
 	_ = m.codec.Encode(r, &id)
 	return id
