--- a/directory/digest.go
+++ b/directory/digest.go
@@ -7,16 +7,17 @@
 	"github.com/go-faster/errors"
 )
 
-// Digest tree: one root over branches over leaves of entry hashes.
+// The digest tree has a root, branches, and leaves of XORed entry hashes. Two
+// balancers compare it level by level to find the entries that differ.
 const (
-	digestBranches = 32
-	leavesPer      = 32
-	digestLeaves   = digestBranches * leavesPer
+	digestBranches  = 32
+	leavesPerBranch = 32
+	digestLeaves    = digestBranches * leavesPerBranch
 )
 
-// Sums are sums of branches or leaves, cut to 32 bits: they travel in every
-// comparison, and a difference that they hide, one in 2^32, shows again with the
-// next change of the leaf.
+// Sums are the sums of branches or leaves, folded to 32 bits to keep every
+// comparison small. A difference goes unnoticed with a probability of 1 in 2^32,
+// until the next change in the leaf.
 type Sums []uint32
 
 // MarshalText implements encoding.TextMarshaler.
@@ -32,7 +33,7 @@
 func (s *Sums) UnmarshalText(text []byte) error {
 	b, err := base64.RawURLEncoding.AppendDecode(nil, text)
 	if err != nil || len(b)%4 != 0 || len(b) > 4*digestLeaves {
-		return errDigest
+		return errMalformedDigest
 	}
 	*s = make(Sums, 0, len(b)/4)
 	for ; len(b) > 0; b = b[4:] {
@@ -41,8 +42,9 @@
 	return nil
 }
 
-var errDigest = errors.New("digest is malformed")
+var errMalformedDigest = errors.New("digest is malformed")
 
+// fold reduces a sum to 32 bits by XORing its halves.
 func fold(sum uint64) uint32 { return uint32(sum>>32) ^ uint32(sum) }
 
 // Root returns one sum over the whole directory.
@@ -58,7 +60,7 @@
 func (d *Directory) Branches() Sums {
 	out := make(Sums, digestBranches)
 	for i := range d.leaves {
-		out[i/leavesPer] ^= fold(d.leaves[i].sum)
+		out[i/leavesPerBranch] ^= fold(d.leaves[i].sum)
 	}
 	return out
 }
@@ -78,36 +80,37 @@
 	return out
 }
 
-// Leaves returns the leaf sums of the branches, in order.
+// Leaves returns the leaf sums of the given branches, in order.
 func (d *Directory) Leaves(branches []int) Sums {
 	var out Sums
 	for _, b := range branches {
 		if b < 0 || b >= digestBranches {
 			continue
 		}
-		for i := range leavesPer {
-			out = append(out, fold(d.leaves[b*leavesPer+i].sum))
+		for i := range leavesPerBranch {
+			out = append(out, fold(d.leaves[b*leavesPerBranch+i].sum))
 		}
 	}
 	return out
 }
 
-// DiffLeaves returns the leaves whose sums differ from the peer's.
+// DiffLeaves returns the leaves of the given branches whose sums differ from
+// the peer's.
 func (d *Directory) DiffLeaves(branches []int, peer Sums) []int {
 	own := d.Leaves(branches)
-	if len(own) != len(peer) || len(own) != len(branches)*leavesPer {
+	if len(own) != len(peer) || len(own) != len(branches)*leavesPerBranch {
 		return nil
 	}
 	var out []int
 	for i := range own {
 		if own[i] != peer[i] {
-			out = append(out, branches[i/leavesPer]*leavesPer+i%leavesPer)
+			out = append(out, branches[i/leavesPerBranch]*leavesPerBranch+i%leavesPerBranch)
 		}
 	}
 	return out
 }
 
-// EntriesOf returns the entries in the leaves, at most limit.
+// EntriesOf returns the entries in the given leaves, at most limit of them.
 func (d *Directory) EntriesOf(leaves []int, limit int) []Entry {
 	var out []Entry
 	for _, l := range leaves {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -11,26 +11,28 @@
 
 // Options are the limits and periods of a directory.
 type Options struct {
-	// MinPeriod and MaxPeriod bound the period of heartbeats;
-	// HeartbeatsPerSecond is the budget that all hosts registered at one
-	// balancer share.
+	// MinPeriod and MaxPeriod bound the heartbeat period. HeartbeatsPerSecond
+	// is the heartbeat rate budget shared by all hosts registered at one
+	// balancer.
 	MinPeriod, MaxPeriod time.Duration
 	HeartbeatsPerSecond  int
-	// MissedHeartbeats is how many periods a registrar waits in silence.
+	// MissedHeartbeats is the number of periods without a heartbeat after which
+	// a registrar suspects a host. It is a count, not a duration.
 	MissedHeartbeats time.Duration
-	// GoneAfter is how long a suspicion stands before the entry is gone.
-	GoneAfter time.Duration
-	// ForgetAfter is how long a tombstone is kept against late copies.
-	ForgetAfter time.Duration
-	// MaxEntries bounds the table, tombstones included.
+	// SuspicionTimeout is how long an entry stays suspect before it becomes gone.
+	SuspicionTimeout time.Duration
+	// TombstoneTTL is how long a tombstone is kept, so that late copies of the
+	// entry cannot restore it.
+	TombstoneTTL time.Duration
+	// MaxEntries is the maximum size of the table, tombstones included.
 	MaxEntries int
-	// RumourFactor times log2 of the balancers is how often a change is passed
-	// on at the most; after MaxUseless receivers that knew it already it is
-	// passed on no more (Demers et al., PODC 1987).
-	RumourFactor int
-	MaxUseless   int
-	// MaxRumours bounds the entries in one message.
-	MaxRumours int
+	// TransmitFactor times log2 of the number of live balancers is the maximum
+	// number of times that a change is sent. A change is no longer sent after
+	// MaxRedundant receivers that already had it (Demers et al., PODC 1987).
+	TransmitFactor int
+	MaxRedundant   int
+	// MaxUpdates is the maximum number of gossip updates in one message.
+	MaxUpdates int
 }
 
 // Defaults returns the options of docs/CAPACITY.md.
@@ -40,63 +42,70 @@
 		MaxPeriod:           4 * time.Second,
 		HeartbeatsPerSecond: 8,
 		MissedHeartbeats:    3,
-		GoneAfter:           6 * time.Second,
-		ForgetAfter:         time.Hour,
+		SuspicionTimeout:    6 * time.Second,
+		TombstoneTTL:        time.Hour,
 		MaxEntries:          40000,
-		RumourFactor:        2,
-		MaxUseless:          2,
-		MaxRumours:          128,
+		TransmitFactor:      2,
+		MaxRedundant:        2,
+		MaxUpdates:          128,
 	}
 }
 
+// record is an entry with its gossip and registration state.
 type record struct {
 	Entry
-	// changedAt is when the entry last changed here.
+	// changedAt is when the entry last changed in this directory.
 	changedAt time.Time
-	// heardAt is when this balancer, as a registrar, last heard the owner.
-	heardAt time.Time
-	// spread counts how often this change was passed on, useless how often the
-	// receiver knew it already. hot tells that it is still passed on, queued
-	// that its key is in the queue.
-	spread, useless int
-	hot, queued     bool
-	// registered tells that the owner sends its heartbeats here, period how
-	// far apart.
+	// lastSeen is when the owner last sent a heartbeat to this balancer, or when
+	// an entry with status Alive was last stored.
+	lastSeen time.Time
+	// transmissions counts how often the last change was sent, redundant how
+	// often the receiver already had it. pending is set while the change is to
+	// be sent again, queued while the key is in updateQueue.
+	transmissions, redundant int
+	pending, queued          bool
+	// registered is set while the owner sends its heartbeats to this balancer;
+	// period is its heartbeat period.
 	registered bool
 	period     time.Duration
-	// orphanSince is when an audit first found no registrar.
+	// orphanSince is when an audit first found the host without a registrar;
+	// zero if it has one.
 	orphanSince time.Time
 }
 
-// Directory is one balancer's view. It is not safe for concurrent use; its
-// owner holds a lock.
+// Directory is one balancer's membership table. It is not safe for concurrent
+// use; callers hold a lock.
 type Directory struct {
 	opts    Options
 	self    netip.AddrPort
 	entries map[netip.AddrPort]*record
-	leaves  [digestLeaves]leafState
-	// hot is the queue of changes still to be passed on.
-	hot []netip.AddrPort
-	// byService lists hosts that offer a service.
+	leaves  [digestLeaves]digestLeaf
+	// updateQueue holds the keys of changes that are still to be sent.
+	updateQueue []netip.AddrPort
+	// byService maps a service to the ready slots of each host that offers it.
 	byService map[route.ServiceID]map[netip.AddrPort]uint16
-	dirty     map[route.ServiceID]struct{}
-	// peers lists the keys of all other balancers; live caches the entries of
-	// the live ones and is replaced whole, never changed, while others read it.
-	peers []netip.AddrPort
-	live  []Entry
-	// registered counts the hosts that send their heartbeats here.
+	// dirty holds the services whose hosts changed since the last Dirty call.
+	dirty map[route.ServiceID]struct{}
+	// peers lists the keys of all other balancers. liveBalancers caches the
+	// entries of the live ones, this one included. Callers of Balancers share
+	// the slice, so it is replaced and never modified.
+	peers         []netip.AddrPort
+	liveBalancers []Entry
+	// registered counts the hosts that send their heartbeats to this balancer.
 	registered int
-	rejected   int
-	// auditQueue is what is left of the current audit round.
+	// rejected counts the entries refused because the table was full.
+	rejected int
+	// auditQueue holds the hosts not yet checked in the current audit round.
 	auditQueue []netip.AddrPort
 }
 
-type leafState struct {
+// digestLeaf holds the keys of one leaf and the XOR of their entries' hashes.
+type digestLeaf struct {
 	sum  uint64
 	keys []netip.AddrPort
 }
 
-// New returns a directory that knows only its owner.
+// New returns a directory that holds only the owner's entry.
 func New(opts Options, self Entry, now time.Time) *Directory {
 	d := &Directory{
 		opts:      opts,
@@ -127,16 +136,17 @@
 // Self returns the owner's own entry.
 func (d *Directory) Self() Entry { return d.entries[d.self].Entry }
 
-// Merge takes entries heard from others and returns which were news, by index.
-// A claim against the owner itself is refuted at once.
+// Merge applies entries received from other nodes and returns the indices of
+// those that changed the directory. A claim against the owner itself is refuted
+// at once.
 func (d *Directory) Merge(now time.Time, entries []Entry) []int {
-	var news []int
+	var changed []int
 	for i := range entries {
 		if d.merge(now, entries[i]) {
-			news = append(news, i)
+			changed = append(changed, i)
 		}
 	}
-	return news
+	return changed
 }
 
 func (d *Directory) merge(now time.Time, e Entry) bool {
@@ -152,15 +162,16 @@
 		return false
 	}
 	if known && e.Status == Gone && old.Status == Alive {
-		// Others gave up on an owner that looks alive from here, as after a
-		// partition. It gets the time of a suspicion to refute the claim.
+		// Other balancers declared gone a node that is alive in this directory,
+		// as after a partition. It gets the suspicion timeout to refute the claim.
 		e.Status = Suspect
 	}
 	d.put(now, e)
 	return true
 }
 
-// refute answers a claim about the owner with its next sequence.
+// refute raises the owner's sequence above a claim about the owner that is newer
+// than its entry. It reports whether it did.
 func (d *Directory) refute(now time.Time, claim Entry) bool {
 	own := d.entries[d.self].Entry
 	if !claim.Newer(&own) {
@@ -172,7 +183,7 @@
 	return true
 }
 
-// UpdateSelf changes the owner's entry and gives it the next sequence.
+// UpdateSelf applies change to the owner's entry and increments its sequence.
 func (d *Directory) UpdateSelf(now time.Time, change func(*Entry)) {
 	own := d.entries[d.self].Entry
 	change(&own)
@@ -180,39 +191,40 @@
 	d.put(now, own)
 }
 
+// put stores an entry, updates the indexes and queues the change for gossip.
 func (d *Directory) put(now time.Time, e Entry) {
 	key := e.Key()
 	r, ok := d.entries[key]
 	if !ok {
 		r = &record{}
 		d.entries[key] = r
-		l := &d.leaves[leaf(key)]
+		l := &d.leaves[leafIndex(key)]
 		l.keys = append(l.keys, key)
 		if e.Kind == KindBalancer && key != d.self {
 			d.peers = append(d.peers, key)
 		}
 	}
-	d.unindex(r)
+	d.unindexRecord(r)
 	r.Entry, r.changedAt = e, now
-	r.spread, r.useless, r.hot = 0, 0, true
-	if r.heardAt.IsZero() || e.Status == Alive {
-		r.heardAt = now
+	r.transmissions, r.redundant, r.pending = 0, 0, true
+	if r.lastSeen.IsZero() || e.Status == Alive {
+		r.lastSeen = now
 	}
 	d.indexRecord(r)
 	if !r.queued {
 		r.queued = true
-		d.hot = append(d.hot, key)
+		d.updateQueue = append(d.updateQueue, key)
 	}
 }
 
-// unindex removes what an entry contributed to sums and service lists.
-func (d *Directory) unindex(r *record) {
+// unindexRecord removes an entry from the digest sums and the service index.
+func (d *Directory) unindexRecord(r *record) {
 	if r.Incarnation == 0 && r.Sequence == 0 && r.Status == 0 {
 		return
 	}
-	d.leaves[leaf(r.Key())].sum ^= r.hash()
+	d.leaves[leafIndex(r.Key())].sum ^= r.hash()
 	if r.Kind == KindBalancer {
-		d.live = nil
+		d.liveBalancers = nil
 	}
 	for _, o := range r.Offers {
 		delete(d.byService[o.Service], r.Key())
@@ -220,20 +232,22 @@
 	}
 }
 
+// indexRecord adds an entry to the digest sums and, if it is a usable host, to
+// the service index.
 func (d *Directory) indexRecord(r *record) {
-	d.leaves[leaf(r.Key())].sum ^= r.hash()
+	d.leaves[leafIndex(r.Key())].sum ^= r.hash()
 	if r.Kind == KindBalancer {
-		d.live = nil
+		d.liveBalancers = nil
 	}
 	if r.Kind != KindHost || !r.Usable() {
 		return
 	}
 	for _, o := range r.Offers {
-		d.offer(o, r.Key())
+		d.addOffer(o, r.Key())
 	}
 }
 
-func (d *Directory) offer(o Offer, key netip.AddrPort) {
+func (d *Directory) addOffer(o Offer, key netip.AddrPort) {
 	hosts := d.byService[o.Service]
 	if hosts == nil {
 		hosts = map[netip.AddrPort]uint16{}
@@ -245,7 +259,8 @@
 	d.dirty[o.Service] = struct{}{}
 }
 
-// Dirty returns the services whose hosts changed since the last call.
+// Dirty returns the services whose hosts changed since the last call, in order
+// of their IDs.
 func (d *Directory) Dirty() []route.ServiceID {
 	out := make([]route.ServiceID, 0, len(d.dirty))
 	for id := range d.dirty {
@@ -263,7 +278,8 @@
 	Slots uint16
 }
 
-// Hosts returns the usable hosts of a service in address order.
+// Hosts returns the usable hosts of a service that have ready slots, in address
+// order.
 func (d *Directory) Hosts(id route.ServiceID) []ServiceHost {
 	var out []ServiceHost
 	for key, slots := range d.byService[id] {
@@ -276,8 +292,8 @@
 // Balancers returns the entries of live balancers in address order, the owner
 // included. Callers must not change the slice.
 func (d *Directory) Balancers() []Entry {
-	if d.live != nil {
-		return d.live
+	if d.liveBalancers != nil {
+		return d.liveBalancers
 	}
 	out := make([]Entry, 0, len(d.peers)+1)
 	for _, key := range append([]netip.AddrPort{d.self}, d.peers...) {
@@ -286,7 +302,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return a.Data.Compare(b.Data) })
-	d.live = out
+	d.liveBalancers = out
 	return out
 }
 
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -36,14 +36,15 @@
 func drawEntry(t *rapid.T) Entry {
 	e := host(rapid.IntRange(0, 3).Draw(t, "host"), uint32(rapid.IntRange(1, 3).Draw(t, "seq")), 5)
 	e.Incarnation = Incarnation(rapid.IntRange(1, 2).Draw(t, "incarnation"))
-	// Gone is left out: it is downgraded on arrival, see TestHealedPartition.
+	// Gone is left out: Merge downgrades it to Suspect, see
+	// TestHealedPartitionStopsNoService.
 	e.Status = rapid.SampledFrom([]Status{Alive, Suspect, Left}).Draw(t, "status")
 	return e
 }
 
-// TestMergeIsOrderless proves that late, doubled and reordered updates give
-// the same directory.
-func TestMergeIsOrderless(t *testing.T) {
+// TestMergeIsOrderIndependent checks that late, duplicated and reordered updates
+// result in the same directory.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(drawEntry), 1, 12).Draw(t, "updates")
 		order := rapid.Permutation(updates).Draw(t, "order")
@@ -56,24 +57,24 @@
 		require.Equal(t, a.All(), b.All())
 		require.Equal(t, a.Root(), b.Root())
 		require.Equal(t, a.Hosts(1), b.Hosts(1))
-		require.Empty(t, b.Merge(t0, updates), "a second time is no news")
+		require.Empty(t, b.Merge(t0, updates), "a repeated merge changes nothing")
 	})
 }
 
-// fleet is several directories that talk over a faulty network; the owners of
-// hosts are the oracle.
+// fleet simulates several directories on a faulty network. The live hosts are the
+// reference that the directories are compared with.
 type fleet struct {
 	now   time.Time
 	rnd   *rand.Rand
 	dirs  []*Directory
-	owner map[int]*Entry // live hosts by number
-	// registrars is what each host was told last.
-	registrars map[int][]Entry
-	cut        bool // halves of the fleet cannot talk
+	hosts map[int]*Entry // live hosts by number
+	// registrars holds the registrar list that each host received last.
+	registrars  map[int][]Entry
+	partitioned bool // the halves of the fleet cannot reach each other
 }
 
 func newFleet(n int, seed uint64) *fleet {
-	f := &fleet{now: t0, rnd: rand.New(rand.NewPCG(seed, 1)), owner: map[int]*Entry{}, registrars: map[int][]Entry{}}
+	f := &fleet{now: t0, rnd: rand.New(rand.NewPCG(seed, 1)), hosts: map[int]*Entry{}, registrars: map[int][]Entry{}}
 	for i := range n {
 		f.dirs = append(f.dirs, New(Defaults(), balancer(i), t0))
 	}
@@ -85,9 +86,9 @@
 	return f
 }
 
-func (f *fleet) canTalk(i, j int) bool { return !f.cut || i%2 == j%2 }
+func (f *fleet) canReach(i, j int) bool { return !f.partitioned || i%2 == j%2 }
 
-// gossip runs one exchange as balancer.exchange does.
+// gossip runs one exchange, as balancer.exchange does.
 func (f *fleet) gossip(i int) {
 	peer, ok := f.dirs[i].Peer(f.rnd)
 	if !ok {
@@ -97,7 +98,7 @@
 		if d.Self().Data != peer.Data {
 			continue
 		}
-		if !f.canTalk(i, j) {
+		if !f.canReach(i, j) {
 			f.dirs[i].SuspectPeer(f.now, peer.Data)
 			return
 		}
@@ -106,30 +107,30 @@
 }
 
 func (f *fleet) exchange(a, b *Directory) {
-	passed := a.Rumours(nil)
-	a.Feedback(passed, b.Merge(f.now, passed))
-	a.Merge(f.now, append(b.Rumours(passed), b.Self()))
+	sent := a.Rumours(nil)
+	a.Feedback(sent, b.Merge(f.now, sent))
+	a.Merge(f.now, append(b.Rumours(sent), b.Self()))
 	if a.Root() == b.Root() {
 		return
 	}
-	of := b.DiffBranches(a.Branches(), 8)
-	leaves := a.DiffLeaves(of, b.Leaves(of))
-	mine := a.EntriesOf(leaves, 512)
+	branches := b.DiffBranches(a.Branches(), 8)
+	leaves := a.DiffLeaves(branches, b.Leaves(branches))
+	entriesOfA := a.EntriesOf(leaves, 512)
 	a.Merge(f.now, b.EntriesOf(leaves, 512))
-	b.Merge(f.now, mine)
+	b.Merge(f.now, entriesOfA)
 }
 
-// heartbeat sends a host's sign of life to the registrars that it knows and can
+// heartbeat sends a host's heartbeat to the registrars that it knows and can
 // reach, as agent.announceRound does.
 func (f *fleet) heartbeat(i int) {
-	e := f.owner[i]
-	var told []Entry
+	e := f.hosts[i]
+	var registrars []Entry
 	for j, d := range f.dirs {
-		if !f.canTalk(i, j) || (len(f.registrars[i]) > 0 && !slices.ContainsFunc(f.registrars[i], func(r Entry) bool { return r.Data == d.Self().Data })) {
+		if !f.canReach(i, j) || (len(f.registrars[i]) > 0 && !slices.ContainsFunc(f.registrars[i], func(r Entry) bool { return r.Data == d.Self().Data })) {
 			continue
 		}
-		told = Registrars(e.Data.String(), e.Zone, d.Balancers(), 3)
-		r := d.Heartbeat(f.now, e.sign())
+		registrars = Registrars(e.Data.String(), e.Zone, d.Balancers(), 3)
+		r := d.Heartbeat(f.now, e.heartbeat())
 		if r.Incarnation > e.Incarnation {
 			e.Incarnation, e.Sequence = r.Incarnation+1, 0
 		}
@@ -138,13 +139,13 @@
 		}
 		if r.NeedEntry || r.Sequence > 0 {
 			d.Merge(f.now, []Entry{*e})
-			d.Heartbeat(f.now, e.sign())
+			d.Heartbeat(f.now, e.heartbeat())
 		}
 	}
-	f.registrars[i] = told
+	f.registrars[i] = registrars
 }
 
-func (e *Entry) sign() Heartbeat {
+func (e *Entry) heartbeat() Heartbeat {
 	return Heartbeat{Key: e.Data, Incarnation: e.Incarnation, Sequence: e.Sequence, Period: time.Second}
 }
 
@@ -157,9 +158,9 @@
 	return false
 }
 
-func (f *fleet) second() {
+func (f *fleet) tick() {
 	f.now = f.now.Add(time.Second)
-	for i := range f.owner {
+	for i := range f.hosts {
 		f.heartbeat(i)
 	}
 	for i, d := range f.dirs {
@@ -169,16 +170,17 @@
 	}
 }
 
-// settled tells whether every balancer sees exactly the live hosts.
-func (f *fleet) settled() bool {
+// converged reports whether every directory lists exactly the live hosts, each
+// with its current sequence.
+func (f *fleet) converged() bool {
 	for _, d := range f.dirs {
 		seen := d.Hosts(1)
-		if len(seen) != len(f.owner) {
+		if len(seen) != len(f.hosts) {
 			return false
 		}
-		for i := range f.owner {
+		for i := range f.hosts {
 			got, ok := d.Get(addr(KindHost, i))
-			if !ok || !got.Usable() || got.Sequence != f.owner[i].Sequence {
+			if !ok || !got.Usable() || got.Sequence != f.hosts[i].Sequence {
 				return false
 			}
 		}
@@ -186,102 +188,104 @@
 	return true
 }
 
-// TestDirectoryFindsTheTruth kills, starts, restarts and changes hosts while
-// the network is cut and healed; once left alone, every balancer knows exactly
-// the live hosts. Seconds are injected.
-func TestDirectoryFindsTheTruth(t *testing.T) {
+// TestDirectoryConvergesAfterFaults kills, starts, restarts and changes hosts while
+// the network is partitioned and healed. Within 240 s without faults, every
+// directory must list exactly the live hosts. Time is simulated.
+func TestDirectoryConvergesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 6).Draw(t, "balancers"), rapid.Uint64().Draw(t, "seed"))
 		incarnation := Incarnation(1)
 		step := map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
 				i := rapid.IntRange(0, 5).Draw(t, "host")
-				if f.owner[i] == nil {
+				if f.hosts[i] == nil {
 					incarnation++
 					e := host(i, 1, 5)
 					e.Incarnation = incarnation
-					f.owner[i] = &e
+					f.hosts[i] = &e
 				}
 			},
-			"kill":   func(t *rapid.T) { delete(f.owner, rapid.IntRange(0, 5).Draw(t, "host")) },
-			"cut":    func(*rapid.T) { f.cut = true },
-			"heal":   func(*rapid.T) { f.cut = false },
-			"second": func(*rapid.T) { f.second() },
+			"kill":   func(t *rapid.T) { delete(f.hosts, rapid.IntRange(0, 5).Draw(t, "host")) },
+			"cut":    func(*rapid.T) { f.partitioned = true },
+			"heal":   func(*rapid.T) { f.partitioned = false },
+			"second": func(*rapid.T) { f.tick() },
 			"half a minute": func(*rapid.T) {
 				for range 30 {
-					f.second()
+					f.tick()
 				}
 			},
 			"change": func(t *rapid.T) {
-				if e := f.owner[rapid.IntRange(0, 5).Draw(t, "host")]; e != nil {
+				if e := f.hosts[rapid.IntRange(0, 5).Draw(t, "host")]; e != nil {
 					e.Sequence++
 				}
 			},
 		}
 		t.Repeat(step)
-		f.cut = false
+		f.partitioned = false
 		for range 240 {
-			if f.settled() {
+			if f.converged() {
 				return
 			}
-			f.second()
+			f.tick()
 		}
-		require.True(t, f.settled(), "not settled after 240 s without faults")
+		require.True(t, f.converged(), "not converged after 240 s without faults")
 	})
 }
 
-// TestHealedPartitionStopsNoService lets two halves give each other up and
-// meet again: nobody may lose sight of hosts of its own half.
+// TestHealedPartitionStopsNoService partitions the fleet until both halves have
+// marked each other gone, then heals it. The claims of one half must not take
+// hosts out of service in the directories of the other half.
 func TestHealedPartitionStopsNoService(t *testing.T) {
 	f := newFleet(4, 3)
 	for i := range 4 {
 		e := host(i, 1, 5)
-		f.owner[i] = &e
+		f.hosts[i] = &e
 	}
 	for range 10 {
-		f.second()
+		f.tick()
 	}
-	require.True(t, f.settled())
-	f.cut = true
+	require.True(t, f.converged())
+	f.partitioned = true
 	for range 120 {
-		f.second()
+		f.tick()
 	}
-	own := func(d *Directory, half int) int {
+	countOwnHalf := func(d *Directory, half int) int {
 		n := 0
-		for i := range f.owner {
+		for i := range f.hosts {
 			if e, ok := d.Get(addr(KindHost, i)); ok && i%2 == half && e.Usable() {
 				n++
 			}
 		}
 		return n
 	}
-	f.cut = false
+	f.partitioned = false
 	for s := range 240 {
-		f.second()
+		f.tick()
 		for j, d := range f.dirs {
-			require.Equal(t, 2, own(d, j%2), "second %d: balancer %d lost sight of its own half", s, j)
+			require.Equal(t, 2, countOwnHalf(d, j%2), "second %d: balancer %d lost hosts of its own half", s, j)
 		}
 	}
-	require.True(t, f.settled())
+	require.True(t, f.converged())
 }
 
-// TestOwnersPeriodCounts: a registrar that would allow more frequent heartbeats
-// must not suspect an owner that keeps the longer period of another one.
-func TestOwnersPeriodCounts(t *testing.T) {
+// TestLongerHeartbeatPeriodIsNotSuspected: a registrar that requests a shorter
+// period must not suspect a host that uses the longer period requested by another
+// registrar.
+func TestLongerHeartbeatPeriodIsNotSuspected(t *testing.T) {
 	d := New(Defaults(), balancer(0), t0)
 	e := host(1, 1, 5)
 	d.Merge(t0, []Entry{e})
-	sign := e.sign()
-	sign.Period = Defaults().MaxPeriod
+	heartbeat := e.heartbeat()
+	heartbeat.Period = Defaults().MaxPeriod
 	now := t0
 	for range 5 {
-		require.Equal(t, Defaults().MinPeriod.Milliseconds(), d.Heartbeat(now, sign).PeriodMillis)
-		now = now.Add(sign.Period)
+		require.Equal(t, Defaults().MinPeriod.Milliseconds(), d.Heartbeat(now, heartbeat).PeriodMillis)
+		now = now.Add(heartbeat.Period)
 		d.Tick(now)
 		got, _ := d.Get(e.Data)
 		require.Equal(t, Alive, got.Status)
 	}
-	d.Tick(now.Add(Defaults().MissedHeartbeats * sign.Period))
+	d.Tick(now.Add(Defaults().MissedHeartbeats * heartbeat.Period))
 	got, _ := d.Get(e.Data)
 	require.Equal(t, Suspect, got.Status)
 }
@@ -324,18 +328,18 @@
 	require.Equal(t, 41, d.Rejected())
 }
 
-func TestTombstonesAreForgotten(t *testing.T) {
+func TestTombstonesExpire(t *testing.T) {
 	d := New(Defaults(), balancer(0), t0)
 	e := host(1, 1, 5)
 	e.Status = Left
 	d.Merge(t0, []Entry{e})
 	require.Equal(t, 2, d.Len())
-	d.Tick(t0.Add(Defaults().ForgetAfter))
+	d.Tick(t0.Add(Defaults().TombstoneTTL))
 	require.Equal(t, 1, d.Len())
 	require.Equal(t, New(Defaults(), balancer(0), t0).Root(), d.Root())
 }
 
-func TestRegistrarsMoveOnlyWithTheDead(t *testing.T) {
+func TestRegistrarsChangeOnlyForFailedBalancers(t *testing.T) {
 	var all []Entry
 	for i := range 20 {
 		all = append(all, balancer(i))
@@ -345,7 +349,7 @@
 		name := fmt.Sprint("host", h)
 		before := Registrars(name, "z0", all, 3)
 		require.Len(t, before, 3)
-		require.Equal(t, "z1", before[2].Zone, "one registrar is beyond the zone")
+		require.Equal(t, "z1", before[2].Zone, "one registrar is in another zone")
 		after := Registrars(name, "z0", all[2:], 3)
 		if fmt.Sprint(before) != fmt.Sprint(after) {
 			moved++
--- a/directory/doc.go
+++ b/directory/doc.go
@@ -1,19 +1,20 @@
-// Package directory is each balancer's view of hosts and of other balancers.
+// Package directory holds a balancer's membership table: its view of all hosts
+// and balancers.
 //
-// The agent of a host is the only writer of its entry; a balancer is of its
-// own. An entry is ordered by (incarnation, sequence); at equal order a
-// stronger claim by others (suspect, gone) wins until the owner's next
-// sequence refutes it, as in SWIM (Das et al., DSN 2002). Merge is
-// commutative, associative and idempotent, so that updates may arrive late,
-// twice and in any order.
+// Each entry has one writer, its owner: the agent for a host, the balancer for
+// itself. Entries are ordered by (incarnation, sequence). At equal order the
+// higher status wins, so a claim by another node (suspect, gone) stands until
+// the owner refutes it with a higher sequence, as in SWIM (Das et al., DSN
+// 2002). Merge is commutative, associative and idempotent, so updates may
+// arrive late, more than once and in any order.
 //
-// Balancers spread changes, not heartbeats: each change is passed on a bounded
-// number of times (rumour), and a digest tree finds what rumours missed
-// (anti-entropy). Hosts send heartbeats only to a few registrars, picked by
-// rendezvous hashing (Thaler and Ravishankar, 1998).
+// Balancers gossip changes, not heartbeats: each change is sent a bounded
+// number of times, and a comparison of digest trees (anti-entropy) finds the
+// changes that gossip missed. A host sends heartbeats only to a few registrars,
+// chosen by rendezvous hashing (Thaler and Ravishankar, 1998).
 //
-// No entry guards correctness: a route names the incarnation it belongs to,
-// and the agent itself refuses what it does not serve.
+// Correctness does not depend on the entries: a route carries the incarnation
+// that it belongs to, and the agent refuses traffic that it does not serve.
 //
-// Everything is pure: time and randomness are arguments.
+// The package does no I/O; time and randomness are arguments.
 package directory
--- a/directory/entry.go
+++ b/directory/entry.go
@@ -10,11 +10,11 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// Incarnation orders successive processes at one address: the start time in
-// seconds, raised when the directory knows a later one.
+// Incarnation orders successive processes at one address. It is the start time
+// in seconds, or higher if the directory holds a later incarnation.
 type Incarnation uint32
 
-// Kind tells what an entry describes.
+// Kind is the kind of node that an entry describes.
 type Kind uint8
 
 // The kinds of entries.
@@ -23,32 +23,34 @@
 	KindBalancer Kind = 2
 )
 
-// Status is the state of an entry; a higher one wins at equal order.
+// Status is the state of an entry. Between entries of equal incarnation and
+// sequence, the higher status wins.
 type Status uint8
 
-// The states of an entry. Only others claim Suspect and Gone; the owner claims
-// Alive and Left.
+// The states of an entry. The owner sets Alive and Left; Suspect and Gone are
+// set only by other nodes.
 const (
 	Alive   Status = 1
 	Suspect Status = 2
-	// Gone follows a suspicion that nobody refuted in time.
+	// Gone follows a suspicion that was not refuted within
+	// Options.SuspicionTimeout.
 	Gone Status = 3
-	// Left is the owner's own farewell.
+	// Left is set by an owner that deregisters.
 	Left Status = 4
 )
 
-// Limits of an entry, checked where it enters a process.
+// Limits of an entry, checked when it is encoded and decoded.
 const (
-	// MaxOffers bounds the services that one host offers.
+	// MaxOffers is the maximum number of services that one host offers.
 	MaxOffers = 64
-	// MaxNameLen bounds names and zones, in bytes.
+	// MaxNameLen is the maximum length of a name or zone, in bytes.
 	MaxNameLen = 63
 )
 
-// Offer says that a host serves a service.
+// Offer is a service that a host serves.
 type Offer struct {
 	Service route.ServiceID
-	// Slots is the number of ready slots; zero takes no new flows.
+	// Slots is the number of ready slots; with zero, the host gets no new flows.
 	Slots uint16
 }
 
@@ -57,9 +59,9 @@
 	Kind Kind
 	Name string
 	Zone string
-	// Data is where datagrams for this process go.
+	// Data is the address that receives forwarded datagrams.
 	Data netip.AddrPort
-	// Control is where control calls to this process go.
+	// Control is the address that serves control calls.
 	Control     netip.AddrPort
 	Incarnation Incarnation
 	Sequence    uint32
@@ -67,10 +69,11 @@
 	Offers      []Offer
 }
 
-// Key identifies an entry: the address that no two live processes share.
+// Key returns the key of the entry: its data address, which no two live
+// processes share.
 func (e *Entry) Key() netip.AddrPort { return e.Data }
 
-// Validate checks an entry that came from another process.
+// Validate checks an entry received from another process.
 func (e *Entry) Validate() error {
 	switch {
 	case e.Kind != KindHost && e.Kind != KindBalancer:
@@ -87,7 +90,7 @@
 	return nil
 }
 
-// Newer tells whether e replaces old in a merge.
+// Newer reports whether e replaces old in a merge.
 func (e *Entry) Newer(old *Entry) bool {
 	if e.Incarnation != old.Incarnation {
 		return e.Incarnation > old.Incarnation
@@ -98,13 +101,13 @@
 	return e.Status > old.Status
 }
 
-// Usable tells whether new flows may go there. A suspicion alone takes no host
-// out: the data path notices a silent host sooner, and a wrong suspicion of many
-// hosts at once, as after a partition, must not stop service.
+// Usable reports whether the node may get new flows. A suspect host stays in
+// service: the data path detects an unresponsive host sooner, and a false
+// suspicion of many hosts at once, as after a partition, must not stop service.
 func (e *Entry) Usable() bool { return e.Status <= Suspect }
 
-// hash covers identity and order; the owner never changes content without a
-// higher sequence.
+// hash returns a hash over key, incarnation, sequence and status. Other fields
+// are left out because the owner raises the sequence whenever it changes them.
 func (e *Entry) hash() uint64 {
 	var b [6 + 4 + 4 + 1]byte
 	ip := e.Data.Addr().As4()
@@ -116,8 +119,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// leaf returns the digest leaf of a key.
-func leaf(key netip.AddrPort) int {
+// leafIndex returns the index of the digest leaf that holds a key.
+func leafIndex(key netip.AddrPort) int {
 	var b [6]byte
 	ip := key.Addr().As4()
 	copy(b[:], ip[:])
--- a/directory/rendezvous.go
+++ b/directory/rendezvous.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// score is the rendezvous weight of a candidate for an item. It depends on the
-// pair alone, so that a death moves only the items of the dead one.
+// score returns the rendezvous weight of a candidate for an item. It depends on
+// the pair alone, so when a candidate fails only its own items move.
 func score(item uint64, candidate *Entry) uint64 {
 	var b [14]byte
 	binary.BigEndian.PutUint64(b[:], item)
@@ -17,18 +17,19 @@
 	return xxhash.Sum64(b[:])
 }
 
-// best keeps the k highest scores seen, best first. k is small.
-type best struct {
+// topK keeps the k entries with the highest scores, best first. It sorts by
+// insertion, as k is small.
+type topK struct {
 	k       int
 	entries []*Entry
 	scores  []uint64
 }
 
-func newBest(k int) *best {
-	return &best{k: k, entries: make([]*Entry, 0, k+1), scores: make([]uint64, 0, k+1)}
+func newTopK(k int) *topK {
+	return &topK{k: k, entries: make([]*Entry, 0, k+1), scores: make([]uint64, 0, k+1)}
 }
 
-func (b *best) offer(s uint64, e *Entry) {
+func (b *topK) add(s uint64, e *Entry) {
 	if len(b.scores) == b.k && (b.k == 0 || s <= b.scores[b.k-1]) {
 		return
 	}
@@ -42,7 +43,8 @@
 	b.scores, b.entries = b.scores[:n], b.entries[:n]
 }
 
-func (b *best) appendTo(out []Entry, limit int) []Entry {
+// appendTo appends up to limit of the best entries to out.
+func (b *topK) appendTo(out []Entry, limit int) []Entry {
 	for _, e := range b.entries[:min(limit, len(b.entries))] {
 		out = append(out, *e)
 	}
@@ -53,30 +55,31 @@
 // first.
 func Rank(item string, candidates []Entry, k int) []Entry {
 	hash := xxhash.Sum64String(item)
-	top := newBest(k)
+	top := newTopK(k)
 	for i := range candidates {
-		top.offer(score(hash, &candidates[i]), &candidates[i])
+		top.add(score(hash, &candidates[i]), &candidates[i])
 	}
 	return top.appendTo(make([]Entry, 0, k), k)
 }
 
-// Registrars returns the balancers that a host announces itself to: most in
-// its own zone, the last one beyond, so that a zone cut off from the others
-// still hears of its hosts and the others hear of the zone.
+// Registrars returns the k balancers that a host sends its heartbeats to: the last
+// one in another zone, the others in the host's zone, as far as there are enough.
+// So a zone that is partitioned from the others still sees its own hosts, and the
+// other zones see the hosts of this one.
 func Registrars(host, zone string, balancers []Entry, k int) []Entry {
 	hash := xxhash.Sum64String(host)
-	near, far := newBest(k), newBest(k)
+	sameZone, crossZone := newTopK(k), newTopK(k)
 	for i := range balancers {
-		side := far
+		side := crossZone
 		if balancers[i].Zone == zone {
-			side = near
+			side = sameZone
 		}
-		side.offer(score(hash, &balancers[i]), &balancers[i])
+		side.add(score(hash, &balancers[i]), &balancers[i])
 	}
-	wantNear := k
-	if k > 1 && len(far.entries) > 0 {
-		wantNear = k - 1
+	sameZoneCount := k
+	if k > 1 && len(crossZone.entries) > 0 {
+		sameZoneCount = k - 1
 	}
-	out := near.appendTo(make([]Entry, 0, k), wantNear)
-	return far.appendTo(out, k-len(out))
+	out := sameZone.appendTo(make([]Entry, 0, k), sameZoneCount)
+	return crossZone.appendTo(out, k-len(out))
 }
--- a/directory/wire.go
+++ b/directory/wire.go
@@ -10,15 +10,16 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// An entry travels as one base64 string of a fixed layout: gossip is the bulk
-// of control traffic, and as a JSON object an entry takes 3.5 times the bytes.
+// An entry is encoded as one base64 string of a fixed binary layout, because
+// gossip is most of the control traffic and an entry as a JSON object is 3.5
+// times as large. The fields and their lengths in bytes:
 //
 //	kind 1, status 1, incarnation 4, sequence 4, data 6, control 6,
 //	name 1+n, zone 1+n, offers 1 + 4 each (service 2, slots 2)
 
 const entryFixedLen = 1 + 1 + 4 + 4 + 6 + 6
 
-var errEntry = errors.New("entry is malformed")
+var errMalformedEntry = errors.New("entry is malformed")
 
 // MarshalText implements encoding.TextMarshaler.
 func (e Entry) MarshalText() ([]byte, error) {
@@ -46,11 +47,12 @@
 	return binary.BigEndian.AppendUint16(append(b, ip[:]...), a.Port())
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It validates the entry.
+// UnmarshalText implements encoding.TextUnmarshaler. It also validates the
+// entry.
 func (e *Entry) UnmarshalText(text []byte) error {
 	b, err := base64.RawURLEncoding.AppendDecode(nil, text)
 	if err != nil {
-		return errEntry
+		return errMalformedEntry
 	}
 	r := entryReader{b: b}
 	*e = Entry{Kind: Kind(r.byte()), Status: Status(r.byte())}
@@ -59,18 +61,19 @@
 	e.Name, e.Zone = string(r.take(int(r.byte()))), string(r.take(int(r.byte())))
 	n := int(r.byte())
 	if n > MaxOffers {
-		return errEntry
+		return errMalformedEntry
 	}
 	for range n {
 		e.Offers = append(e.Offers, Offer{Service: route.ServiceID(r.uint16()), Slots: r.uint16()})
 	}
 	if r.failed || len(r.b) != 0 {
-		return errEntry
+		return errMalformedEntry
 	}
 	return e.Validate()
 }
 
-// entryReader reads from the front; past the end it reads zeros and fails.
+// entryReader consumes fields from the front of b. A read past the end returns
+// zeros and sets failed.
 type entryReader struct {
 	b      []byte
 	failed bool
