--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,10 +1,10 @@
-// Package catalog holds what operators configure: services with selectors, and
-// labels and drains of targets. It is pure: revisions and changes come in,
-// views go out.
+// Package catalog holds the configuration set by operators: services with their
+// selectors, and labels and drains of targets. It does no I/O: a State takes
+// updates and returns views of the configuration.
 //
-// A revision is the platform's revision of a change. A State only moves to
-// higher revisions, record by record, so no stale copy, late message or paused
-// feeder can revert an accepted change (brief: "never reverts").
+// A revision is the platform's revision of a change. A State and each of its
+// records only move to higher revisions, so a stale copy, a late message or a
+// paused feeder never reverts an accepted change.
 package catalog
 
 import (
@@ -20,31 +20,35 @@
 	"github.com/poppywall/poppywall/settings"
 )
 
-// Revision orders accepted changes; zero is "nothing known".
+// Revision orders accepted changes; zero is the revision before the first change.
 type Revision int64
 
-// Limits of a catalog; a node refuses to grow past them.
+// Limits of a catalog.
 const (
-	// MaxRecords bounds the records that a node holds: services plus targets,
-	// tombstones included. 15,000 hosts of 8 targets, 890 services, and room.
+	// MaxRecords is the maximum number of records that a node holds: services
+	// and targets, tombstones included. It is sized for 15,000 hosts of 8 targets
+	// and 890 services, with headroom.
 	MaxRecords = 1 << 18
-	// MaxPage is the number of records in one update, MaxPageBytes about their size
-	// as JSON; records of one revision are never split. 256 KiB pass a link of 10 Mbit/s
-	// in 0.2 s, so that a call of two seconds brings a page over one of 1 Mbit/s, too.
+	// MaxPage bounds the number of records in one update, MaxPageBytes their
+	// approximate size as JSON. Records of one revision are never split over
+	// updates. 256 KiB take 0.2 s on a link of 10 Mbit/s, and on one of 1 Mbit/s
+	// still fit into a call of two seconds.
 	MaxPage      = 512
 	MaxPageBytes = 256 << 10
-	// MaxChangeBytes bounds the records of one revision, as JSON, for an update carries
-	// them together. The platform holds values up to a megabyte.
+	// MaxChangeBytes bounds the size of the records of one revision as JSON,
+	// because one update carries them all. The platform stores values of up to
+	// one megabyte.
 	MaxChangeBytes = 1 << 20
-	// MaxLabels bounds the labels of a target or selector.
+	// MaxLabels is the maximum number of labels of a target or selector.
 	MaxLabels = 32
 )
 
-// Labels are a target's attributes.
+// Labels are the attributes of a target, or the selector of a service.
 type Labels map[string]string
 
-// Matches tells whether labels satisfy the selector: every pair is present. An
-// empty selector matches nothing, so that a forgotten one takes no traffic.
+// Matches reports whether the labels contain every pair of the selector. An empty
+// selector matches nothing, so that a service without one sends no traffic to any
+// target.
 func (selector Labels) Matches(labels Labels) bool {
 	if len(selector) == 0 {
 		return false
@@ -57,49 +61,52 @@
 	return true
 }
 
-// Service is one service behind an address of its own.
+// Service is the configuration of a service, which has a front address of its own.
 type Service struct {
 	Name string `json:"name" validate:"required,hostname_rfc1123"`
-	// ID is given by the control tool at creation and never reused.
+	// ID is assigned by the control tool at creation and never reused.
 	ID route.ServiceID `json:"id"`
-	// Address is the front address that callers use.
+	// Address is the front address that callers connect to.
 	Address string `json:"address" validate:"required,addrport4"`
-	// Selector decides which targets serve the traffic.
+	// Selector matches the labels of the targets that serve the service.
 	Selector Labels `json:"selector" validate:"required,min=1,max=32,dive,keys,required,max=63,endkeys,max=63"`
-	// Authorities are the names callers may ask for; empty allows all.
+	// Authorities are the authorities that requests may name; empty allows all.
 	Authorities []string `json:"authorities,omitempty" validate:"max=4096,dive,required"`
-	// Workspaces maps an authority to its workspace's weight (in stored records still "members"); authorities not named
-	// weigh 1.
+	// Workspaces maps an authority to the weight of its workspace; the default
+	// weight is 1. The name in stored records is "members".
 	Workspaces map[string]int `json:"members,omitempty" validate:"max=4096,dive,keys,required,endkeys,gte=1,lte=1000"`
-	// SlotRequests bounds the requests in progress at one slot of a target.
+	// SlotRequests is the maximum number of requests in progress per slot of a
+	// target.
 	SlotRequests int `json:"slotRequests,omitempty" validate:"gte=0,lte=10000"`
-	// SlotStreams bounds the open streams at one slot of a target.
+	// SlotStreams is the maximum number of open streams per slot of a target.
 	SlotStreams int `json:"slotStreams,omitempty" validate:"gte=0,lte=100000"`
 }
 
-// AddrPort returns the validated front address.
+// AddrPort returns the parsed front address. It panics if the address was not
+// validated.
 func (s *Service) AddrPort() netip.AddrPort { return netip.MustParseAddrPort(s.Address) }
 
-// Allows tells whether callers may ask this service for the authority.
+// Allows reports whether requests to this service may name the authority.
 func (s *Service) Allows(authority string) bool {
 	return len(s.Authorities) == 0 || slices.Contains(s.Authorities, authority)
 }
 
-// Target is what an operator states about a target, on top of what the target
-// announces itself.
+// Target is the operators' configuration of a target, in addition to what the
+// target announces itself.
 type Target struct {
-	// Host is the name of the host, Name the target's name on it; an empty
-	// Name speaks of all targets of the host.
+	// Host is the name of the host, Name that of the target on it. With an empty
+	// Name, the record applies to all targets of the host.
 	Host   string `json:"host" validate:"required,hostname_rfc1123"`
 	Name   string `json:"name,omitempty" validate:"omitempty,hostname_rfc1123"`
 	Labels Labels `json:"labels,omitempty" validate:"max=32,dive,keys,required,max=63,endkeys,max=63"`
-	// Drain takes the target out of service: no new work, open work ends.
+	// Drain takes the target out of service: it gets no new work and finishes its
+	// open work.
 	Drain bool `json:"drain,omitempty"`
 }
 
-// Record is one configured thing at a revision. Exactly one of Service and
-// Target is set, unless Deleted. Deletion keeps a tombstone, so that a late
-// copy cannot bring the record back.
+// Record is the configuration of a service or target at a revision. Exactly one
+// of Service and Target is set, unless Deleted. A deleted record stays as a
+// tombstone, so that a late copy cannot restore it.
 type Record struct {
 	Key      string   `json:"key"`
 	Revision Revision `json:"revision"`
@@ -110,36 +117,37 @@
 	Target  *Target  `json:"target,omitempty"`
 }
 
-// Bytes of JSON beside a record's texts, roughly.
+// Approximate sizes in JSON, in bytes, besides a record's strings.
 const (
-	// recordOverhead is for the names of fields and for numbers.
+	// recordOverhead is the size of the field names and numbers of a record.
 	recordOverhead = 200
-	// textOverhead is for the quotes, the comma and what has to be escaped in a text.
-	textOverhead = 6
+	// stringOverhead is the size of a string's quotes and separator, and of escapes.
+	stringOverhead = 6
 )
 
-// size is about how many bytes the record takes as JSON, without encoding it.
-func (r *Record) size() int {
+// jsonSize returns the approximate size of the record as JSON, in bytes, without
+// encoding it.
+func (r *Record) jsonSize() int {
 	n := recordOverhead + len(r.Key) + len(r.Change)
 	if r.Service != nil {
-		n += len(r.Service.Name) + len(r.Service.Address) + r.Service.Selector.size()
+		n += len(r.Service.Name) + len(r.Service.Address) + r.Service.Selector.jsonSize()
 		for _, a := range r.Service.Authorities {
-			n += textOverhead + len(a)
+			n += stringOverhead + len(a)
 		}
 		for m := range r.Service.Workspaces {
-			n += 2*textOverhead + len(m)
+			n += 2*stringOverhead + len(m)
 		}
 	}
 	if r.Target != nil {
-		n += len(r.Target.Host) + len(r.Target.Name) + r.Target.Labels.size()
+		n += len(r.Target.Host) + len(r.Target.Name) + r.Target.Labels.jsonSize()
 	}
 	return n
 }
 
-// size is about how many bytes the labels take as JSON.
-func (selector Labels) size() (n int) {
+// jsonSize returns the approximate size of the labels as JSON, in bytes.
+func (selector Labels) jsonSize() (n int) {
 	for k, v := range selector {
-		n += 2*textOverhead + len(k) + len(v)
+		n += 2*stringOverhead + len(k) + len(v)
 	}
 	return n
 }
@@ -163,12 +171,12 @@
 		return nil
 	case r.Service != nil && r.Target == nil:
 		if r.Key != ServiceKey(r.Service.Name) {
-			return errors.Errorf("key %q does not fit service %q", r.Key, r.Service.Name)
+			return errors.Errorf("key %q does not match service %q", r.Key, r.Service.Name)
 		}
 		return settings.Validate(r.Service)
 	case r.Target != nil && r.Service == nil:
 		if r.Key != TargetKey(r.Target.Host, r.Target.Name) {
-			return errors.Errorf("key %q does not fit target %q", r.Key, r.Target.Host)
+			return errors.Errorf("key %q does not match target %q", r.Key, r.Target.Host)
 		}
 		return settings.Validate(r.Target)
 	default:
@@ -189,16 +197,16 @@
 	return r, nil
 }
 
-// IsService tells whether the record's key is a service's.
+// IsService reports whether the record's key is that of a service.
 func (r *Record) IsService() bool { return strings.HasPrefix(r.Key, ServicePrefix) }
 
-// ForHost tells whether an agent of the host needs the record: every service,
-// and the host's own targets.
+// ForHost reports whether the agent of the host needs the record: it needs all
+// services, and the targets of its host.
 func (r *Record) ForHost(host string) bool {
 	return r.IsService() || strings.HasPrefix(r.Key, TargetPrefix+host+"/")
 }
 
-// SortByRevision orders records oldest change first.
+// SortByRevision sorts records by revision, then by key.
 func SortByRevision(records []Record) {
 	slices.SortFunc(records, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Key, b.Key))
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -15,38 +15,40 @@
 	return Record{Key: TargetKey(host, ""), Revision: rev, Target: &Target{Host: host, Labels: Labels{"rev": fmt.Sprint(rev)}}}
 }
 
-// TestNodesNeverRevert lets nodes trade updates late, twice, in any order and
-// from nodes that are themselves behind; the store's history is the oracle.
+// TestNodesNeverRevert exchanges updates between nodes, late, repeated, in any
+// order and from nodes that lag. No record may go back to an older revision, and
+// every change up to a node's revision in force must be on the node. The store's
+// history is the reference.
 func TestNodesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		written := map[Revision]string{} // the key of every change
 		store := NewState()
 		nodes := []*State{NewState(), NewState(), NewState()}
 		for _, n := range append(nodes, store) {
-			n.page = 3
+			n.maxPageRecords = 3
 		}
-		var late []Update
+		var delayed []Update
 		rev := Revision(0)
 		pick := func(t *rapid.T) *State { return rapid.SampledFrom(nodes).Draw(t, "node") }
-		check := func(n *State, before Revision, held map[string]Record) {
+		check := func(n *State, before Revision, previous map[string]Record) {
 			require.GreaterOrEqual(t, n.InForce(), before)
-			for key, r := range held {
+			for key, r := range previous {
 				require.GreaterOrEqual(t, n.records[key].Revision, r.Revision)
 			}
 			for r, key := range written {
 				if r <= n.InForce() {
-					require.GreaterOrEqual(t, n.records[key].Revision, r, "in force is claimed but %s is missing", key)
+					require.GreaterOrEqual(t, n.records[key].Revision, r, "the revision in force covers a change of %s that is missing", key)
 				}
 			}
 		}
 		apply := func(n *State, u Update) {
-			before, held := n.InForce(), map[string]Record{}
+			before, previous := n.InForce(), map[string]Record{}
 			for k, r := range n.records {
-				held[k] = r
+				previous[k] = r
 			}
 			_, err := n.Apply(u)
 			require.NoError(t, err)
-			check(n, before, held)
+			check(n, before, previous)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
@@ -62,21 +64,21 @@
 				from := rapid.SampledFrom(append(nodes, store)).Draw(t, "from")
 				to := pick(t)
 				if u := from.Since(to.Revision(), Everything); u != nil {
-					late = append(late, *u)
+					delayed = append(delayed, *u)
 					if rapid.Bool().Draw(t, "arrives") {
 						apply(to, *u)
 					}
 				}
 			},
 			"late": func(t *rapid.T) {
-				if len(late) > 0 {
-					apply(pick(t), rapid.SampledFrom(late).Draw(t, "update"))
+				if len(delayed) > 0 {
+					apply(pick(t), rapid.SampledFrom(delayed).Draw(t, "update"))
 				}
 			},
 			"restart": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(nodes)-1).Draw(t, "node")
 				nodes[i] = NewState()
-				nodes[i].page = 3
+				nodes[i].maxPageRecords = 3
 			},
 		})
 		for _, n := range nodes {
@@ -89,29 +91,29 @@
 	})
 }
 
-// TestLatePageClaimsNothing: found by fuzzing with a fresh seed. A page leaves
-// out a record that changed again after it; an older update that only mends the
-// rest must not make the page's revision count as in force.
-func TestLatePageClaimsNothing(t *testing.T) {
+// TestLatePageIsNotInForce: a page leaves out a record that changed again after it.
+// An older update with a lower horizon that arrives next must not raise the
+// revision in force to that of the page.
+func TestLatePageIsNotInForce(t *testing.T) {
 	n := NewState()
-	take := func(u Update) {
+	apply := func(u Update) {
 		_, err := n.Apply(u)
 		require.NoError(t, err)
 	}
-	take(Update{From: 0, To: 4, Horizon: 5, Records: []Record{record(1, 2), record(2, 3), record(3, 4)}}) // h0 changed at 1 and 5
-	take(Update{From: 3, To: 4, Horizon: 4, Records: []Record{record(3, 4)}})
+	apply(Update{From: 0, To: 4, Horizon: 5, Records: []Record{record(1, 2), record(2, 3), record(3, 4)}}) // h0 changed at 1 and 5
+	apply(Update{From: 3, To: 4, Horizon: 4, Records: []Record{record(3, 4)}})
 	require.Zero(t, n.InForce())
-	take(Update{From: 4, To: 5, Horizon: 5, Records: []Record{record(0, 5)}})
+	apply(Update{From: 4, To: 5, Horizon: 5, Records: []Record{record(0, 5)}})
 	require.Equal(t, Revision(5), n.InForce())
 }
 
-func TestSelectors(t *testing.T) {
-	require.False(t, Labels{}.Matches(Labels{"a": "1"}), "an empty selector takes no traffic")
+func TestSelectorMatchesEveryPair(t *testing.T) {
+	require.False(t, Labels{}.Matches(Labels{"a": "1"}), "an empty selector matches nothing")
 	require.True(t, Labels{"a": "1"}.Matches(Labels{"a": "1", "b": "2"}))
 	require.False(t, Labels{"a": "1", "c": ""}.Matches(Labels{"a": "1"}))
 }
 
-func TestTargetOverlay(t *testing.T) {
+func TestEffectiveTargetMergesLabels(t *testing.T) {
 	s := NewState()
 	_, err := s.Apply(Update{To: 3, Records: []Record{
 		{Key: TargetKey("h", ""), Revision: 1, Target: &Target{Host: "h", Labels: Labels{"x": "host", "y": "host"}, Drain: true}},
@@ -119,7 +121,7 @@
 	}})
 	require.NoError(t, err)
 	got := s.Target("h", "t", Labels{"x": "own", "z": "own"})
-	require.Equal(t, Effective{Labels: Labels{"x": "host", "y": "target", "z": "own"}, Drain: true}, got)
+	require.Equal(t, EffectiveTarget{Labels: Labels{"x": "host", "y": "target", "z": "own"}, Drain: true}, got)
 }
 
 func TestRecordsAreValidated(t *testing.T) {
@@ -153,19 +155,19 @@
 		_, err := s.Apply(Update{From: rev - 1, To: rev, Records: []Record{record(0, rev)}})
 		require.NoError(t, err)
 	}
-	require.LessOrEqual(t, len(s.order), MaxPage+3)
+	require.LessOrEqual(t, len(s.changeLog), MaxPage+3)
 }
 
-// TestPagesAreBoundedByTheirBytes: no page of valid records is much larger, however
-// large the records are, but for one change that alone is.
-func TestPagesAreBoundedByTheirBytes(t *testing.T) {
+// TestPagesAreBoundedInBytes checks that no page of valid records is much larger
+// than MaxPageBytes, unless a single change is.
+func TestPagesAreBoundedInBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := NewState()
 		changes := rapid.IntRange(1, 40).Draw(t, "changes")
 		largest := 0
 		for rev := Revision(1); rev <= Revision(changes); rev++ {
 			var records []Record
-			changed := 0
+			changeBytes := 0
 			for i := range rapid.IntRange(1, 3).Draw(t, "records") {
 				labels := Labels{}
 				for l := range rapid.IntRange(0, MaxLabels).Draw(t, "labels") {
@@ -175,10 +177,10 @@
 				r := Record{Key: TargetKey(host, ""), Revision: rev, Target: &Target{Host: host, Labels: labels}}
 				raw, err := json.Marshal(r)
 				require.NoError(t, err)
-				require.InDelta(t, len(raw), r.size(), recordOverhead+0.1*float64(len(raw)))
-				records, changed = append(records, r), changed+len(raw)
+				require.InDelta(t, len(raw), r.jsonSize(), recordOverhead+0.1*float64(len(raw)))
+				records, changeBytes = append(records, r), changeBytes+len(raw)
 			}
-			largest = max(largest, changed)
+			largest = max(largest, changeBytes)
 			_, err := state.Apply(Update{From: rev - 1, To: rev, Horizon: rev, Records: records})
 			require.NoError(t, err)
 		}
