--- a/change/builder.go
+++ b/change/builder.go
@@ -11,18 +11,19 @@
 	"github.com/poppywall/poppywall/store"
 )
 
-// transaction reads what the change depends on and builds the swap.
+// transaction reads the records that the change depends on and builds its
+// transaction.
 func (a *Applier) transaction(ctx context.Context, id string, doc Document) (store.Txn, error) {
 	b := &builder{ctx: ctx, store: a.store, id: id}
 	marker := Marker{ID: id, Author: a.opts.Author, At: a.opts.Now()}
 	for i := range doc.Items {
-		key, err := b.item(&doc.Items[i])
+		key, err := b.addItem(&doc.Items[i])
 		if err != nil {
 			return store.Txn{}, err
 		}
 		marker.Keys = append(marker.Keys, key)
 	}
-	if err := b.finish(); err != nil {
+	if err := b.finishTxn(); err != nil {
 		return store.Txn{}, err
 	}
 	value, err := json.Marshal(marker)
@@ -39,15 +40,16 @@
 	return b.txn, nil
 }
 
-// builder collects the compares and puts of one transaction.
+// builder builds the compares and puts of one transaction.
 type builder struct {
 	ctx   context.Context
 	store store.Store
 	id    string
 	txn   store.Txn
-	// counter is the service ID counter once it was read; next is its value.
-	counter *store.KV
-	next    int
+	// counterKV is the stored service ID counter, nil until it is read.
+	// lastServiceID is its value, counting IDs assigned in this transaction.
+	counterKV     *store.KV
+	lastServiceID int
 }
 
 func (b *builder) read(key string) (store.KV, bool, error) {
@@ -58,23 +60,25 @@
 	return resp.KVs[0], true, nil
 }
 
-func (b *builder) swap(key string, modRevision int64, value []byte) {
+// compareAndPut adds a write of key that requires its current modification revision.
+func (b *builder) compareAndPut(key string, modRevision int64, value []byte) {
 	b.txn.Compares = append(b.txn.Compares, store.Compare{Key: key, Field: store.ModRevision, Equal: modRevision})
 	b.txn.Puts = append(b.txn.Puts, store.Put{Key: key, Value: value})
 }
 
-func (b *builder) item(it *Item) (string, error) {
+// addItem adds an item to the transaction and returns the key of its record.
+func (b *builder) addItem(it *Item) (string, error) {
 	key, err := it.Key()
 	if err != nil {
 		return "", err
 	}
-	stored := feed.CatalogPrefix + key
-	kv, found, err := b.read(stored)
+	storeKey := feed.CatalogPrefix + key
+	kv, found, err := b.read(storeKey)
 	if err != nil {
 		return "", err
 	}
 	if it.Revision != nil && catalog.Revision(kv.ModRevision) != *it.Revision {
-		return "", &conflict{key + " is at revision " + strconv.FormatInt(kv.ModRevision, 10)}
+		return "", &conflictError{key + " is at revision " + strconv.FormatInt(kv.ModRevision, 10)}
 	}
 	var old catalog.Record
 	if found {
@@ -83,28 +87,28 @@
 		}
 	}
 	rec := catalog.Record{Key: key, Change: b.id, Deleted: it.Delete, Service: it.Service, Target: it.Target}
-	if err := b.complete(&rec, &old); err != nil {
+	if err := b.completeService(&rec, &old); err != nil {
 		return "", err
 	}
 	value, err := json.Marshal(rec)
 	if err != nil {
 		return "", err
 	}
-	b.swap(stored, kv.ModRevision, value)
+	b.compareAndPut(storeKey, kv.ModRevision, value)
 	return key, nil
 }
 
-// complete fills in what the tool decides: a service's ID and its claim of the
-// address. A tombstone keeps the ID, so that a service made again under the
-// same name never takes flows of the former one: it gets a new ID.
-func (b *builder) complete(rec, old *catalog.Record) error {
+// completeService sets what the operator does not provide for a service: its ID and
+// the claim of its address. A service created again under the name of a deleted one
+// gets a new ID, so that it never gets flows of the former service.
+func (b *builder) completeService(rec, old *catalog.Record) error {
 	if !rec.IsService() {
 		return nil
 	}
 	if rec.Deleted {
 		rec.Service = nil
 		if old.Service != nil {
-			return b.release(old.Service)
+			return b.releaseAddress(old.Service)
 		}
 		return nil
 	}
@@ -116,69 +120,72 @@
 		return err
 	}
 	if old.Service != nil && !old.Deleted && old.Service.Address != svc.Address {
-		if err := b.release(old.Service); err != nil {
+		if err := b.releaseAddress(old.Service); err != nil {
 			return err
 		}
 	}
-	return b.claim(&svc)
+	return b.claimAddress(&svc)
 }
 
-// assignID takes the next service ID; IDs are never reused.
+// assignID assigns the next service ID. IDs are never reused.
 func (b *builder) assignID(s *catalog.Service) error {
-	if b.counter == nil {
+	if b.counterKV == nil {
 		kv, _, err := b.read(feed.CounterKey)
 		if err != nil {
 			return err
 		}
-		b.counter = &kv
-		b.next, _ = strconv.Atoi(string(kv.Value))
+		b.counterKV = &kv
+		b.lastServiceID, _ = strconv.Atoi(string(kv.Value))
 	}
-	b.next++
-	if b.next > maxServices {
-		return &conflict{"all service IDs are used up"}
+	b.lastServiceID++
+	if b.lastServiceID > maxServiceID {
+		return &conflictError{"all service IDs are used up"}
 	}
-	s.ID = route.ServiceID(b.next)
+	s.ID = route.ServiceID(b.lastServiceID)
 	return nil
 }
 
 func claimKey(address string) string { return feed.ClaimPrefix + address }
 
-// claim makes the address the service's own.
-func (b *builder) claim(s *catalog.Service) error {
+// claimAddress reserves the address for the service. It fails if the address belongs
+// to another service.
+func (b *builder) claimAddress(s *catalog.Service) error {
 	kv, _, err := b.read(claimKey(s.Address))
 	if err != nil {
 		return err
 	}
 	if owner := string(kv.Value); owner != "" && owner != s.Name {
-		return &conflict{"field \"address\": " + s.Address + " belongs to service " + owner}
+		return &conflictError{"field \"address\": " + s.Address + " belongs to service " + owner}
 	}
-	b.swap(claimKey(s.Address), kv.ModRevision, []byte(s.Name))
+	b.compareAndPut(claimKey(s.Address), kv.ModRevision, []byte(s.Name))
 	return nil
 }
 
-func (b *builder) release(s *catalog.Service) error {
+// releaseAddress clears the claim of the service's address, if the service holds it.
+func (b *builder) releaseAddress(s *catalog.Service) error {
 	kv, found, err := b.read(claimKey(s.Address))
 	if err != nil || !found || string(kv.Value) != s.Name {
 		return err
 	}
-	b.swap(claimKey(s.Address), kv.ModRevision, nil)
+	b.compareAndPut(claimKey(s.Address), kv.ModRevision, nil)
 	return nil
 }
 
-func (b *builder) finish() error {
-	if b.counter != nil {
-		b.swap(feed.CounterKey, b.counter.ModRevision, []byte(strconv.Itoa(b.next)))
+// finishTxn adds the update of the service ID counter and checks the transaction.
+func (b *builder) finishTxn() error {
+	if b.counterKV != nil {
+		b.compareAndPut(feed.CounterKey, b.counterKV.ModRevision, []byte(strconv.Itoa(b.lastServiceID)))
 	}
-	return b.noDoubles()
+	return b.rejectDuplicateKeys()
 }
 
-// noDoubles refuses a change that writes one key twice, as when two services of
-// one change trade addresses: the platform would refuse the transaction.
-func (b *builder) noDoubles() error {
+// rejectDuplicateKeys rejects a change that writes a key twice, for example when two
+// services swap addresses in one change: the platform would reject the transaction.
+func (b *builder) rejectDuplicateKeys() error {
 	seen := map[string]bool{}
 	for _, p := range b.txn.Puts {
 		if seen[p.Key] {
-			return &conflict{"the change uses " + p.Key + " twice; make it in two changes"}
+			return &conflictError{"the change uses " + p.Key + " twice; make it in two changes"}
 		}
 		seen[p.Key] = true
 	}
--- a/change/change.go
+++ b/change/change.go
@@ -15,19 +15,20 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// Outcome is what became of a change.
+// Outcome is whether a change was stored, as far as that is known.
 type Outcome uint8
 
+// The outcomes of a change.
 const (
-	// Unknown means that the platform could not be asked.
+	// Unknown means that the platform could not be reached to find out.
 	Unknown Outcome = iota
-	// Accepted means that the change is stored and comes into force.
+	// Accepted means that the change is stored and will come into force.
 	Accepted
-	// Rejected means that the change has not and never will be stored.
+	// Rejected means that the change is not stored and never will be.
 	Rejected
 )
 
-// String returns the outcome as operators read it.
+// String returns the outcome as shown to operators.
 func (o Outcome) String() string {
 	switch o {
 	case Accepted:
@@ -41,24 +42,26 @@
 
 // Limits of a change.
 const (
-	// MaxRecords keeps a change within one transaction of the platform.
+	// MaxRecords is the maximum number of records in a change, so that it fits into
+	// one transaction of the platform.
 	MaxRecords = 40
-	// attempts bounds the tries against racing operators.
-	attempts = 8
-	// markerTTL is how long history is kept.
+	// maxAttempts is the maximum number of attempts when other operators change the
+	// same records concurrently.
+	maxAttempts = 8
+	// markerTTL is how long markers, and so the history of changes, are kept.
 	markerTTL = 24 * time.Hour
-	// maxServices bounds service IDs; zero is not used.
-	maxServices = 1<<16 - 1
+	// maxServiceID is the highest service ID; zero is not used.
+	maxServiceID = 1<<16 - 1
 )
 
 // Item is one record to set or delete.
 type Item struct {
 	Service *catalog.Service `json:"service,omitempty"`
 	Target  *catalog.Target  `json:"target,omitempty"`
-	// Delete removes the record; of Service or Target only the name counts.
+	// Delete removes the record; only the name in Service or Target is used.
 	Delete bool `json:"delete,omitempty"`
-	// Revision, when given, must be the record's current one: the operator's
-	// picture is checked, not just the instant of writing.
+	// Revision, if set, must be the record's current revision. This also detects
+	// changes between the operator's read and this change.
 	Revision *catalog.Revision `json:"revision,omitempty"`
 }
 
@@ -70,16 +73,16 @@
 	case it.Target != nil && it.Service == nil:
 		return catalog.TargetKey(it.Target.Host, it.Target.Name), nil
 	default:
-		return "", errors.New("an item holds either \"service\" or \"target\"")
+		return "", errors.New("an item must have either \"service\" or \"target\"")
 	}
 }
 
-// Document is a set of items that change together.
+// Document is a set of items that are changed atomically.
 type Document struct {
 	Items []Item `json:"items" validate:"required,min=1,max=40,dive"`
 }
 
-// Validate checks every item without asking the platform.
+// Validate checks every item without access to the platform.
 func (d *Document) Validate() error {
 	if len(d.Items) == 0 {
 		return errors.New("field \"items\": a change needs at least one item")
@@ -96,7 +99,7 @@
 	return d.validateSize()
 }
 
-// validateSize keeps a change within what nodes send each other in one message.
+// validateSize rejects a change that is too large for one message between nodes.
 func (d *Document) validateSize() error {
 	encoded, err := json.Marshal(d.Items)
 	if err != nil {
@@ -126,17 +129,19 @@
 	return settings.Validate(it.Target)
 }
 
-// Marker is what a change leaves under its ID.
+// Marker is stored under the ID of a change. It proves that the change was accepted
+// or, with Fenced, that it never will be.
 type Marker struct {
 	ID     string    `json:"id"`
 	Author string    `json:"author"`
 	At     time.Time `json:"at"`
 	Keys   []string  `json:"keys"`
-	// Fenced tells that the change was stopped, not accepted.
+	// Fenced is set if the marker is a fence: the change is rejected.
 	Fenced bool `json:"fenced,omitempty"`
 }
 
-// Result tells what became of a change.
+// Result is the outcome of a change, with its revision if accepted and the reason
+// otherwise.
 type Result struct {
 	ID       string           `json:"id"`
 	Outcome  Outcome          `json:"-"`
@@ -149,20 +154,21 @@
 	return Result{ID: id, Outcome: o, Text: o.String(), Revision: rev, Reason: reason}
 }
 
-// Options are what an applier takes from its surroundings.
+// Options are the dependencies of an Applier.
 type Options struct {
 	Author string
 	Now    func() time.Time
-	// NewID makes IDs that never repeat.
+	// NewID returns a unique change ID.
 	NewID func() string
-	// Sleep waits and tells whether to go on; nil waits for real.
+	// Sleep waits and reports whether to go on. By default it waits for the
+	// duration or the end of the context, after which it returns false.
 	Sleep func(context.Context, time.Duration) bool
 }
 
-// firstPause is the first wait between tries.
-const firstPause = 20 * time.Millisecond
+// initialBackoff is the first wait between attempts.
+const initialBackoff = 20 * time.Millisecond
 
-// Applier makes changes.
+// Applier applies changes to the store.
 type Applier struct {
 	store store.Store
 	opts  Options
@@ -176,35 +182,36 @@
 	return &Applier{store: kv, opts: opts}
 }
 
-// conflict is a failed precondition, final for this change.
-type conflict struct{ reason string }
+// conflictError is a failed precondition. It is final unless the document is built
+// again.
+type conflictError struct{ reason string }
 
 // Error implements error.
-func (c *conflict) Error() string { return c.reason }
+func (c *conflictError) Error() string { return c.reason }
 
-// Apply makes the change and tells its outcome.
+// Apply applies the change and returns its outcome.
 func (a *Applier) Apply(ctx context.Context, doc Document) Result {
-	return a.run(ctx, func(context.Context) (Document, error) { return doc, nil }, false)
+	return a.applyWithRetries(ctx, func(context.Context) (Document, error) { return doc, nil }, false)
 }
 
-// Edit makes a change that depends on what is stored: build is called anew
-// when another operator was faster.
+// Edit applies a change that depends on the stored configuration. build is called
+// again for each attempt if another operator changed the records concurrently.
 func (a *Applier) Edit(ctx context.Context, build func(context.Context) (Document, error)) Result {
-	return a.run(ctx, build, true)
+	return a.applyWithRetries(ctx, build, true)
 }
 
-// run tries until the change is accepted or refused for good. A conflict with
-// the revision of an item is final when the operator stated it, and a reason to
-// build anew when build did.
-func (a *Applier) run(ctx context.Context, build func(context.Context) (Document, error), rebuild bool) Result {
+// applyWithRetries makes attempts until the change is accepted or finally rejected. A
+// conflict with the revision of an item is final if the operator set that revision,
+// and retried if build did (rebuild).
+func (a *Applier) applyWithRetries(ctx context.Context, build func(context.Context) (Document, error), rebuild bool) Result {
 	var last Result
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = firstPause
-	for range attempts {
+	wait.InitialInterval = initialBackoff
+	for range maxAttempts {
 		id := a.opts.NewID()
-		var again bool
-		last, again = a.try(ctx, id, build, rebuild)
-		if !again {
+		var retry bool
+		last, retry = a.attempt(ctx, id, build, rebuild)
+		if !retry {
 			return last
 		}
 		if !a.opts.Sleep(ctx, wait.NextBackOff()) {
@@ -224,9 +231,9 @@
 	}
 }
 
-// try runs one attempt under an ID of its own and tells whether another may
-// follow.
-func (a *Applier) try(ctx context.Context, id string, build func(context.Context) (Document, error), rebuild bool) (Result, bool) {
+// attempt makes one attempt under an ID of its own and reports whether it may be
+// retried.
+func (a *Applier) attempt(ctx context.Context, id string, build func(context.Context) (Document, error), rebuild bool) (Result, bool) {
 	doc, err := build(ctx)
 	if err != nil {
 		return result(id, Rejected, 0, err.Error()), false
@@ -236,8 +243,8 @@
 	}
 	txn, err := a.transaction(ctx, id, doc)
 	if err != nil {
-		// Nothing was written yet, whatever failed.
-		var c *conflict
+		// Nothing of the change has been written at this point.
+		var c *conflictError
 		return result(id, Rejected, 0, err.Error()), rebuild && errors.As(err, &c)
 	}
 	resp, err := a.store.Txn(ctx, txn)
@@ -253,11 +260,11 @@
 	}
 }
 
-// Resolve tells what became of a change whose answer was lost. It asks until
-// it knows or ctx ends.
+// Resolve returns the outcome of a change whose response was lost. It retries until
+// the outcome is known or ctx ends.
 func (a *Applier) Resolve(ctx context.Context, id string) Result {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = firstPause
+	wait.InitialInterval = initialBackoff
 	for {
 		res, err := a.resolveOnce(ctx, id)
 		if err == nil {
@@ -270,7 +277,8 @@
 }
 
 func (a *Applier) resolveOnce(ctx context.Context, id string) (Result, error) {
-	// The fence and the change exclude each other: both need the marker absent.
+	// The fence and the change exclude each other: both require that the marker
+	// does not exist.
 	fence, err := json.Marshal(Marker{ID: id, Author: a.opts.Author, At: a.opts.Now(), Fenced: true})
 	if err != nil {
 		return Result{}, err
@@ -299,7 +307,7 @@
 		return Result{}, err
 	}
 	if len(resp.KVs) == 0 {
-		return Result{}, errors.New("marker not readable yet")
+		return Result{}, errors.New("the marker of the change cannot be read yet")
 	}
 	var m Marker
 	if err := json.Unmarshal(resp.KVs[0].Value, &m); err != nil {
--- a/change/change_test.go
+++ b/change/change_test.go
@@ -17,13 +17,14 @@
 
 var t0 = time.Unix(1_700_000_000, 0)
 
-// racing lets other operators act just before a call reaches the store.
-type racing struct {
+// racingStore calls before once, just before the next transaction reaches the store,
+// to simulate a concurrent change by another operator.
+type racingStore struct {
 	*standin.Store
 	before func()
 }
 
-func (r *racing) Txn(ctx context.Context, txn store.Txn) (store.TxnResponse, error) {
+func (r *racingStore) Txn(ctx context.Context, txn store.Txn) (store.TxnResponse, error) {
 	if f := r.before; f != nil {
 		r.before = nil
 		f()
@@ -31,29 +32,29 @@
 	return r.Store.Txn(ctx, txn)
 }
 
-// world is a store, operators and the oracle: what was said of each change.
-type world struct {
+// testEnv is a store with appliers, and the outcome reported for each change.
+type testEnv struct {
 	store    *standin.Store
 	now      time.Time
-	ids      int
+	lastID   int
 	outcomes map[string]Result
 	keys     map[string][]string
-	// onSleep happens while an applier waits.
+	// onSleep is called while an applier waits between attempts.
 	onSleep func()
 }
 
-func newWorld() *world {
-	w := &world{now: t0, outcomes: map[string]Result{}, keys: map[string][]string{}}
+func newTestEnv() *testEnv {
+	w := &testEnv{now: t0, outcomes: map[string]Result{}, keys: map[string][]string{}}
 	w.store = standin.NewStore(func() time.Time { return w.now })
 	return w
 }
 
-func (w *world) applier(s store.Store) *Applier {
+func (w *testEnv) applier(s store.Store) *Applier {
 	tries := 0
 	return NewApplier(s, Options{
 		Author: "tester",
 		Now:    func() time.Time { return w.now },
-		NewID:  func() string { w.ids++; return fmt.Sprint("change-", w.ids) },
+		NewID:  func() string { w.lastID++; return fmt.Sprint("change-", w.lastID) },
 		Sleep: func(context.Context, time.Duration) bool {
 			if w.onSleep != nil {
 				w.onSleep()
@@ -64,14 +65,14 @@
 	})
 }
 
-func (w *world) apply(s store.Store, doc Document) Result {
+func (w *testEnv) apply(s store.Store, doc Document) Result {
 	res := w.applier(s).Apply(context.Background(), doc)
 	w.outcomes[res.ID] = res
 	return res
 }
 
-// stored returns which change wrote each record last.
-func (w *world) stored(t require.TestingT) map[string]catalog.Record {
+// stored clears the faults of the store and returns its records by key.
+func (w *testEnv) stored(t require.TestingT) map[string]catalog.Record {
 	w.store.SetFaults(standin.Faults{})
 	state, err := Current(context.Background(), w.store)
 	require.NoError(t, err)
@@ -90,15 +91,16 @@
 	return Item{Service: &catalog.Service{Name: name, Address: address, Selector: catalog.Labels{"s": name}}}
 }
 
-// TestOutcomesAreTrue races operators against a platform that loses answers,
-// loses requests, goes down and serves stale reads. What was called accepted
-// is stored and never reverts; what was called rejected never shows.
-func TestOutcomesAreTrue(t *testing.T) {
+// TestOutcomesMatchStore applies concurrent changes to a platform that loses
+// responses, loses requests, goes down and serves stale reads. A change reported as
+// accepted must be stored and never revert; one reported as rejected must never be
+// stored.
+func TestOutcomesMatchStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newTestEnv()
 		accepted := map[string]Result{} // latest accepted change of each key
 		seen := map[string]catalog.Revision{}
-		note := func(key string, res Result) {
+		recordAccepted := func(key string, res Result) {
 			if res.Outcome == Accepted && res.Revision > accepted[key].Revision {
 				accepted[key] = res
 			}
@@ -106,10 +108,10 @@
 		change := func(t *rapid.T, s store.Store, label string) {
 			host := rapid.IntRange(0, 2).Draw(t, label)
 			res := w.apply(s, Document{Items: []Item{targetItem(host, rapid.Bool().Draw(t, "drain"))}})
-			note(catalog.TargetKey(fmt.Sprint("h", host), ""), res)
+			recordAccepted(catalog.TargetKey(fmt.Sprint("h", host), ""), res)
 		}
 		check := func() {
-			faulty := w.store.Faults()
+			faults := w.store.Faults()
 			for key, r := range w.stored(t) {
 				require.GreaterOrEqual(t, r.Revision, seen[key], "%s reverted", key)
 				seen[key] = r.Revision
@@ -118,7 +120,7 @@
 			for key, res := range accepted {
 				require.GreaterOrEqual(t, seen[key], res.Revision, "an accepted change is missing")
 			}
-			w.store.SetFaults(faulty)
+			w.store.SetFaults(faults)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(*rapid.T) { check() },
@@ -136,7 +138,7 @@
 				change(t, w.store, "host")
 			},
 			"race": func(t *rapid.T) {
-				r := &racing{Store: w.store}
+				r := &racingStore{Store: w.store}
 				r.before = func() { change(t, w.store, "other") }
 				change(t, r, "host")
 			},
@@ -144,7 +146,7 @@
 	})
 }
 
-func TestLostAnswerIsResolved(t *testing.T) {
+func TestLostResponseIsResolved(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults standin.Faults
@@ -154,30 +156,30 @@
 		{"request lost", standin.Faults{LoseRequests: 1}, Rejected},
 		{"down before", standin.Faults{Down: true}, Rejected},
 	} {
-		w := newWorld()
+		w := newTestEnv()
 		w.store.SetFaults(c.faults)
 		require.Equal(t, c.want, w.apply(w.store, Document{Items: []Item{targetItem(1, true)}}).Outcome, c.name)
 	}
-	w := newWorld()
+	w := newTestEnv()
 	w.store.SetFaults(standin.Faults{LoseAnswers: 1})
-	r := &racing{Store: w.store}
+	r := &racingStore{Store: w.store}
 	w.onSleep = func() {}
-	down := &downAfterTxn{r}
-	require.Equal(t, Unknown, w.apply(down, Document{Items: []Item{targetItem(1, true)}}).Outcome, "never guessed")
+	down := &outageAfterTxn{r}
+	require.Equal(t, Unknown, w.apply(down, Document{Items: []Item{targetItem(1, true)}}).Outcome, "the outcome cannot be known")
 }
 
-// downAfterTxn is a platform that goes down as it loses the answer.
-type downAfterTxn struct{ *racing }
+// outageAfterTxn is a platform that goes down when it loses the response.
+type outageAfterTxn struct{ *racingStore }
 
-func (d *downAfterTxn) Txn(ctx context.Context, txn store.Txn) (store.TxnResponse, error) {
-	resp, err := d.racing.Txn(ctx, txn)
+func (d *outageAfterTxn) Txn(ctx context.Context, txn store.Txn) (store.TxnResponse, error) {
+	resp, err := d.racingStore.Txn(ctx, txn)
 	d.SetFaults(standin.Faults{Down: true})
 	return resp, err
 }
 
 func TestServiceIDsAndAddressesAreNeverShared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newTestEnv()
 		names, addresses := []string{"a", "b", "c"}, []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}
 		t.Repeat(map[string]func(*rapid.T){
 			"set": func(t *rapid.T) {
@@ -205,7 +207,7 @@
 }
 
 func TestRecreatedServiceGetsANewID(t *testing.T) {
-	w := newWorld()
+	w := newTestEnv()
 	item := serviceItem("a", "127.0.0.1:1")
 	require.Equal(t, Accepted, w.apply(w.store, Document{Items: []Item{item}}).Outcome)
 	first := w.stored(t)[catalog.ServiceKey("a")].Service.ID
@@ -216,19 +218,19 @@
 	require.NotEqual(t, first, w.stored(t)[catalog.ServiceKey("a")].Service.ID)
 }
 
-func TestConflictingPictureIsRejected(t *testing.T) {
-	w := newWorld()
+func TestStaleItemRevisionIsRejected(t *testing.T) {
+	w := newTestEnv()
 	res := w.apply(w.store, Document{Items: []Item{targetItem(1, true)}})
 	stale := targetItem(1, false)
-	before := catalog.Revision(0)
-	stale.Revision = &before
+	outdated := catalog.Revision(0)
+	stale.Revision = &outdated
 	require.Equal(t, Rejected, w.apply(w.store, Document{Items: []Item{stale}}).Outcome)
 	stale.Revision = &res.Revision
 	require.Equal(t, Accepted, w.apply(w.store, Document{Items: []Item{stale}}).Outcome)
 }
 
 func TestEditKeepsBothOperatorsLabels(t *testing.T) {
-	w := newWorld()
+	w := newTestEnv()
 	set := func(s store.Store, key string) Result {
 		return w.applier(s).Edit(context.Background(), EditTarget(s, "h", "t", func(target *catalog.Target) {
 			labels := catalog.Labels{key: "1"}
@@ -238,7 +240,7 @@
 			target.Labels = labels
 		}))
 	}
-	r := &racing{Store: w.store}
+	r := &racingStore{Store: w.store}
 	r.before = func() { require.Equal(t, Accepted, set(w.store, "y").Outcome) }
 	res := set(r, "x")
 	require.Equal(t, Accepted, res.Outcome, res.Reason)
@@ -261,9 +263,10 @@
 	}
 }
 
-// TestOneBadRecordDoesNotHoldUpTheOthers feeds a record that no tool wrote.
-func TestOneBadRecordDoesNotHoldUpTheOthers(t *testing.T) {
-	w := newWorld()
+// TestMalformedRecordIsSkipped reads a store with a record that is not valid JSON. The
+// other records must still be read.
+func TestMalformedRecordIsSkipped(t *testing.T) {
+	w := newTestEnv()
 	_, err := w.store.Txn(context.Background(), store.Txn{Puts: []store.Put{
 		{Key: feed.CatalogPrefix + "services/x", Value: []byte("{")},
 	}})
@@ -275,8 +278,9 @@
 	require.Len(t, res.Update.Records, 1)
 }
 
-// TestAChangeThatNoMessageHoldsIsRefused: it would be accepted and never in force.
-func TestAChangeThatNoMessageHoldsIsRefused(t *testing.T) {
+// TestOversizedChangeIsRejected: a change that is too large for one message between
+// nodes would be accepted but never come into force.
+func TestOversizedChangeIsRejected(t *testing.T) {
 	service := func(authorities int) Document {
 		s := &catalog.Service{Name: "large", Address: "10.0.0.1:443", Selector: catalog.Labels{"app": "a"}}
 		for n := range authorities {
--- a/change/history.go
+++ b/change/history.go
@@ -11,13 +11,14 @@
 	"github.com/poppywall/poppywall/store"
 )
 
-// Entry is one line of history.
+// Entry is an accepted or fenced change in the history.
 type Entry struct {
 	Marker
 	Revision catalog.Revision `json:"revision"`
 }
 
-// History returns the changes of the last day, oldest first.
+// History returns the changes of the last day, oldest first; markers expire after
+// that (markerTTL).
 func History(ctx context.Context, kv store.Store) ([]Entry, error) {
 	var out []Entry
 	req := store.RangeRequest{Key: feed.ChangePrefix, End: store.PrefixEnd(feed.ChangePrefix)}
@@ -44,8 +45,8 @@
 	return state, err
 }
 
-// EditTarget returns a builder for Edit that changes one target's record; a
-// missing record starts empty.
+// EditTarget returns a build function for Applier.Edit that changes one target's
+// record. If there is none, edit gets an empty one.
 func EditTarget(kv store.Store, host, name string, edit func(*catalog.Target)) func(context.Context) (Document, error) {
 	return func(ctx context.Context) (Document, error) {
 		key := catalog.TargetKey(host, name)
