--- a/change/change_test.go
+++ b/change/change_test.go
@@ -44,20 +44,20 @@
 }
 
 func newTestEnv() *testEnv {
-	w := &testEnv{now: t0, outcomes: map[string]Result{}, keys: map[string][]string{}}
-	w.store = standin.NewStore(func() time.Time { return w.now })
-	return w
+	env := &testEnv{now: t0, outcomes: map[string]Result{}, keys: map[string][]string{}}
+	env.store = standin.NewStore(func() time.Time { return env.now })
+	return env
 }
 
-func (w *testEnv) applier(s store.Store) *Applier {
+func (env *testEnv) applier(s store.Store) *Applier {
 	tries := 0
 	return NewApplier(s, Options{
 		Author: "tester",
-		Now:    func() time.Time { return w.now },
-		NewID:  func() string { w.lastID++; return fmt.Sprint("change-", w.lastID) },
+		Now:    func() time.Time { return env.now },
+		NewID:  func() string { env.lastID++; return fmt.Sprint("change-", env.lastID) },
 		Sleep: func(context.Context, time.Duration) bool {
-			if w.onSleep != nil {
-				w.onSleep()
+			if env.onSleep != nil {
+				env.onSleep()
 			}
 			tries++
 			return tries < 20
@@ -65,16 +65,16 @@
 	})
 }
 
-func (w *testEnv) apply(s store.Store, doc Document) Result {
-	res := w.applier(s).Apply(context.Background(), doc)
-	w.outcomes[res.ID] = res
+func (env *testEnv) apply(s store.Store, doc Document) Result {
+	res := env.applier(s).Apply(context.Background(), doc)
+	env.outcomes[res.ID] = res
 	return res
 }
 
 // stored clears the faults of the store and returns its records by key.
-func (w *testEnv) stored(t require.TestingT) map[string]catalog.Record {
-	w.store.SetFaults(standin.Faults{})
-	state, err := Current(context.Background(), w.store)
+func (env *testEnv) stored(t require.TestingT) map[string]catalog.Record {
+	env.store.SetFaults(standin.Faults{})
+	state, err := Current(context.Background(), env.store)
 	require.NoError(t, err)
 	out := map[string]catalog.Record{}
 	for _, r := range state.Records(catalog.Everything) {
@@ -97,7 +97,7 @@
 // stored.
 func TestOutcomesMatchStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTestEnv()
+		env := newTestEnv()
 		accepted := map[string]Result{} // latest accepted change of each key
 		seen := map[string]catalog.Revision{}
 		recordAccepted := func(key string, res Result) {
@@ -107,39 +107,39 @@
 		}
 		change := func(t *rapid.T, s store.Store, label string) {
 			host := rapid.IntRange(0, 2).Draw(t, label)
-			res := w.apply(s, Document{Items: []Item{targetItem(host, rapid.Bool().Draw(t, "drain"))}})
+			res := env.apply(s, Document{Items: []Item{targetItem(host, rapid.Bool().Draw(t, "drain"))}})
 			recordAccepted(catalog.TargetKey(fmt.Sprint("h", host), ""), res)
 		}
 		check := func() {
-			faults := w.store.Faults()
-			for key, r := range w.stored(t) {
+			faults := env.store.Faults()
+			for key, r := range env.stored(t) {
 				require.GreaterOrEqual(t, r.Revision, seen[key], "%s reverted", key)
 				seen[key] = r.Revision
-				require.NotEqual(t, Rejected, w.outcomes[r.Change].Outcome, "a rejected change is stored")
+				require.NotEqual(t, Rejected, env.outcomes[r.Change].Outcome, "a rejected change is stored")
 			}
 			for key, res := range accepted {
 				require.GreaterOrEqual(t, seen[key], res.Revision, "an accepted change is missing")
 			}
-			w.store.SetFaults(faults)
+			env.store.SetFaults(faults)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(*rapid.T) { check() },
 			"faults": func(t *rapid.T) {
-				w.store.SetFaults(standin.Faults{
+				env.store.SetFaults(standin.Faults{
 					Down:         rapid.Bool().Draw(t, "down"),
 					LoseAnswers:  rapid.IntRange(0, 3).Draw(t, "answers"),
 					LoseRequests: rapid.IntRange(0, 2).Draw(t, "requests"),
 					StaleBy:      int64(rapid.IntRange(0, 3).Draw(t, "stale")),
 				})
 			},
-			"heal":  func(*rapid.T) { w.store.SetFaults(standin.Faults{}) },
-			"lapse": func(*rapid.T) { w.store.LapseLeases() },
+			"heal":  func(*rapid.T) { env.store.SetFaults(standin.Faults{}) },
+			"lapse": func(*rapid.T) { env.store.LapseLeases() },
 			"change": func(t *rapid.T) {
-				change(t, w.store, "host")
+				change(t, env.store, "host")
 			},
 			"race": func(t *rapid.T) {
-				r := &racingStore{Store: w.store}
-				r.before = func() { change(t, w.store, "other") }
+				r := &racingStore{Store: env.store}
+				r.before = func() { change(t, env.store, "other") }
 				change(t, r, "host")
 			},
 		})
@@ -156,45 +156,45 @@
 		{"request lost", standin.Faults{LoseRequests: 1}, Rejected},
 		{"down before", standin.Faults{Down: true}, Rejected},
 	} {
-		w := newTestEnv()
-		w.store.SetFaults(c.faults)
-		require.Equal(t, c.want, w.apply(w.store, Document{Items: []Item{targetItem(1, true)}}).Outcome, c.name)
+		env := newTestEnv()
+		env.store.SetFaults(c.faults)
+		require.Equal(t, c.want, env.apply(env.store, Document{Items: []Item{targetItem(1, true)}}).Outcome, c.name)
 	}
-	w := newTestEnv()
-	w.store.SetFaults(standin.Faults{LoseAnswers: 1})
-	r := &racingStore{Store: w.store}
-	w.onSleep = func() {}
+	env := newTestEnv()
+	env.store.SetFaults(standin.Faults{LoseAnswers: 1})
+	r := &racingStore{Store: env.store}
+	env.onSleep = func() {}
 	down := &outageAfterTxn{r}
-	require.Equal(t, Unknown, w.apply(down, Document{Items: []Item{targetItem(1, true)}}).Outcome, "the outcome cannot be known")
+	require.Equal(t, Unknown, env.apply(down, Document{Items: []Item{targetItem(1, true)}}).Outcome, "the outcome cannot be known")
 }
 
 // outageAfterTxn is a platform that goes down when it loses the response.
 type outageAfterTxn struct{ *racingStore }
 
-func (d *outageAfterTxn) Txn(ctx context.Context, txn store.Txn) (store.TxnResponse, error) {
-	resp, err := d.racingStore.Txn(ctx, txn)
-	d.SetFaults(standin.Faults{Down: true})
+func (o *outageAfterTxn) Txn(ctx context.Context, txn store.Txn) (store.TxnResponse, error) {
+	resp, err := o.racingStore.Txn(ctx, txn)
+	o.SetFaults(standin.Faults{Down: true})
 	return resp, err
 }
 
 func TestServiceIDsAndAddressesAreNeverShared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTestEnv()
+		env := newTestEnv()
 		names, addresses := []string{"a", "b", "c"}, []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}
 		t.Repeat(map[string]func(*rapid.T){
 			"set": func(t *rapid.T) {
-				w.store.SetFaults(standin.Faults{LoseAnswers: rapid.IntRange(0, 1).Draw(t, "lose")})
-				w.apply(w.store, Document{Items: []Item{serviceItem(
+				env.store.SetFaults(standin.Faults{LoseAnswers: rapid.IntRange(0, 1).Draw(t, "lose")})
+				env.apply(env.store, Document{Items: []Item{serviceItem(
 					rapid.SampledFrom(names).Draw(t, "name"), rapid.SampledFrom(addresses).Draw(t, "address"))}})
 			},
 			"delete": func(t *rapid.T) {
 				it := serviceItem(rapid.SampledFrom(names).Draw(t, "name"), addresses[0])
 				it.Delete = true
-				w.apply(w.store, Document{Items: []Item{it}})
+				env.apply(env.store, Document{Items: []Item{it}})
 			},
 			"": func(t *rapid.T) {
 				ids, taken := map[string]string{}, map[string]string{}
-				for key, r := range w.stored(t) {
+				for key, r := range env.stored(t) {
 					id := fmt.Sprint(r.Service.ID)
 					require.NotZero(t, r.Service.ID)
 					require.Empty(t, ids[id], "ID %s is shared", id)
@@ -207,32 +207,32 @@
 }
 
 func TestRecreatedServiceGetsANewID(t *testing.T) {
-	w := newTestEnv()
+	env := newTestEnv()
 	item := serviceItem("a", "127.0.0.1:1")
-	require.Equal(t, Accepted, w.apply(w.store, Document{Items: []Item{item}}).Outcome)
-	first := w.stored(t)[catalog.ServiceKey("a")].Service.ID
+	require.Equal(t, Accepted, env.apply(env.store, Document{Items: []Item{item}}).Outcome)
+	first := env.stored(t)[catalog.ServiceKey("a")].Service.ID
 	del := item
 	del.Delete = true
-	require.Equal(t, Accepted, w.apply(w.store, Document{Items: []Item{del}}).Outcome)
-	require.Equal(t, Accepted, w.apply(w.store, Document{Items: []Item{item}}).Outcome)
-	require.NotEqual(t, first, w.stored(t)[catalog.ServiceKey("a")].Service.ID)
+	require.Equal(t, Accepted, env.apply(env.store, Document{Items: []Item{del}}).Outcome)
+	require.Equal(t, Accepted, env.apply(env.store, Document{Items: []Item{item}}).Outcome)
+	require.NotEqual(t, first, env.stored(t)[catalog.ServiceKey("a")].Service.ID)
 }
 
 func TestStaleItemRevisionIsRejected(t *testing.T) {
-	w := newTestEnv()
-	res := w.apply(w.store, Document{Items: []Item{targetItem(1, true)}})
+	env := newTestEnv()
+	res := env.apply(env.store, Document{Items: []Item{targetItem(1, true)}})
 	stale := targetItem(1, false)
 	outdated := catalog.Revision(0)
 	stale.Revision = &outdated
-	require.Equal(t, Rejected, w.apply(w.store, Document{Items: []Item{stale}}).Outcome)
+	require.Equal(t, Rejected, env.apply(env.store, Document{Items: []Item{stale}}).Outcome)
 	stale.Revision = &res.Revision
-	require.Equal(t, Accepted, w.apply(w.store, Document{Items: []Item{stale}}).Outcome)
+	require.Equal(t, Accepted, env.apply(env.store, Document{Items: []Item{stale}}).Outcome)
 }
 
 func TestEditKeepsBothOperatorsLabels(t *testing.T) {
-	w := newTestEnv()
+	env := newTestEnv()
 	set := func(s store.Store, key string) Result {
-		return w.applier(s).Edit(context.Background(), EditTarget(s, "h", "t", func(target *catalog.Target) {
+		return env.applier(s).Edit(context.Background(), EditTarget(s, "h", "t", func(target *catalog.Target) {
 			labels := catalog.Labels{key: "1"}
 			for k, v := range target.Labels {
 				labels[k] = v
@@ -240,12 +240,12 @@
 			target.Labels = labels
 		}))
 	}
-	r := &racingStore{Store: w.store}
-	r.before = func() { require.Equal(t, Accepted, set(w.store, "y").Outcome) }
+	r := &racingStore{Store: env.store}
+	r.before = func() { require.Equal(t, Accepted, set(env.store, "y").Outcome) }
 	res := set(r, "x")
 	require.Equal(t, Accepted, res.Outcome, res.Reason)
-	require.Equal(t, catalog.Labels{"x": "1", "y": "1"}, w.stored(t)[catalog.TargetKey("h", "t")].Target.Labels)
-	history, err := History(context.Background(), w.store)
+	require.Equal(t, catalog.Labels{"x": "1", "y": "1"}, env.stored(t)[catalog.TargetKey("h", "t")].Target.Labels)
+	history, err := History(context.Background(), env.store)
 	require.NoError(t, err)
 	require.Len(t, history, 2)
 }
@@ -266,13 +266,13 @@
 // TestMalformedRecordIsSkipped reads a store with a record that is not valid JSON. The
 // other records must still be read.
 func TestMalformedRecordIsSkipped(t *testing.T) {
-	w := newTestEnv()
-	_, err := w.store.Txn(context.Background(), store.Txn{Puts: []store.Put{
+	env := newTestEnv()
+	_, err := env.store.Txn(context.Background(), store.Txn{Puts: []store.Put{
 		{Key: feed.CatalogPrefix + "services/x", Value: []byte("{")},
 	}})
 	require.NoError(t, err)
-	w.apply(w.store, Document{Items: []Item{targetItem(1, true)}})
-	res, err := feed.Pull(context.Background(), w.store, 0)
+	env.apply(env.store, Document{Items: []Item{targetItem(1, true)}})
+	res, err := feed.Pull(context.Background(), env.store, 0)
 	require.NoError(t, err)
 	require.Equal(t, 1, res.Malformed)
 	require.Len(t, res.Update.Records, 1)
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -130,7 +130,7 @@
 			continue
 		}
 		registrars = Registrars(e.Data.String(), e.Zone, d.Balancers(), 3)
-		r := d.Heartbeat(f.now, e.heartbeat())
+		r := d.Heartbeat(f.now, e.toHeartbeat())
 		if r.Incarnation > e.Incarnation {
 			e.Incarnation, e.Sequence = r.Incarnation+1, 0
 		}
@@ -139,13 +139,13 @@
 		}
 		if r.NeedEntry || r.Sequence > 0 {
 			d.Merge(f.now, []Entry{*e})
-			d.Heartbeat(f.now, e.heartbeat())
+			d.Heartbeat(f.now, e.toHeartbeat())
 		}
 	}
 	f.registrars[i] = registrars
 }
 
-func (e *Entry) heartbeat() Heartbeat {
+func (e *Entry) toHeartbeat() Heartbeat {
 	return Heartbeat{Key: e.Data, Incarnation: e.Incarnation, Sequence: e.Sequence, Period: time.Second}
 }
 
@@ -275,7 +275,7 @@
 	d := New(Defaults(), balancer(0), t0)
 	e := host(1, 1, 5)
 	d.Merge(t0, []Entry{e})
-	heartbeat := e.heartbeat()
+	heartbeat := e.toHeartbeat()
 	heartbeat.Period = Defaults().MaxPeriod
 	now := t0
 	for range 5 {
--- a/directory/rendezvous.go
+++ b/directory/rendezvous.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// score returns the rendezvous weight of a candidate for an item. It depends on
-// the pair alone, so when a candidate fails only its own items move.
-func score(item uint64, candidate *Entry) uint64 {
+// rendezvousWeight returns the rendezvous hash of an item and a candidate. It
+// depends on the pair alone, so when a candidate fails only its own items move.
+func rendezvousWeight(item uint64, candidate *Entry) uint64 {
 	var b [14]byte
 	binary.BigEndian.PutUint64(b[:], item)
 	ip := candidate.Data.Addr().As4()
@@ -29,7 +29,8 @@
 	return &topK{k: k, entries: make([]*Entry, 0, k+1), scores: make([]uint64, 0, k+1)}
 }
 
-func (b *topK) add(s uint64, e *Entry) {
+// insert adds an entry if its score is among the k highest.
+func (b *topK) insert(s uint64, e *Entry) {
 	if len(b.scores) == b.k && (b.k == 0 || s <= b.scores[b.k-1]) {
 		return
 	}
@@ -57,7 +58,7 @@
 	hash := xxhash.Sum64String(item)
 	top := newTopK(k)
 	for i := range candidates {
-		top.add(score(hash, &candidates[i]), &candidates[i])
+		top.insert(rendezvousWeight(hash, &candidates[i]), &candidates[i])
 	}
 	return top.appendTo(make([]Entry, 0, k), k)
 }
@@ -74,7 +75,7 @@
 		if balancers[i].Zone == zone {
 			side = sameZone
 		}
-		side.add(score(hash, &balancers[i]), &balancers[i])
+		side.insert(rendezvousWeight(hash, &balancers[i]), &balancers[i])
 	}
 	sameZoneCount := k
 	if k > 1 && len(crossZone.entries) > 0 {
