--- a/store/gateway/contract_test.go
+++ b/store/gateway/contract_test.go
@@ -21,8 +21,9 @@
 	storetest.Run(t, gateway.NewClient(server.URL, time.Second), s)
 }
 
-// TestSilentConnectionsAreLeft: calls at the same time need a connection each.
-func TestSilentConnectionsAreLeft(t *testing.T) {
+// TestClientReplacesStalledConnections delays responses by 20 ms, so that concurrent
+// calls open a connection each.
+func TestClientReplacesStalledConnections(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	s.SetFaults(standin.Faults{DelayMillis: 20})
 	server := httptest.NewServer(standin.Gateway(s))
@@ -33,8 +34,9 @@
 	storetest.Silenced(t, gateway.NewClient("http://"+proxy.Addr(), 400*time.Millisecond), proxy.Silence)
 }
 
-// TestAnswersComeOverANarrowLink, however long they take.
-func TestAnswersComeOverANarrowLink(t *testing.T) {
+// TestResponseOverSlowLink: a response that arrives slowly, but without a stall, is
+// read to its end.
+func TestResponseOverSlowLink(t *testing.T) {
 	server := httptest.NewServer(standin.Gateway(standin.NewStore(time.Now)))
 	defer server.Close()
 	proxy, err := standin.NewProxy(strings.TrimPrefix(server.URL, "http://"))
--- a/store/gateway/http.go
+++ b/store/gateway/http.go
@@ -1,5 +1,6 @@
 // Package gateway is the client of a key-value service that speaks the etcd
-// version 3 JSON-over-HTTP protocol. Nothing else in the project knows it.
+// version 3 JSON-over-HTTP protocol. It keeps the protocol out of the packages
+// that use store.Store.
 package gateway
 
 import (
@@ -16,26 +17,26 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// MaxAnswer bounds the bytes read of one answer.
-const MaxAnswer = 8 << 20
+// MaxResponseSize limits the size of one response body, in bytes.
+const MaxResponseSize = 8 << 20
 
-// Client speaks to the platform over HTTP. It is safe for concurrent use.
+// Client implements store.Store over HTTP. It is safe for concurrent use.
 type Client struct {
 	caller jsoncall.Caller
 	limits transfer.Limits
 }
 
 // NewClient returns a client of the service at base, such as
-// "http://127.0.0.1:2379". A call fails when the service has not begun to answer
-// within timeout, or falls silent for as long in its answer.
+// "http://127.0.0.1:2379". A call fails when the response header does not arrive
+// within timeout, or when the response body stalls for that long.
 func NewClient(base string, timeout time.Duration) *Client {
 	return &Client{
 		caller: jsoncall.Caller{
 			Base:    strings.TrimSuffix(base, "/"),
 			Client:  &http.Client{Transport: http.DefaultTransport.(*http.Transport).Clone()},
-			Refused: refused,
+			Refused: statusError,
 		},
-		limits: transfer.Limits{Begin: timeout, Silence: timeout, Most: MaxAnswer},
+		limits: transfer.Limits{Begin: timeout, Silence: timeout, Most: MaxResponseSize},
 	}
 }
 
@@ -103,7 +104,7 @@
 	return err
 }
 
-func refused(status int, _ []byte) error {
-	err := errors.Errorf("platform answered %d", status)
+func statusError(status int, _ []byte) error {
+	err := errors.Errorf("platform returned status %d", status)
 	return &verdict.Error{Verdict: verdict.Unknown, Reason: "platform-status", Err: err}
 }
--- a/store/gateway/wire.go
+++ b/store/gateway/wire.go
@@ -1,7 +1,7 @@
 package gateway
 
-// The JSON mapping of etcd version 3's gRPC gateway: bytes are base64, 64-bit
-// integers are strings.
+// The types follow the JSON mapping of etcd version 3's gRPC gateway: bytes are
+// base64, 64-bit integers are strings.
 
 // WireKV is mvccpb.KeyValue.
 type WireKV struct {
@@ -34,7 +34,7 @@
 	More   bool       `json:"more,omitempty"`
 }
 
-// Values of WireCompare.
+// Values of Result and Target in WireCompare.
 const (
 	WireEqual  = "EQUAL"
 	WireMod    = "MOD"
@@ -92,7 +92,7 @@
 	TTL    int64      `json:"TTL,string"`
 }
 
-// Paths of the gateway.
+// URL paths of the gateway.
 const (
 	PathRange = "/v3/kv/range"
 	PathTxn   = "/v3/kv/txn"
--- a/store/jsoncall/jsoncall.go
+++ b/store/jsoncall/jsoncall.go
@@ -1,5 +1,6 @@
-// Package jsoncall makes the calls of a store's client that speaks JSON over HTTP,
-// and tells of each failed one whether the store may have done it.
+// Package jsoncall makes calls with JSON over HTTP for the clients of a store. The
+// error of a failed call carries a verdict on whether the store may have executed
+// it.
 package jsoncall
 
 import (
@@ -22,48 +23,49 @@
 	reasonEncode      = "platform-encode"
 	reasonRequest     = "platform-request"
 	reasonUnreachable = "platform-unreachable"
-	reasonLost        = "platform-answer-lost"
+	reasonAnswerLost  = "platform-answer-lost"
 	reasonMalformed   = "platform-answer-malformed"
 )
 
-// Caller makes calls at one store. It is safe for concurrent use.
+// Caller makes calls to one store. It is safe for concurrent use.
 type Caller struct {
-	// Base begins each URL.
+	// Base is the URL that Call.Path is appended to.
 	Base   string
 	Client *http.Client
-	// Refused turns an answer other than 200 into an error.
+	// Refused returns the error of a response with a status other than 200.
 	Refused func(status int, body []byte) error
 }
 
 // Call is one call.
 type Call struct {
 	Method, Path string
-	// In is the body, nil for none; Out is where the answer is decoded, nil if it does
-	// not matter.
+	// In is encoded as the request body, nil for none. The response is decoded
+	// into Out, nil to ignore it.
 	In, Out any
 	Limits  transfer.Limits
 }
 
-// Do makes a call and returns how long its answer took once it had begun.
+// Do makes a call and returns the time from the response header to the end of the
+// body.
 func (c *Caller) Do(ctx context.Context, call Call) (took time.Duration, err error) {
 	req, err := c.request(ctx, call)
 	if err != nil {
 		return 0, err
 	}
-	answer, err := transfer.Do(c.Client, req, call.Limits)
+	response, err := transfer.Do(c.Client, req, call.Limits)
 	if err != nil {
-		return 0, c.failed(err)
+		return 0, c.transportError(err)
 	}
-	if answer.Status != http.StatusOK {
-		return 0, c.Refused(answer.Status, answer.Body)
+	if response.Status != http.StatusOK {
+		return 0, c.Refused(response.Status, response.Body)
 	}
 	if call.Out == nil {
-		return answer.Took, nil
+		return response.TransferTime, nil
 	}
-	if err := json.Unmarshal(answer.Body, call.Out); err != nil {
+	if err := json.Unmarshal(response.Body, call.Out); err != nil {
 		return 0, &verdict.Error{Verdict: verdict.Unknown, Reason: reasonMalformed, Err: err}
 	}
-	return answer.Took, nil
+	return response.TransferTime, nil
 }
 
 func (c *Caller) request(ctx context.Context, call Call) (*http.Request, error) {
@@ -79,23 +81,23 @@
 	if err != nil {
 		return nil, &verdict.Error{Verdict: verdict.NotRun, Reason: reasonRequest, Err: err}
 	}
-	// net/http must not send a call twice by itself: the body cannot be rewound
-	// without GetBody.
+	// Without GetBody net/http cannot rewind the body, so it never sends a request
+	// twice on its own.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	return req, nil
 }
 
-// failed turns a call without a whole answer into an error.
-func (c *Caller) failed(err error) error {
-	// What silenced this connection may have silenced the kept ones too.
+// transportError returns the error of a call without a complete response.
+func (c *Caller) transportError(err error) error {
+	// What stalled this connection may have stalled the idle ones too.
 	c.Client.CloseIdleConnections()
-	var part *transfer.Error
+	var transferErr *transfer.Error
 	switch {
 	case errors.Is(err, transfer.ErrTooLarge):
 		return &verdict.Error{Verdict: verdict.Unknown, Reason: store.ReasonTooLarge, Err: err}
-	case errors.As(err, &part) && part.Began:
-		return &verdict.Error{Verdict: verdict.Unknown, Reason: reasonLost, Err: err}
+	case errors.As(err, &transferErr) && transferErr.HeaderReceived:
+		return &verdict.Error{Verdict: verdict.Unknown, Reason: reasonAnswerLost, Err: err}
 	default:
 		return &verdict.Error{Verdict: verdict.FromTransportError(err), Reason: reasonUnreachable, Err: err}
 	}
--- a/store/store.go
+++ b/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the narrow interface to the key-value service that keeps
-// what must last. Its clients are store/gateway, for the etcd version 3 JSON
-// protocol, and the platform package; one contract test covers both.
+// Package store is the interface to the key-value service that holds the
+// project's durable data. Its clients are store/gateway, for the etcd version 3
+// JSON protocol, and the platform package; one contract test covers both.
 package store
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// KV is one stored pair.
+// KV is a key-value pair with its revisions.
 type KV struct {
 	Key            string
 	Value          []byte
@@ -20,38 +20,40 @@
 // RangeRequest reads keys in [Key, End); an empty End reads one key.
 type RangeRequest struct {
 	Key, End string
-	// Limit bounds the pairs of one answer; zero is no limit.
+	// Limit is the maximum number of pairs in the response; zero is no limit.
 	Limit int64
 	// Revision reads at a past revision; zero reads the latest.
 	Revision int64
-	// MinModRevision leaves out pairs changed before it.
+	// MinModRevision omits pairs with a lower ModRevision.
 	MinModRevision int64
-	// Stale allows an answer that is some seconds old, at a fraction of the price.
+	// Stale allows a response that is some seconds old, which costs a fraction of
+	// a fresh one.
 	Stale bool
 }
 
-// RangeResponse is one answer.
+// RangeResponse is the response to a RangeRequest.
 type RangeResponse struct {
-	// Revision is the store's revision when it answered. A stale copy shows a
-	// lower one.
+	// Revision is the store's revision at the time of the response; lower if the
+	// response is stale.
 	Revision int64
 	KVs      []KV
-	More     bool
-	// Took is how long the answer took to come once it had begun; zero where the
-	// client does not measure it.
+	// More reports whether Limit left out pairs of the range.
+	More bool
+	// Took is the time from the response header to the end of the body; zero if
+	// the client does not measure it.
 	Took time.Duration
 }
 
 // Compare is a condition of a transaction on one key.
 type Compare struct {
 	Key string
-	// Field tells which revision of the key is compared.
+	// Field selects the revision of the key that is compared.
 	Field CompareField
-	// Equal is the wanted value; zero means that the key does not exist.
+	// Equal is the required revision; zero means that the key does not exist.
 	Equal int64
 }
 
-// CompareField is a revision of a key.
+// CompareField selects a revision of a key.
 type CompareField uint8
 
 // The fields that can be compared.
@@ -64,11 +66,11 @@
 type Put struct {
 	Key   string
 	Value []byte
-	// Lease removes the pair when it lapses; zero keeps it.
+	// Lease removes the pair when it expires; zero is no lease.
 	Lease LeaseID
 }
 
-// Txn does all Puts and Removes when all Compares hold, and nothing otherwise.
+// Txn applies all Puts and Removes if all Compares hold, and nothing otherwise.
 type Txn struct {
 	Compares []Compare
 	Puts     []Put
@@ -76,21 +78,22 @@
 	Removes []string
 }
 
-// TxnResponse tells the outcome.
+// TxnResponse is the response to a Txn; Succeeded reports whether all Compares
+// held.
 type TxnResponse struct {
 	Succeeded bool
 	Revision  int64
 }
 
-// LeaseID names a lease.
+// LeaseID identifies a lease.
 type LeaseID int64
 
-// Store is what the project uses of the platform. Errors carry a
-// verdict.Verdict: a Txn whose answer was lost is verdict.Unknown.
+// Store is the part of a key-value service that the project uses. Errors carry
+// a verdict.Verdict: that of a Txn whose response was lost is verdict.Unknown.
 type Store interface {
 	Range(ctx context.Context, req RangeRequest) (RangeResponse, error)
 	Txn(ctx context.Context, txn Txn) (TxnResponse, error)
-	// Grant makes a lease that lapses after ttl, whole seconds.
+	// Grant creates a lease that expires after ttl, in whole seconds.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
 }
 
@@ -106,12 +109,12 @@
 	return "\x00"
 }
 
-// pageSize bounds one range answer, so that no answer nears the platform's
-// limits and no reader holds more than a page of raw data.
+// pageSize limits the pairs of one range response, so that responses stay far
+// below the platform's limits and a reader holds at most one page of raw data.
 const pageSize = 500
 
-// ReadAll reads all pages of a range at one revision and returns that
-// revision. The pages are consistent with each other.
+// ReadAll calls each for every pair of a range and returns the revision that
+// all pages were read at, so that they are consistent with each other.
 func ReadAll(ctx context.Context, s Store, req RangeRequest, each func(KV) error) (int64, error) {
 	req.Limit = pageSize
 	for {
@@ -135,8 +138,8 @@
 	}
 }
 
-// lastKey returns the last key of a page, empty without one. Pairs whose key could not
-// be read have none.
+// lastKey returns the last key of a page, or "" if there is none. Pairs whose key
+// could not be decoded have an empty key.
 func lastKey(page []KV) string {
 	for _, kv := range slices.Backward(page) {
 		if kv.Key != "" {
@@ -146,38 +149,39 @@
 	return ""
 }
 
-// Event is one change that a watch saw.
+// Event is one change of a key that a watch reports.
 type Event struct {
 	KV
-	// Removed tells that the key is gone; only Key and ModRevision are set.
+	// Removed reports that the key was removed; then only Key and ModRevision are set.
 	Removed bool
 }
 
-// Changes is one answer of a watch.
+// Changes is the response to a watch.
 type Changes struct {
-	// Revision is where the next watch continues.
+	// Revision is the value of after for the next watch.
 	Revision int64
 	Events   []Event
-	// Took is how long the answer took to come once it had begun; zero where the
-	// client does not measure it.
+	// Took is the time from the response header to the end of the body; zero if
+	// the client does not measure it.
 	Took time.Duration
 }
 
-// Watcher is a store that tells of changes by itself.
+// Watcher is a store whose changes can be watched.
 type Watcher interface {
 	Store
-	// Watch returns the changes below prefix after a revision, or none after
-	// wait.
+	// Watch returns the changes of keys with the prefix after a revision, as soon
+	// as there are any, or none when wait has passed.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error)
 }
 
-// ReasonNoLease is the verdict.Error reason of a call for a lease that has
-// ended.
+// ReasonNoLease is the verdict.Error reason of a call with a lease that has
+// expired.
 const ReasonNoLease = "store-no-lease"
 
-// ReasonCompacted is the verdict.Error reason of a watch whose history is gone.
+// ReasonCompacted is the verdict.Error reason of a watch from a revision that
+// the store has compacted.
 const ReasonCompacted = "store-compacted"
 
-// ReasonTooLarge is the verdict.Error reason of a watch that has more to tell than
-// one answer may hold: the watcher reads anew what is in force.
+// ReasonTooLarge is the verdict.Error reason of a response that exceeds the size
+// limit. A watcher then has to read the current pairs instead of their changes.
 const ReasonTooLarge = "store-answer-too-large"
--- a/store/storetest/contract.go
+++ b/store/storetest/contract.go
@@ -1,5 +1,5 @@
-// Package storetest is the contract of store.Store that every client has to
-// keep, whatever protocol it speaks.
+// Package storetest tests the contract of store.Store, which every client
+// implements whatever its protocol.
 package storetest
 
 import (
@@ -17,23 +17,23 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// Faulty lets the service behind the client misbehave.
+// Faulty injects faults into the service behind the client.
 type Faulty interface {
-	// LoseAnswer drops the answer of the next write after its effect.
+	// LoseAnswer drops the response to the next write after the write was applied.
 	LoseAnswer()
-	// Down makes every call fail before it has an effect, or ends that.
+	// Down(true) makes every call fail without an effect; Down(false) ends that.
 	Down(down bool)
-	// LapseLeases ends all leases at once.
+	// LapseLeases expires all leases at once.
 	LapseLeases()
 }
 
-// Run checks a client against an empty service.
+// Run runs the contract tests on a client of an empty service.
 func Run(t *testing.T, s store.Store, faults Faulty) {
 	t.Helper()
-	t.Run("transactions", func(t *testing.T) { transactions(t, s) })
-	t.Run("pages", func(t *testing.T) { pages(t, s) })
-	t.Run("leases", func(t *testing.T) { leases(t, s, faults) })
-	t.Run("verdicts", func(t *testing.T) { verdicts(t, s, faults) })
+	t.Run("transactions", func(t *testing.T) { checkTransactions(t, s) })
+	t.Run("pages", func(t *testing.T) { checkPaging(t, s) })
+	t.Run("leases", func(t *testing.T) { checkLeases(t, s, faults) })
+	t.Run("verdicts", func(t *testing.T) { checkVerdicts(t, s, faults) })
 }
 
 func put(key, value string) store.Put { return store.Put{Key: key, Value: []byte(value)} }
@@ -48,7 +48,7 @@
 	return resp.KVs[0], true
 }
 
-func transactions(t *testing.T, s store.Store) {
+func checkTransactions(t *testing.T, s store.Store) {
 	ctx := context.Background()
 	absent := store.Compare{Key: "txn/a", Field: store.ModRevision, Equal: 0}
 	first, err := s.Txn(ctx, store.Txn{Compares: []store.Compare{absent}, Puts: []store.Put{put("txn/a", "1"), put("txn/b", "2")}})
@@ -71,11 +71,11 @@
 	require.Empty(t, kv.Value)
 	_, ok = read(t, s, "txn/none")
 	require.False(t, ok)
-	removes(t, s)
+	checkRemoves(t, s)
 }
 
-// removes takes a key away under a condition.
-func removes(t *testing.T, s store.Store) {
+// checkRemoves removes a key conditionally.
+func checkRemoves(t *testing.T, s store.Store) {
 	ctx := context.Background()
 	first, err := s.Txn(ctx, store.Txn{Puts: []store.Put{put("txn/gone", "1")}})
 	require.NoError(t, err)
@@ -91,11 +91,11 @@
 	require.False(t, ok)
 	resp, err := s.Range(ctx, store.RangeRequest{Key: "txn/b", Stale: true})
 	require.NoError(t, err)
-	require.Len(t, resp.KVs, 1, "this service's copies are fresh")
+	require.Len(t, resp.KVs, 1, "stale reads of this service return the latest revision")
 }
 
-// pages writes more keys than one answer holds.
-func pages(t *testing.T, s store.Store) {
+// checkPaging writes more keys than one page holds and reads them all.
+func checkPaging(t *testing.T, s store.Store) {
 	const keys = 1203
 	ctx := context.Background()
 	for from := 0; from < keys; from += 30 {
@@ -119,7 +119,7 @@
 	require.IsIncreasing(t, got)
 }
 
-func leases(t *testing.T, s store.Store, faults Faulty) {
+func checkLeases(t *testing.T, s store.Store, faults Faulty) {
 	ctx := context.Background()
 	id, err := s.Grant(ctx, time.Minute)
 	require.NoError(t, err)
@@ -129,19 +129,19 @@
 	require.True(t, ok)
 	faults.LapseLeases()
 	_, ok = read(t, s, "lease/a")
-	require.False(t, ok, "its lease has ended")
+	require.False(t, ok, "its lease has expired")
 	_, err = s.Txn(ctx, store.Txn{Puts: []store.Put{{Key: "lease/a", Lease: id}}})
 	require.Error(t, err)
 }
 
-func verdicts(t *testing.T, s store.Store, faults Faulty) {
+func checkVerdicts(t *testing.T, s store.Store, faults Faulty) {
 	ctx := context.Background()
 	faults.LoseAnswer()
 	_, err := s.Txn(ctx, store.Txn{Puts: []store.Put{put("verdict/a", "1")}})
 	require.Error(t, err)
-	require.Equal(t, verdict.Unknown, verdict.FromError(err), "the answer was lost")
+	require.Equal(t, verdict.Unknown, verdict.FromError(err), "the response was lost")
 	_, ok := read(t, s, "verdict/a")
-	require.True(t, ok, "it had its effect all the same")
+	require.True(t, ok, "the write was applied nevertheless")
 	faults.Down(true)
 	_, err = s.Txn(ctx, store.Txn{Puts: []store.Put{put("verdict/b", "1")}})
 	require.Error(t, err)
@@ -150,8 +150,8 @@
 	require.False(t, ok)
 }
 
-// Silenced checks that a client whose open connections have gone silent, without
-// a reset, needs one call to notice, however many it keeps.
+// Silenced checks that after all open connections of a client have stalled without a
+// reset, one failed call is enough for the client to replace all of them.
 func Silenced(t *testing.T, s store.Store, silence func()) {
 	t.Helper()
 	ctx := context.Background()
@@ -159,40 +159,40 @@
 		_, err := s.Range(ctx, store.RangeRequest{Key: "silenced/a"})
 		return err
 	}
-	var both conc.WaitGroup
+	var calls conc.WaitGroup
 	for range 4 {
-		both.Go(func() { assert.NoError(t, call()) })
+		calls.Go(func() { assert.NoError(t, call()) })
 	}
-	both.Wait()
+	calls.Wait()
 	silence()
-	require.Error(t, call(), "the connection is silent")
+	require.Error(t, call(), "the connection is stalled")
 	require.NoError(t, call(), "a new connection works")
 }
 
-// Sizes of what Narrowed reads: 0.5 MB, twice as much as passes at its rate in the
-// time that the client waits for an answer.
+// The slow link carries 0.5 MB, twice as much as passes within the
+// client's timeout.
 const (
-	narrowPairs = 5
-	narrowValue = 100_000
-	narrowRate  = 640_000
+	slowLinkPairs     = 5
+	slowLinkValueSize = 100_000 // bytes
+	slowLinkRate      = 640_000 // bytes per second
 )
 
-// NarrowedTimeout is the time-out of the client that Narrowed is given.
+// NarrowedTimeout is the timeout of Narrowed's client.
 const NarrowedTimeout = 400 * time.Millisecond
 
-// Narrowed checks that a client reads an answer over a link that takes longer for it
-// than the store may stay silent. narrow bounds the link, in bytes a second.
+// Narrowed checks that a client reads a response whose transfer takes longer than the
+// client's timeout, as long as it does not stall. narrow limits the link's bandwidth.
 func Narrowed(t *testing.T, s store.Store, narrow func(bytesPerSecond int)) {
 	t.Helper()
 	ctx := context.Background()
-	for i := range narrowPairs {
-		_, err := s.Txn(ctx, store.Txn{Puts: []store.Put{{Key: "n/" + strconv.Itoa(i), Value: make([]byte, narrowValue)}}})
+	for i := range slowLinkPairs {
+		_, err := s.Txn(ctx, store.Txn{Puts: []store.Put{{Key: "n/" + strconv.Itoa(i), Value: make([]byte, slowLinkValueSize)}}})
 		require.NoError(t, err)
 	}
-	narrow(narrowRate)
+	narrow(slowLinkRate)
 	began := time.Now()
 	resp, err := s.Range(ctx, store.RangeRequest{Key: "n/", End: store.PrefixEnd("n/")})
 	require.NoError(t, err)
-	require.Len(t, resp.KVs, narrowPairs)
-	require.Greater(t, time.Since(began), NarrowedTimeout, "the link was narrow enough")
+	require.Len(t, resp.KVs, slowLinkPairs)
+	require.Greater(t, time.Since(began), NarrowedTimeout, "the transfer has to take longer than the timeout")
 }
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -1,7 +1,7 @@
-// Package transfer makes HTTP calls and writes their answers under bounds on
-// silence instead of a bound on the whole. A bound on the whole is a bound on
-// the answer's size for each link: an answer that outgrows it never arrives,
-// however often it is asked for, and the tries fill the link meanwhile.
+// Package transfer makes HTTP requests and writes HTTP responses under stall
+// timeouts instead of a timeout for the whole transfer. A timeout for the whole
+// limits the size of a response by the bandwidth of the link: a larger response
+// never arrives, however often it is requested, and the retries fill the link.
 package transfer
 
 import (
@@ -14,51 +14,52 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of a transfer, inside an Error.
+// Causes of an Error.
 var (
-	// ErrSilent tells that the other end fell silent, or nearly so.
-	ErrSilent = errors.New("no progress")
-	// ErrTooLarge tells that the answer's body exceeds the bound.
+	// ErrStalled reports that the peer sent nothing, or too little, within a timeout.
+	ErrStalled = errors.New("no progress")
+	// ErrTooLarge reports that the response body exceeds the limit.
 	ErrTooLarge = errors.New("answer too large")
 )
 
-// leastPiece is how many bytes of a body have to come within a bound on silence,
-// but for its last ones: enough that a trickle does not hold a call for minutes (18
-// KB a second at 0.9 s), and little enough for a link of 10 Mbit/s that sixty
-// calls share.
-const leastPiece = 16 << 10
+// minProgress is how many bytes of a body must arrive within each stall timeout,
+// except at its end. It is high enough that a trickle cannot hold a request open for
+// minutes (18 KB/s at a timeout of 0.9 s), and low enough for a 10 Mbit/s link that
+// 60 requests share.
+const minProgress = 16 << 10
 
-// Limits bound one call.
+// Limits are the limits of one request.
 type Limits struct {
-	// Begin bounds the time until the answer's header has come: the connection, the
-	// request and the work of the other end.
+	// Begin limits the time until the response header is received: it covers
+	// connecting, sending the request and the server's processing.
 	Begin time.Duration
-	// Silence bounds the time in which no further piece of the body comes.
+	// Silence limits the time in which the next minProgress bytes of the body, or
+	// its end, must arrive.
 	Silence time.Duration
-	// Most bounds the body, in bytes.
+	// Most limits the size of the body, in bytes.
 	Most int64
 }
 
-// Answer is a whole answer of any status.
-type Answer struct {
+// Response is a complete response of any status.
+type Response struct {
 	Status int
 	Body   []byte
-	// Took is how long the body took to come after the header.
-	Took time.Duration
+	// TransferTime is the time from the header to the end of the body.
+	TransferTime time.Duration
 }
 
-// Error is a call without a whole answer.
+// Error is the failure of a request without a complete response.
 type Error struct {
-	// Began tells that the answer's header had come.
-	Began bool
-	// Got is how many bytes of the body had come.
+	// HeaderReceived reports whether the response header was received.
+	HeaderReceived bool
+	// Got is how many bytes of the body were received.
 	Got int
 	Err error
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	if !e.Began {
+	if !e.HeaderReceived {
 		return "no answer: " + e.Err.Error()
 	}
 	return "answer broken off: " + e.Err.Error()
@@ -67,43 +68,43 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Do makes a call and reads the whole answer. Every error is an *Error.
-func Do(client *http.Client, req *http.Request, l Limits) (Answer, error) {
+// Do sends a request and reads the whole response. Every error is an *Error.
+func Do(client *http.Client, req *http.Request, l Limits) (Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	defer cancel(nil)
-	silence := time.AfterFunc(l.Begin, func() { cancel(ErrSilent) })
-	defer silence.Stop()
+	stallTimer := time.AfterFunc(l.Begin, func() { cancel(ErrStalled) })
+	defer stallTimer.Stop()
 	resp, err := client.Do(req.WithContext(ctx))
 	if err != nil {
-		return Answer{}, &Error{Err: cause(ctx, err)}
+		return Response{}, &Error{Err: withStallCause(ctx, err)}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	began := time.Now()
-	silence.Reset(l.Silence)
-	body, err := read(resp, l, func() { silence.Reset(l.Silence) })
+	bodyStart := time.Now()
+	stallTimer.Reset(l.Silence)
+	body, err := readBody(resp, l, func() { stallTimer.Reset(l.Silence) })
 	if err != nil {
-		return Answer{}, &Error{Began: true, Got: len(body), Err: cause(ctx, err)}
+		return Response{}, &Error{HeaderReceived: true, Got: len(body), Err: withStallCause(ctx, err)}
 	}
-	return Answer{Status: resp.StatusCode, Body: body, Took: time.Since(began)}, nil
+	return Response{Status: resp.StatusCode, Body: body, TransferTime: time.Since(bodyStart)}, nil
 }
 
-// cause returns why a call was ended, where the error only says that it was. The
-// error is kept for what it tells of the connection.
-func cause(ctx context.Context, err error) error {
-	if errors.Is(context.Cause(ctx), ErrSilent) && !errors.Is(err, ErrSilent) {
-		return fmt.Errorf("%w: %w", ErrSilent, err)
+// withStallCause adds ErrStalled to err when a stall canceled ctx, since err then only
+// reports the cancellation. err stays wrapped for its details of the connection.
+func withStallCause(ctx context.Context, err error) error {
+	if errors.Is(context.Cause(ctx), ErrStalled) && !errors.Is(err, ErrStalled) {
+		return fmt.Errorf("%w: %w", ErrStalled, err)
 	}
 	return err
 }
 
-// read reads a body and tells of each further piece. With an error it returns what
-// has come.
-func read(resp *http.Response, l Limits, further func()) ([]byte, error) {
+// readBody reads the body and calls onProgress after every minProgress bytes or more.
+// With an error it returns the bytes received so far.
+func readBody(resp *http.Response, l Limits, onProgress func()) ([]byte, error) {
 	if resp.ContentLength > l.Most {
 		return nil, ErrTooLarge
 	}
 	body := make([]byte, 0, max(resp.ContentLength+1, 512))
-	told := 0
+	lastProgress := 0
 	for {
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
@@ -118,22 +119,22 @@
 		case err != nil:
 			return body, err
 		}
-		if len(body)-told >= leastPiece {
-			told = len(body)
-			further()
+		if len(body)-lastProgress >= minProgress {
+			lastProgress = len(body)
+			onProgress()
 		}
 	}
 }
 
-// Write writes an answer's body under a bound on silence: each piece has to be
-// taken within it. It takes the place of the server's bound on the whole answer.
-func Write(w http.ResponseWriter, body []byte, silence time.Duration) error {
+// Write writes a response body in chunks of minProgress bytes, each of which must be
+// written within stallTimeout. The deadline replaces the server's WriteTimeout.
+func Write(w http.ResponseWriter, body []byte, stallTimeout time.Duration) error {
 	control := http.NewResponseController(w)
 	for len(body) > 0 {
-		if err := control.SetWriteDeadline(time.Now().Add(silence)); err != nil {
+		if err := control.SetWriteDeadline(time.Now().Add(stallTimeout)); err != nil {
 			return err
 		}
-		n, err := w.Write(body[:min(len(body), leastPiece)])
+		n, err := w.Write(body[:min(len(body), minProgress)])
 		if err != nil {
 			return err
 		}
