--- a/control/client.go
+++ b/control/client.go
@@ -11,8 +11,8 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// Client calls other processes and keeps one connection to each. It is safe
-// for concurrent use.
+// Client sends calls to other processes over one cached connection per
+// address. It is safe for concurrent use.
 type Client struct {
 	secrets []route.Secret
 	traffic *Traffic
@@ -25,12 +25,12 @@
 }
 
 type clientConn struct {
-	rpc  *jsonrpc2.Conn
-	used time.Time
+	rpc      *jsonrpc2.Conn
+	lastUsed time.Time
 }
 
-// NewClient returns a client whose calls take at most timeout each. A
-// connection without a call for idle is closed.
+// NewClient returns a client whose calls each fail after timeout. Connections
+// without a call for longer than idle are closed when a new one is added.
 func NewClient(secrets []route.Secret, traffic *Traffic, timeout, idle time.Duration) *Client {
 	return &Client{
 		secrets: secrets,
@@ -41,29 +41,32 @@
 	}
 }
 
-// Call sends one request and decodes the answer into result. A failed
-// connection is dropped; the caller decides whether to call again.
+// Call sends one request and decodes the response into result. A connection
+// that failed or timed out is closed and removed; Call does not retry.
 func (c *Client) Call(ctx context.Context, address, method string, params, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	rpc, err := c.conn(ctx, address)
+	rpc, err := c.connect(ctx, address)
 	if err != nil {
 		return err
 	}
 	err = rpc.Call(ctx, method, params, result)
-	if err != nil && !isAnswer(err) {
-		c.drop(address, rpc)
+	if err != nil && !isRPCError(err) {
+		c.removeConn(address, rpc)
 	}
 	return err
 }
 
-func isAnswer(err error) bool {
+// isRPCError reports whether err is an error response of the server, which
+// leaves the connection usable.
+func isRPCError(err error) bool {
 	_, ok := err.(*jsonrpc2.Error)
 	return ok
 }
 
-func (c *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
-	if rpc := c.existing(address); rpc != nil {
+// connect returns the cached connection to address, or opens one.
+func (c *Client) connect(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
+	if rpc := c.cachedConn(address); rpc != nil {
 		return rpc, nil
 	}
 	dialer := net.Dialer{}
@@ -76,11 +79,12 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	rpc := jsonrpc2.NewConn(context.Background(), st, refuse{}, quiet)
-	return c.keep(address, rpc), nil
+	rpc := jsonrpc2.NewConn(context.Background(), st, rejectCalls{}, discardLog)
+	return c.addConn(address, rpc), nil
 }
 
-func (c *Client) existing(address string) *jsonrpc2.Conn {
+// cachedConn returns the open connection to address, or nil.
+func (c *Client) cachedConn(address string) *jsonrpc2.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cc, ok := c.conns[address]
@@ -93,12 +97,13 @@
 		return nil
 	default:
 	}
-	cc.used = time.Now()
+	cc.lastUsed = time.Now()
 	return cc.rpc
 }
 
-// keep stores a new connection unless another call was faster.
-func (c *Client) keep(address string, rpc *jsonrpc2.Conn) *jsonrpc2.Conn {
+// addConn caches rpc and returns it. If a concurrent call has cached a
+// connection to the address already, rpc is closed and that one returned.
+func (c *Client) addConn(address string, rpc *jsonrpc2.Conn) *jsonrpc2.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cc, ok := c.conns[address]; ok {
@@ -106,21 +111,23 @@
 		return cc.rpc
 	}
 	c.closeIdle()
-	c.conns[address] = &clientConn{rpc: rpc, used: time.Now()}
+	c.conns[address] = &clientConn{rpc: rpc, lastUsed: time.Now()}
 	return rpc
 }
 
-// closeIdle runs under mu.
+// closeIdle closes connections that have been idle for too long. The caller
+// holds mu.
 func (c *Client) closeIdle() {
 	for address, cc := range c.conns {
-		if time.Since(cc.used) > c.idle {
+		if time.Since(cc.lastUsed) > c.idle {
 			delete(c.conns, address)
 			go func() { _ = cc.rpc.Close() }()
 		}
 	}
 }
 
-func (c *Client) drop(address string, rpc *jsonrpc2.Conn) {
+// removeConn closes rpc and removes it from the cache.
+func (c *Client) removeConn(address string, rpc *jsonrpc2.Conn) {
 	c.mu.Lock()
 	if cc, ok := c.conns[address]; ok && cc.rpc == rpc {
 		delete(c.conns, address)
@@ -139,11 +146,11 @@
 	}
 }
 
-// refuse answers calls in the wrong direction.
-type refuse struct{}
+// rejectCalls rejects requests that a server sends to a client.
+type rejectCalls struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (refuse) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
+func (rejectCalls) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	if req.Notif {
 		return
 	}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -15,9 +15,9 @@
 )
 
 var (
-	oldSecret = route.Secret{Number: 1, Bytes: []byte("first secret of the tests")}
-	newSecret = route.Secret{Number: 2, Bytes: []byte("second secret of the tests")}
-	foreign   = route.Secret{Number: 1, Bytes: []byte("a secret of another cluster")}
+	oldSecret     = route.Secret{Number: 1, Bytes: []byte("first secret of the tests")}
+	newSecret     = route.Secret{Number: 2, Bytes: []byte("second secret of the tests")}
+	foreignSecret = route.Secret{Number: 1, Bytes: []byte("a secret of another cluster")}
 )
 
 type echo struct{ Text string }
@@ -50,11 +50,11 @@
 		require.NoError(t, err)
 		require.Equal(t, "hello", got)
 	}
-	_, err := call(t, address, foreign)
+	_, err := call(t, address, foreignSecret)
 	require.Error(t, err)
 }
 
-func TestUnknownMethodIsAnswered(t *testing.T) {
+func TestServerRejectsUnknownMethodAndBadParams(t *testing.T) {
 	address := startServer(t, oldSecret)
 	c := NewClient([]route.Secret{oldSecret}, &Traffic{}, 10*time.Second, time.Minute)
 	defer c.Close()
@@ -64,12 +64,12 @@
 	require.NoError(t, c.Call(t.Context(), address, "echo", echo{"still here"}, &out))
 }
 
-// TestConnectionsAreBounded holds the only place of a server: a second caller is
-// turned away at once, and served when the place is free again.
+// TestConnectionsAreBounded occupies the only connection slot of a server: the
+// call of a second client fails, and succeeds once the slot is free again.
 func TestConnectionsAreBounded(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", []route.Secret{oldSecret}, &Traffic{}, zap.NewNop())
 	require.NoError(t, err)
-	s.slots = make(chan struct{}, 1)
+	s.connSlots = make(chan struct{}, 1)
 	s.Register("echo", Handle(func(_ context.Context, e echo) (echo, error) { return e, nil }))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -87,8 +87,8 @@
 	}, 30*time.Second, 10*time.Millisecond)
 }
 
-// pair returns both ends of a stream.
-func pair(t *testing.T) (client, server *stream) {
+// newStreamPair returns both ends of a connection after the handshake.
+func newStreamPair(t *testing.T) (client, server *stream) {
 	t.Helper()
 	a, b := net.Pipe()
 	done := make(chan error, 1)
@@ -103,7 +103,8 @@
 	return client, server
 }
 
-// bufferedConn lets both ends write before they read, as TCP does.
+// bufferedConn makes Write return before the peer reads, as with TCP, so that
+// both ends can start the handshake by writing.
 type bufferedConn struct{ net.Conn }
 
 func (c bufferedConn) Write(b []byte) (int, error) {
@@ -112,8 +113,8 @@
 	return len(b), nil
 }
 
-func TestReplayedAndForgedFramesAreRefused(t *testing.T) {
-	client, server := pair(t)
+func TestReplayedAndForgedFramesAreRejected(t *testing.T) {
+	client, server := newStreamPair(t)
 	body := []byte(`{"Text":"x"}`)
 	frame := make([]byte, frameHeaderLen)
 	binary.BigEndian.PutUint32(frame, uint32(len(body)))
@@ -129,7 +130,7 @@
 }
 
 func TestFramesAreBounded(t *testing.T) {
-	client, server := pair(t)
+	client, server := newStreamPair(t)
 	require.ErrorIs(t, client.WriteObject(make([]byte, MaxFrame)), ErrFrameTooLarge)
 	frame := make([]byte, frameHeaderLen)
 	binary.BigEndian.PutUint32(frame, MaxFrame+1)
@@ -138,17 +139,17 @@
 	require.ErrorIs(t, server.ReadObject(&echo{}), ErrFrameTooLarge)
 }
 
-// TestSilentConnectionIsLeft: one call finds that the kept connection has gone
-// silent, the next one is answered.
-func TestSilentConnectionIsLeft(t *testing.T) {
+// TestClientReplacesStalledConnection: after the cached connection stalls without
+// a reset, one call fails and the next one succeeds over a new connection.
+func TestClientReplacesStalledConnection(t *testing.T) {
 	proxy, err := standin.NewProxy(startServer(t, oldSecret))
 	require.NoError(t, err)
 	defer proxy.Close()
 	c := NewClient([]route.Secret{oldSecret}, &Traffic{}, 300*time.Millisecond, time.Minute)
 	defer c.Close()
-	ask := func() error { return c.Call(t.Context(), proxy.Addr(), "echo", echo{"hello"}, &echo{}) }
-	require.NoError(t, ask())
+	callEcho := func() error { return c.Call(t.Context(), proxy.Addr(), "echo", echo{"hello"}, &echo{}) }
+	require.NoError(t, callEcho())
 	proxy.Silence()
-	require.Error(t, ask())
-	require.NoError(t, ask())
+	require.Error(t, callEcho())
+	require.NoError(t, callEcho())
 }
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,8 +1,8 @@
 // Package control carries calls between the project's own processes:
 // JSON-RPC 2.0 (sourcegraph/jsonrpc2) over TCP, each frame authenticated.
 //
-// At the start both ends send a nonce; the session keys come from the cluster
-// secret and both nonces by HKDF, one for each direction, so that a frame can
-// be neither forged, replayed nor reflected. Frames are not encrypted: they
-// carry no secrets.
+// In the handshake both ends send a nonce. HKDF derives a session key for each
+// direction from the cluster secret and both nonces, so that frames cannot be
+// forged, replayed or reflected. Frames are not encrypted: they carry no
+// secrets.
 package control
--- a/control/messages.go
+++ b/control/messages.go
@@ -26,40 +26,43 @@
 // RegistrarsPerHost is how many balancers a host announces itself to.
 const RegistrarsPerHost = 3
 
-// Limits of messages; a longer list is refused.
+// Limits of messages; a longer list is rejected.
 const (
-	// MaxEntriesPerCall bounds the entries of one repair.
+	// MaxEntriesPerCall limits the entries in one repair call.
 	MaxEntriesPerCall = 512
-	// MaxBranchesPerCall bounds the branches of one comparison.
+	// MaxBranchesPerCall limits the branches in one digest comparison.
 	MaxBranchesPerCall = 32
 )
 
-// HeartbeatRequest is an agent's sign of life to a registrar.
+// HeartbeatRequest is an agent's periodic heartbeat to a registrar.
 type HeartbeatRequest struct {
 	Data        netip.AddrPort        `json:"d"`
 	Incarnation directory.Incarnation `json:"i"`
 	Sequence    uint32                `json:"q"`
-	// Entry is sent when it is news to this registrar.
+	// Entry is the agent's directory entry, sent when this registrar does not
+	// have it yet.
 	Entry *directory.Entry `json:"e,omitempty"`
-	// Host names the host whose records the agent needs; Revision is what it
-	// has.
+	// Host names the host whose configuration records the agent needs;
+	// Revision is the configuration revision that the agent has.
 	Host     string           `json:"h"`
 	Revision catalog.Revision `json:"r"`
-	// PeriodMillis is when the agent means to come again.
+	// PeriodMillis is the time until the agent's next heartbeat.
 	PeriodMillis int64 `json:"p"`
 	// Zone is the agent's availability zone.
 	Zone string `json:"z"`
-	// Registrars is a hash of the registrar list that the agent knows.
+	// Registrars is the RegistrarHash of the registrar list that the agent has.
 	Registrars uint64 `json:"g,omitempty"`
-	// Final says that the agent will heartbeat elsewhere from now on.
+	// Final reports that the agent sends its next heartbeats to other
+	// registrars.
 	Final bool `json:"f,omitempty"`
 }
 
-// HeartbeatReply answers a heartbeat.
+// HeartbeatReply is the reply to a HeartbeatRequest.
 type HeartbeatReply struct {
 	directory.HeartbeatReply
 	Update *catalog.Update `json:"u,omitempty"`
-	// Registrars is the list to use from now on, sent when it changed.
+	// Registrars is the new registrar list, sent when it differs from the
+	// requester's.
 	Registrars []directory.Entry `json:"g,omitempty"`
 }
 
@@ -70,45 +73,46 @@
 	Revision catalog.Revision  `json:"r"`
 }
 
-// ExchangeReply answers an exchange.
+// ExchangeReply is the reply to an ExchangeRequest.
 type ExchangeReply struct {
 	Rumours  []directory.Entry `json:"e,omitempty"`
 	Root     uint64            `json:"x"`
 	Revision catalog.Revision  `json:"r"`
-	// News lists the requester's rumours that were news here, by index.
+	// News lists the requester's gossip updates that were new to the replier,
+	// by index.
 	News []int `json:"n,omitempty"`
-	// Update brings the requester up to date.
+	// Update holds the configuration changes that the requester lacks.
 	Update *catalog.Update `json:"u,omitempty"`
 }
 
-// PushRequest gives a peer the changes that it lacks.
+// PushRequest sends a peer the configuration changes that it lacks.
 type PushRequest struct {
 	Update catalog.Update `json:"u"`
 }
 
-// PushReply tells the revision that the peer has now.
+// PushReply carries the peer's configuration revision after the push.
 type PushReply struct {
 	Revision catalog.Revision `json:"r"`
 }
 
-// DigestRequest asks which branches differ.
+// DigestRequest carries branch sums of the directory for comparison.
 type DigestRequest struct {
 	Branches directory.Sums `json:"b"`
 }
 
-// DigestReply lists the branches that differ with their leaf sums.
+// DigestReply lists the branches that differ, with their leaf sums.
 type DigestReply struct {
 	Of     []int          `json:"of"`
 	Leaves directory.Sums `json:"l"`
 }
 
-// EntriesRequest trades the entries of differing leaves.
+// EntriesRequest exchanges the entries of differing leaves.
 type EntriesRequest struct {
 	Leaves  []int             `json:"l"`
 	Entries []directory.Entry `json:"e"`
 }
 
-// EntriesReply brings the peer's entries.
+// EntriesReply carries the peer's entries of those leaves.
 type EntriesReply struct {
 	Entries []directory.Entry `json:"e"`
 }
@@ -118,13 +122,13 @@
 	Revision catalog.Revision `json:"r"`
 }
 
-// SyncReply is one page; Update is nil when there is nothing newer.
+// SyncReply is one page of configuration; Update is nil when there is nothing newer.
 type SyncReply struct {
 	Update *catalog.Update `json:"u,omitempty"`
 }
 
-// RegistrarHash names a list of registrars, so that an unchanged one need not
-// be sent.
+// RegistrarHash returns a hash of a list of registrars, in any order. Peers
+// compare it so that an unchanged list need not be sent.
 func RegistrarHash(list []directory.Entry) uint64 {
 	addrs := make([]string, 0, len(list))
 	for _, e := range list {
@@ -134,13 +138,13 @@
 	return xxhash.Sum64String(strings.Join(addrs, ","))
 }
 
-// StatusRequest asks a balancer for its view.
+// StatusRequest asks a balancer for its status.
 type StatusRequest struct {
-	// Entries asks for the whole directory too.
+	// Entries requests all directory entries too.
 	Entries bool `json:"entries"`
 }
 
-// StatusReply is a balancer's view.
+// StatusReply is a balancer's view of itself, its peers and its services.
 type StatusReply struct {
 	Self      directory.Entry   `json:"self"`
 	Revision  catalog.Revision  `json:"revision"`
--- a/control/pages_test.go
+++ b/control/pages_test.go
@@ -14,8 +14,8 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// largeServices returns a state of services that each are allowed many authorities:
-// 70 KB of JSON a record.
+// largeServices returns a state with count services of 1000 authorities each: 70 KB
+// of JSON per record.
 func largeServices(t *testing.T, count int) *catalog.State {
 	t.Helper()
 	state := catalog.NewState()
@@ -36,10 +36,10 @@
 	return state
 }
 
-// TestLargeRecordsReachANodeThatKnowsNothing, a page after the other: a page that is
-// bounded by the number of its records alone does not pass in one message, and the
-// node would ask for the same one again for ever.
-func TestLargeRecordsReachANodeThatKnowsNothing(t *testing.T) {
+// TestPagedSyncOfLargeRecordsCompletes brings large records page by page to a node
+// without any. A page limited only by its number of records would not fit into one
+// frame, and the node would request it again for ever.
+func TestPagedSyncOfLargeRecordsCompletes(t *testing.T) {
 	const services = 60
 	full := largeServices(t, services)
 	s, err := Listen("127.0.0.1:0", []route.Secret{oldSecret}, &Traffic{}, zap.NewNop())
@@ -61,7 +61,7 @@
 		require.NoError(t, client.Call(t.Context(), s.Addr().String(), MethodSync, SyncRequest{Revision: before}, &reply))
 		_, err := fresh.Apply(*reply.Update)
 		require.NoError(t, err)
-		require.Greater(t, fresh.Revision(), before, "each page is progress")
+		require.Greater(t, fresh.Revision(), before, "each page advances the revision")
 	}
 	require.Equal(t, services, fresh.Len())
 }
--- a/control/server.go
+++ b/control/server.go
@@ -15,14 +15,14 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// MaxConns bounds the connections that a server keeps open; one more is closed
-// at once.
+// MaxConns limits the open connections of a server; further ones are closed
+// as soon as they are accepted.
 const MaxConns = 4096
 
-// Handler answers one method. The result is encoded as JSON.
+// Handler serves one method. Its result is encoded as JSON.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Handle adapts a typed function to a Handler.
+// Handle adapts a typed function to a Handler by decoding its params.
 func Handle[Req, Resp any](f func(context.Context, Req) (Resp, error)) Handler {
 	return func(ctx context.Context, params json.RawMessage) (any, error) {
 		var req Req
@@ -33,33 +33,34 @@
 	}
 }
 
-// Server answers calls of other processes.
+// Server serves calls of other processes.
 type Server struct {
 	listener net.Listener
 	secrets  []route.Secret
 	handlers map[string]Handler
 	traffic  *Traffic
 	log      *zap.Logger
-	slots    chan struct{}
+	// connSlots is a semaphore of MaxConns.
+	connSlots chan struct{}
 }
 
-// quiet keeps the library from writing to the standard log when a peer leaves
-// in the middle of a call; the caller sees the error.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// discardLog keeps jsonrpc2 from writing to the standard log when a peer
+// disconnects during a call; the caller gets the error.
+var discardLog = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
-// Listen opens a server; Serve runs it.
+// Listen binds address and returns a server; Serve runs it.
 func Listen(address string, secrets []route.Secret, traffic *Traffic, logger *zap.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for control calls")
 	}
 	return &Server{
-		listener: ln,
-		secrets:  secrets,
-		handlers: map[string]Handler{},
-		traffic:  traffic,
-		log:      logger,
-		slots:    make(chan struct{}, MaxConns),
+		listener:  ln,
+		secrets:   secrets,
+		handlers:  map[string]Handler{},
+		traffic:   traffic,
+		log:       logger,
+		connSlots: make(chan struct{}, MaxConns),
 	}, nil
 }
 
@@ -83,23 +84,26 @@
 			}
 			return errors.Wrap(err, "accept control connection")
 		}
-		s.admit(ctx, &wg, conn)
+		s.startConn(ctx, &wg, conn)
 	}
 }
 
-func (s *Server) admit(ctx context.Context, wg *conc.WaitGroup, conn net.Conn) {
+// startConn serves conn in a goroutine of wg, or closes it when the server has
+// no free connection slot.
+func (s *Server) startConn(ctx context.Context, wg *conc.WaitGroup, conn net.Conn) {
 	select {
-	case s.slots <- struct{}{}:
+	case s.connSlots <- struct{}{}:
 	default:
 		_ = conn.Close()
 		return
 	}
 	wg.Go(func() {
-		defer func() { <-s.slots }()
+		defer func() { <-s.connSlots }()
 		s.serveConn(ctx, conn)
 	})
 }
 
+// serveConn serves conn until the peer disconnects or ctx ends.
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
 	st, err := newStream(conn, s.secrets, false, s.traffic)
 	if err != nil {
@@ -107,7 +111,7 @@
 		s.log.Debug("control handshake failed", zap.Error(err))
 		return
 	}
-	rpc := jsonrpc2.NewConn(ctx, st, jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.dispatch)), quiet)
+	rpc := jsonrpc2.NewConn(ctx, st, jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.dispatch)), discardLog)
 	select {
 	case <-rpc.DisconnectNotify():
 	case <-ctx.Done():
--- a/control/stream.go
+++ b/control/stream.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// MaxFrame bounds one message, in bytes.
+	// MaxFrame limits the body of one frame, in bytes.
 	MaxFrame = 2 << 20
 
 	nonceLen         = 16
@@ -29,14 +29,15 @@
 	writeTimeout     = 5 * time.Second
 )
 
-// Errors of a stream.
+// Errors of the handshake and of frames.
 var (
 	ErrFrameTooLarge = errors.New("control frame is too large")
 	ErrFrameTag      = errors.New("control frame tag does not verify")
-	ErrKeyNumber     = errors.New("control peer uses an unknown key number")
+	ErrKeyNumber     = errors.New("control client uses an unknown key number")
 )
 
-// Traffic counts the bytes of a process's control connections.
+// Traffic counts the bytes sent and received in frames on a process's control
+// connections.
 type Traffic struct {
 	Sent, Received atomic.Int64
 }
@@ -50,14 +51,14 @@
 	recvKey []byte
 	recvSeq uint64
 
-	// mu guards what follows; writes come from several goroutines.
+	// mu guards the fields below; several goroutines write.
 	mu      sync.Mutex
 	sendKey []byte
 	sendSeq uint64
 }
 
 // newStream runs the handshake. The client's key number selects the secret, so
-// that a rotation needs no common instant.
+// that a key rotation need not happen on all nodes at the same time.
 func newStream(conn net.Conn, secrets []route.Secret, client bool, traffic *Traffic) (*stream, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
@@ -68,14 +69,14 @@
 		return nil, err
 	}
 	peer := make([]byte, 1+nonceLen)
-	if err := exchangeHello(conn, own, peer); err != nil {
+	if err := exchangeHellos(conn, own, peer); err != nil {
 		return nil, err
 	}
 	clientHello, serverHello := own, peer
 	if !client {
 		clientHello, serverHello = peer, own
 	}
-	secret, ok := find(secrets, clientHello[0])
+	secret, ok := secretByNumber(secrets, clientHello[0])
 	if !ok {
 		return nil, ErrKeyNumber
 	}
@@ -86,7 +87,8 @@
 	return s, conn.SetDeadline(time.Time{})
 }
 
-func exchangeHello(conn net.Conn, own, peer []byte) error {
+// exchangeHellos sends own and reads peer; each is a key number and a nonce.
+func exchangeHellos(conn net.Conn, own, peer []byte) error {
 	if _, err := conn.Write(own); err != nil {
 		return err
 	}
@@ -94,7 +96,7 @@
 	return err
 }
 
-func find(secrets []route.Secret, number byte) ([]byte, bool) {
+func secretByNumber(secrets []route.Secret, number byte) ([]byte, bool) {
 	for _, s := range secrets {
 		if s.Number == number {
 			return s.Bytes, true
@@ -103,6 +105,7 @@
 	return nil, false
 }
 
+// deriveKeys sets the session keys of both directions.
 func (s *stream) deriveKeys(secret, clientHello, serverHello []byte, client bool) error {
 	session := "control/" + string(clientHello[1:]) + string(serverHello[1:])
 	toServer, err := route.Derive(secret, session+"/to-server", sha256.Size)
@@ -169,6 +172,7 @@
 // Close implements jsonrpc2.ObjectStream.
 func (s *stream) Close() error { return s.conn.Close() }
 
+// tag returns the truncated HMAC-SHA256 of the sequence number and the body.
 func tag(key []byte, seq uint64, body []byte) []byte {
 	m := hmac.New(sha256.New, key)
 	var b [8]byte
