--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,10 +1,10 @@
-// Package feed brings configuration from the platform to the nodes.
+// Package feed pulls configuration from the platform.
 //
-// A few feeders in each zone, picked by rendezvous hashing among the live
-// balancers, read changes from the platform; everybody else gets them from
-// peers, so calls at the platform grow with the zones, not with the fleet. A
-// balancer that wrongly believes to be a feeder does no harm: it reads, and
-// revisions only rise.
+// A few feeders in each zone, selected by rendezvous hashing among the live
+// balancers, read changes from the platform. All other nodes get them from
+// peers, so that the calls to the platform grow with the number of zones, not
+// with the fleet. A balancer that wrongly takes itself for a feeder does no
+// harm: it only reads, and revisions only increase.
 package feed
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/poppywall/poppywall/store"
 )
 
-// Keys of the project at the platform.
+// Keys of the project's data in the platform's store.
 const (
 	Root          = "poppywall/v1/"
 	CatalogPrefix = Root + "catalog/"
@@ -29,7 +29,7 @@
 // PerZone is the number of feeders in each zone.
 const PerZone = 2
 
-// IsFeeder tells whether self is a feeder of its zone among live balancers.
+// IsFeeder reports whether self is a feeder of its zone among live balancers.
 func IsFeeder(self *directory.Entry, balancers []directory.Entry) bool {
 	for _, e := range Feeders(self.Zone, balancers) {
 		if e.Data == self.Data {
@@ -39,28 +39,28 @@
 	return false
 }
 
-// Feeders returns the feeders of a zone.
+// Feeders returns the feeders of a zone among live balancers.
 func Feeders(zone string, balancers []directory.Entry) []directory.Entry {
-	var near []directory.Entry
+	var sameZone []directory.Entry
 	for _, e := range balancers {
 		if e.Zone == zone {
-			near = append(near, e)
+			sameZone = append(sameZone, e)
 		}
 	}
-	return directory.Rank("feeder/"+zone, near, PerZone)
+	return directory.Rank("feeder/"+zone, sameZone, PerZone)
 }
 
-// Result is one pull.
+// Result is the result of one pull.
 type Result struct {
 	Update catalog.Update
-	// Malformed counts records that were passed over: one bad record must not
-	// hold up the others.
+	// Malformed counts records that were skipped: one invalid record must not
+	// block the others.
 	Malformed int
 }
 
 // Pull reads every change after the given revision. Deletions are records too
-// (tombstones), so one range with a least revision sees everything, and a
-// stale copy of the store at worst shows nothing new.
+// (tombstones), so one range read with MinModRevision returns all changes, and
+// a stale replica of the store at worst returns nothing new.
 func Pull(ctx context.Context, kv store.Store, from catalog.Revision) (Result, error) {
 	res := Result{Update: catalog.Update{From: from, To: from}}
 	req := store.RangeRequest{
@@ -76,6 +76,7 @@
 	return res, err
 }
 
+// add parses a pair into a record and raises the revision of the update.
 func (r *Result) add(kv store.KV) {
 	rev := catalog.Revision(kv.ModRevision)
 	r.Update.To = max(r.Update.To, rev)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a process's JSON settings whole at the edge: a value
-// that Load returns has been validated, later code never checks again.
+// Package settings reads and validates a process's JSON settings. Code that
+// uses a value returned by Load need not check it again.
 package settings
 
 import (
@@ -45,8 +45,9 @@
 // D returns the value as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Secret is a numbered cluster secret. Bytes are given in hexadecimal, or by
-// the name of an environment variable or file that holds them.
+// Secret is a numbered cluster secret. Its hexadecimal bytes are in Hex, or in
+// the environment variable or file named by Env or File; File takes precedence
+// over Env, and Env over Hex.
 type Secret struct {
 	Number int    `json:"number" validate:"gte=0,lte=255"`
 	Hex    string `json:"hex,omitempty" validate:"required_without_all=Env File,omitempty,hexadecimal,min=32"`
@@ -54,14 +55,14 @@
 	File   string `json:"file,omitempty"`
 }
 
-// Log selects the level and the format of the log.
+// Log sets the level and the format of the log.
 type Log struct {
 	Level  string `json:"level" validate:"omitempty,oneof=debug info warn error"`
 	Format string `json:"format" validate:"omitempty,oneof=json console"`
 }
 
-// Load reads, decodes and validates the file into a T that starts from
-// defaults.
+// Load reads, decodes and validates a file. Fields that the file omits keep
+// their value from defaults.
 func Load[T any](path string, defaults T) (T, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return Parse(data, defaults)
 }
 
-// Parse decodes and validates settings. The error names the field at fault.
+// Parse decodes and validates settings. The error names the invalid field.
 func Parse[T any](data []byte, defaults T) (T, error) {
 	out := defaults
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -87,8 +88,8 @@
 	return out, nil
 }
 
-// Changed returns the names of the fields in which two settings of one type
-// differ.
+// Changed returns the JSON names of the top-level fields in which two settings
+// of one type differ.
 func Changed(before, after any) []string {
 	var out []string
 	a, b := reflect.ValueOf(before), reflect.ValueOf(after)
@@ -100,7 +101,8 @@
 	return out
 }
 
-// Validate checks the struct tags of v and names the first field at fault.
+// Validate checks v against its validate tags. The error names the first
+// invalid field.
 func Validate(v any) error {
 	err := newValidator().Struct(v)
 	var fields validator.ValidationErrors
@@ -123,7 +125,7 @@
 	return name
 }
 
-// isAddrPort4 accepts "IPv4:port", the only form a route can carry.
+// isAddrPort4 accepts "IPv4:port", the only form that a route can encode.
 func isAddrPort4(fl validator.FieldLevel) bool {
 	ap, err := netip.ParseAddrPort(fl.Field().String())
 	return err == nil && ap.Addr().Is4()
@@ -149,7 +151,8 @@
 	return errors.Wrap(err, "settings")
 }
 
-// Secrets resolves the list to key material, first one current.
+// Secrets reads the bytes of the listed secrets. The first secret is the
+// current one.
 func Secrets(list []Secret) ([]route.Secret, error) {
 	out := make([]route.Secret, 0, len(list))
 	for _, s := range list {
@@ -162,6 +165,7 @@
 	return out, nil
 }
 
+// bytes reads and decodes the secret.
 func (s Secret) bytes() ([]byte, error) {
 	text := s.Hex
 	if s.Env != "" {
--- a/settings/settingstest/template.go
+++ b/settings/settingstest/template.go
@@ -1,4 +1,4 @@
-// Package settingstest renders the templates in deploy/ for their tests.
+// Package settingstest renders the settings templates in deploy/ for tests.
 package settingstest
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// values are what the platform fills into the templates of one node.
-var values = map[string]any{
+// nodeValues are the values that the platform fills into the templates of one node.
+var nodeValues = map[string]any{
 	"node-name": "node-1", "zone": "z1", "ip": "10.0.0.1", "internal-ports.0": 7720, "service": "alpha",
 	"listen.data-addr": "10.0.0.1:8172", "listen.ready": "10.0.0.1:8167", "listen.outbound": "10.0.0.1:8162",
 	"listen.control": "10.0.0.1:8166", "app": "10.0.0.1:8165", "seeds": []string{"10.0.0.1:8166", "10.0.0.2:8166"},
@@ -23,41 +23,41 @@
 	"bounds.stable-ms": 4000,
 }
 
-// optional are values that a deployment may not have.
-var optional = []string{"seeds", "heartbeat-ms", "bounds.flow-ttl-s", "bounds.stable-ms"}
+// optionalValues name the values that a deployment may omit.
+var optionalValues = []string{"seeds", "heartbeat-ms", "bounds.flow-ttl-s", "bounds.stable-ms"}
 
 var (
 	sectionPattern = regexp.MustCompile(`(?s)\{\{#([\w.-]+)\}\}(.*?)\{\{/[\w.-]+\}\}`)
 	valuePattern   = regexp.MustCompile(`\{\{([\w.-]+)(\|json)?\}\}`)
 )
 
-// Render fills the template at a path with one node's values.
+// Render renders the template at path with all values of a node.
 func Render(t testing.TB, path string) []byte {
 	t.Helper()
 	template, err := os.ReadFile(path)
 	require.NoError(t, err)
-	text, err := renderTemplate(string(template), values)
+	text, err := renderTemplate(string(template), nodeValues)
 	require.NoError(t, err)
 	return []byte(text)
 }
 
-// RenderBare fills the template for a deployment without the optional values.
+// RenderBare renders the template at path without the optional values.
 func RenderBare(t testing.TB, path string) []byte {
 	t.Helper()
 	template, err := os.ReadFile(path)
 	require.NoError(t, err)
-	bare := maps.Clone(values)
-	for _, name := range optional {
-		delete(bare, name)
+	required := maps.Clone(nodeValues)
+	for _, name := range optionalValues {
+		delete(required, name)
 	}
-	text, err := renderTemplate(string(template), bare)
+	text, err := renderTemplate(string(template), required)
 	require.NoError(t, err)
 	return []byte(text)
 }
 
-// renderTemplate fills a template in deploy/ as the platform does, as far as the
-// templates there use it: values, values as JSON, sections over lists of text,
-// and sections that stand only where there is a value.
+// renderTemplate renders a template as the platform does. It supports what the
+// templates in deploy/ use: values, values as JSON, sections that repeat for each
+// string of a list, and sections that are omitted when the value is missing.
 func renderTemplate(template string, values map[string]any) (string, error) {
 	out := sectionPattern.ReplaceAllStringFunc(template, func(section string) string {
 		m := sectionPattern.FindStringSubmatch(section)
