--- a/telemetry/asyncwriter.go
+++ b/telemetry/asyncwriter.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// Limits of the log's buffer.
+// Limits of the log buffer.
 const (
-	// bufferLimit bounds the lines that wait for the output, in bytes; one more
-	// is left out and counted.
+	// bufferLimit limits the buffered lines, in bytes; further lines are dropped
+	// and counted.
 	bufferLimit = 256 << 10
-	// flushPeriod is how long a line may wait. A write for each line would cost
-	// a system call.
+	// flushPeriod is how long a line may stay in the buffer. Unbuffered, each
+	// line would cost a system call.
 	flushPeriod = 200 * time.Millisecond
 )
 
-// AsyncWriter never blocks its writers: lines wait in a bounded buffer, and
-// those that do not fit are left out. What was left out is said in a line. It
-// implements zapcore.WriteSyncer.
+// AsyncWriter buffers log lines so that a slow output never blocks the code
+// that logs. Lines that do not fit into the buffer are dropped, and a line
+// reports how many. It implements zapcore.WriteSyncer.
 type AsyncWriter struct {
 	out io.Writer
-	// mu guards buf, spare and left; it is never held during output.
-	mu    sync.Mutex
-	buf   []byte
-	spare []byte
-	left  int
-	// outMu orders the output; it is taken before mu.
+	// mu guards pending and dropped; it is never held during output.
+	mu      sync.Mutex
+	pending []byte
+	spare   []byte
+	dropped int
+	// outMu serializes the output and guards spare; it is locked before mu.
 	outMu sync.Mutex
 }
 
-// NewAsyncWriter returns a writer to out and starts its goroutine, which lives
-// as long as the process.
+// NewAsyncWriter returns a writer to out and starts its goroutine, which runs
+// until the process exits.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	w := &AsyncWriter{out: out}
 	go w.run()
@@ -41,34 +41,34 @@
 
 func (w *AsyncWriter) run() {
 	for range time.Tick(flushPeriod) {
-		// The log cannot report that it cannot write; lines are lost then.
+		// A failure to write the log cannot be logged; the lines are lost.
 		_ = w.Sync()
 	}
 }
 
-// Write implements io.Writer; it takes one whole line.
+// Write implements io.Writer; line is one complete line.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.buf)+len(line) > bufferLimit {
-		w.left++
+	if len(w.pending)+len(line) > bufferLimit {
+		w.dropped++
 		return len(line), nil
 	}
-	w.buf = append(w.buf, line...)
+	w.pending = append(w.pending, line...)
 	return len(line), nil
 }
 
-// Sync writes what waits.
+// Sync writes the buffered lines to the output.
 func (w *AsyncWriter) Sync() error {
 	w.outMu.Lock()
 	defer w.outMu.Unlock()
 	w.mu.Lock()
-	data, left := w.buf, w.left
-	w.buf, w.left = w.spare[:0], 0
+	data, dropped := w.pending, w.dropped
+	w.pending, w.dropped = w.spare[:0], 0
 	w.mu.Unlock()
-	if left > 0 {
-		data = append(data, `{"level":"warn","msg":"log lines left out","lines":`...)
-		data = strconv.AppendInt(data, int64(left), 10)
+	if dropped > 0 {
+		data = append(data, `{"level":"warn","msg":"log lines dropped","lines":`...)
+		data = strconv.AppendInt(data, int64(dropped), 10)
 		data = append(data, "}\n"...)
 	}
 	var err error
--- a/telemetry/budget.go
+++ b/telemetry/budget.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Budget bounds the lines of one kind: so many in each second, the rest is
-// counted and said with the next line. It is not safe for concurrent use.
+// Budget limits the rate of log lines of one kind. Lines above the limit are
+// dropped, and their number is reported with the next line written. It is not
+// safe for concurrent use.
 type Budget struct {
-	// PerSecond is how many lines a second may have.
-	PerSecond int
-	second    int64
-	used      int
-	left      int
+	// PerSecond is the maximum number of lines in each second.
+	PerSecond     int
+	currentSecond int64
+	written       int
+	dropped       int
 }
 
-// Take tells whether a line may be written now, and how many were left out
+// Take reports whether a line may be written now, and how many were dropped
 // since the last one.
-func (b *Budget) Take(now time.Time) (leftOut int, ok bool) {
-	if s := now.Unix(); s != b.second {
-		b.second, b.used = s, 0
+func (b *Budget) Take(now time.Time) (dropped int, ok bool) {
+	if s := now.Unix(); s != b.currentSecond {
+		b.currentSecond, b.written = s, 0
 	}
-	if b.used >= b.PerSecond {
-		b.left++
+	if b.written >= b.PerSecond {
+		b.dropped++
 		return 0, false
 	}
-	b.used++
-	leftOut, b.left = b.left, 0
-	return leftOut, true
+	b.written++
+	dropped, b.dropped = b.dropped, 0
+	return dropped, true
 }
--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -8,28 +8,29 @@
 	"go.uber.org/zap"
 )
 
-// FieldLeftOut says how many lines of a kind were left out before a line.
-const FieldLeftOut = "left_out"
+// FieldDropped is the log field with the number of lines of the same kind that
+// were dropped before this line.
+const FieldDropped = "left_out"
 
-// Lines writes log lines within budgets. It is not safe for concurrent use.
+// Lines writes rate-limited log lines. It is not safe for concurrent use.
 type Lines struct {
 	Log *zap.Logger
 	Now func() time.Time
 }
 
-// Write writes one line if its kind's budget allows it.
+// Write logs a line at info level if b allows it.
 func (l *Lines) Write(b *Budget, msg string, fields ...zap.Field) {
-	left, ok := b.Take(l.Now())
+	dropped, ok := b.Take(l.Now())
 	if !ok {
 		return
 	}
-	if left > 0 {
-		fields = append(fields, zap.Int(FieldLeftOut, left))
+	if dropped > 0 {
+		fields = append(fields, zap.Int(FieldDropped, dropped))
 	}
 	l.Log.Info(msg, fields...)
 }
 
-// Counters makes the counters of one subsystem.
+// Counters registers the metrics of one subsystem.
 type Counters struct {
 	Registry  *prometheus.Registry
 	Subsystem string
@@ -37,43 +38,43 @@
 
 const namespace = "poppywall"
 
-// Counter returns a new counter.
+// Counter registers a counter.
 func (c Counters) Counter(name, help string) prometheus.Counter {
 	return promauto.With(c.Registry).NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Subsystem: c.Subsystem, Name: name, Help: help,
 	})
 }
 
-// Vector returns a new vector of counters with one label.
+// Vector registers a counter vector with one label.
 func (c Counters) Vector(name, help, label string) *prometheus.CounterVec {
 	return promauto.With(c.Registry).NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Subsystem: c.Subsystem, Name: name, Help: help,
 	}, []string{label})
 }
 
-// Gauge returns a new gauge.
+// Gauge registers a gauge.
 func (c Counters) Gauge(name, help string) prometheus.Gauge {
 	return promauto.With(c.Registry).NewGauge(prometheus.GaugeOpts{
 		Namespace: namespace, Subsystem: c.Subsystem, Name: name, Help: help,
 	})
 }
 
-// GaugeVector returns a new vector of gauges with one label.
+// GaugeVector registers a gauge vector with one label.
 func (c Counters) GaugeVector(name, help, label string) *prometheus.GaugeVec {
 	return promauto.With(c.Registry).NewGaugeVec(prometheus.GaugeOpts{
 		Namespace: namespace, Subsystem: c.Subsystem, Name: name, Help: help,
 	}, []string{label})
 }
 
-// Histogram returns a new histogram.
+// Histogram registers a histogram.
 func (c Counters) Histogram(name, help string, buckets []float64) prometheus.Histogram {
 	return promauto.With(c.Registry).NewHistogram(prometheus.HistogramOpts{
 		Namespace: namespace, Subsystem: c.Subsystem, Name: name, Help: help, Buckets: buckets,
 	})
 }
 
-// ByReason returns a counter for each reason, so that counting one looks nothing
-// up by its text.
+// ByReason registers a counter vector and returns the counter of each reason, so that
+// incrementing one needs no lookup by label value.
 func ByReason[R ~string](c Counters, name, help string, reasons []R) map[R]prometheus.Counter {
 	vector := c.Vector(name, help, "reason")
 	out := make(map[R]prometheus.Counter, len(reasons))
--- a/telemetry/log_test.go
+++ b/telemetry/log_test.go
@@ -10,22 +10,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blocking is an output that takes nothing until it is released.
-type blocking struct {
+// blockingWriter blocks every write until release is closed.
+type blockingWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	buf     bytes.Buffer
 }
 
-func (b *blocking) Write(p []byte) (int, error) {
+func (b *blockingWriter) Write(p []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.Write(p)
 }
 
-func TestALogThatBlocksHoldsNobodyUp(t *testing.T) {
-	out := &blocking{release: make(chan struct{})}
+func TestAsyncWriterDoesNotBlockOnSlowOutput(t *testing.T) {
+	out := &blockingWriter{release: make(chan struct{})}
 	w := NewAsyncWriter(out)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	began := time.Now()
@@ -40,20 +40,20 @@
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	require.LessOrEqual(t, out.buf.Len(), 2*bufferLimit+1024)
-	require.Contains(t, out.buf.String(), `"msg":"log lines left out","lines":`)
+	require.Contains(t, out.buf.String(), `"msg":"log lines dropped","lines":`)
 }
 
-func TestBudgetSaysWhatItLeftOut(t *testing.T) {
+func TestBudgetReportsDroppedLines(t *testing.T) {
 	b := Budget{PerSecond: 2}
 	now := time.Unix(100, 0)
 	for i, want := range []bool{true, true, false, false} {
 		_, ok := b.Take(now)
 		require.Equal(t, want, ok, i)
 	}
-	left, ok := b.Take(now.Add(time.Second))
+	dropped, ok := b.Take(now.Add(time.Second))
 	require.True(t, ok)
-	require.Equal(t, 2, left)
-	left, ok = b.Take(now.Add(time.Second))
+	require.Equal(t, 2, dropped)
+	dropped, ok = b.Take(now.Add(time.Second))
 	require.True(t, ok)
-	require.Zero(t, left)
+	require.Zero(t, dropped)
 }
--- a/telemetry/senttraffic.go
+++ b/telemetry/senttraffic.go
@@ -5,21 +5,23 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// ReceiverZone tells whether the receiver of a datagram is in the sender's zone.
+// ReceiverZone is the zone of a datagram's receiver relative to the sender's.
 type ReceiverZone int
 
 // The receiver zones.
 const (
-	// ZoneUnknown: the sender does not know the receiver's zone.
+	// ZoneUnknown means that the sender does not know the receiver's zone.
 	ZoneUnknown ReceiverZone = iota
-	// SameZone and OtherZone are seen from the sender.
+	// SameZone means the sender's zone.
 	SameZone
+	// OtherZone means any zone other than the sender's.
 	OtherZone
 )
 
 var receiverZones = []string{ZoneUnknown: "unknown", SameZone: "same", OtherZone: "other"}
 
-// ReceiverZoneOf compares the receiver's zone, if it is known, with the sender's own.
+// ReceiverZoneOf compares the receiver's zone, if it is known, with own, the sender's
+// zone.
 func ReceiverZoneOf[Zone comparable](own, receiver Zone, known bool) ReceiverZone {
 	switch {
 	case !known:
@@ -31,14 +33,14 @@
 	}
 }
 
-// SentTraffic counts what a node sends to others, by kind of message and by whether the
-// receiver is in another zone: bytes between zones are dear. Its series are all there
-// from the start, so that counting looks nothing up by its text.
+// SentTraffic counts the datagrams and bytes that a node sends to other nodes, by kind of
+// message and by ReceiverZone, since traffic between zones is expensive. All series are
+// created at the start, so that counting needs no lookup by label value.
 type SentTraffic struct {
 	datagrams, bytes [][]prometheus.Counter
 }
 
-// NewSentTraffic returns counters for the named kinds.
+// NewSentTraffic registers the counters of the named kinds.
 func NewSentTraffic(c Counters, kinds []string) *SentTraffic {
 	vector := func(name, help string) [][]prometheus.Counter {
 		v := promauto.With(c.Registry).NewCounterVec(prometheus.CounterOpts{
@@ -60,7 +62,8 @@
 	}
 }
 
-// Count notes a datagram of the kind with that index.
+// Count counts a datagram; kind is an index into the names given to NewSentTraffic.
+// Other kinds are ignored.
 func (s *SentTraffic) Count(kind int, to ReceiverZone, bytes int) {
 	if kind < 0 || kind >= len(s.bytes) {
 		return
--- a/telemetry/storecalls.go
+++ b/telemetry/storecalls.go
@@ -9,34 +9,36 @@
 	"github.com/poppywall/poppywall/store"
 )
 
-// Purpose is what calls at the store are for.
+// Purpose is the purpose of calls to the store.
 type Purpose string
 
-// The purposes.
+// The purposes of calls.
 const (
-	// PurposeOperator is what the operator has written.
+	// PurposeOperator is reading what operators have written, such as the
+	// configuration.
 	PurposeOperator Purpose = "operator"
-	// PurposeEntry is the process's own entry in the registry.
+	// PurposeEntry is maintaining the process's own entry in the registry.
 	PurposeEntry Purpose = "entry"
-	// PurposeRegistry is who else may be there.
+	// PurposeRegistry is reading the registry entries of other nodes.
 	PurposeRegistry Purpose = "registry"
 )
 
-// StoreCalls counts a process's calls at the store, each of which is priced.
+// StoreCalls counts a process's calls to the store, by purpose and kind; the
+// platform charges for each call.
 type StoreCalls struct{ calls *prometheus.CounterVec }
 
-// NewStoreCalls returns a counter of calls.
+// NewStoreCalls registers the counter of calls.
 func NewStoreCalls(c Counters) *StoreCalls {
 	return &StoreCalls{c.Vector("store_calls_total", "Calls at the store, by what they are for and how.", "call")}
 }
 
-// For returns a store whose calls are counted for a purpose.
+// For returns a store that counts the calls to s under a purpose.
 func (c *StoreCalls) For(p Purpose, s store.Watcher) store.Watcher {
 	count := func(how string) prometheus.Counter { return c.calls.WithLabelValues(string(p) + "-" + how) }
 	return &countedStore{store: s, reads: count("read"), stale: count("stale-read"), writes: count("write"), watches: count("watch")}
 }
 
-// countedStore implements store.Watcher.
+// countedStore is a store.Watcher that counts the calls to another.
 type countedStore struct {
 	store                         store.Watcher
 	reads, stale, writes, watches prometheus.Counter
--- a/telemetry/storecalls_test.go
+++ b/telemetry/storecalls_test.go
@@ -12,7 +12,7 @@
 	"github.com/poppywall/poppywall/store"
 )
 
-// emptyStore answers every call with nothing.
+// emptyStore returns an empty response to every call.
 type emptyStore struct{}
 
 func (emptyStore) Range(context.Context, store.RangeRequest) (store.RangeResponse, error) {
@@ -26,7 +26,6 @@
 	return store.Changes{}, nil
 }
 
-// TestStoreCallsAreCountedByPurpose.
 func TestStoreCallsAreCountedByPurpose(t *testing.T) {
 	calls := NewStoreCalls(Counters{Registry: prometheus.NewRegistry(), Subsystem: "test"})
 	s, other := calls.For(PurposeEntry, emptyStore{}), calls.For(PurposeRegistry, emptyStore{})
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry makes a process visible: its logger, its metrics registry
-// and the HTTP endpoint that serves /metrics and /healthz.
+// Package telemetry provides the logger and the metrics of a process, and the
+// HTTP endpoint that serves /metrics and /healthz.
 package telemetry
 
 import (
@@ -25,19 +25,19 @@
 	FieldPeer     = "peer"
 	FieldRevision = "revision"
 	FieldAddress  = "address"
-	// FieldConfig is the version of a configuration, FieldBytes its size.
+	// FieldConfig is the version of a configuration; FieldBytes is its size.
 	FieldConfig = "config"
 	FieldBytes  = "bytes"
-	// FieldEvacuations is the store's revision of the emptied zones.
+	// FieldEvacuations is the store's revision of the set of evacuated zones.
 	FieldEvacuations = "evacuations"
 )
 
-// Version is set at link time.
+// Version is the version of the build; the linker sets it.
 var Version = "dev"
 
-// NewLogger builds a logger to standard output that never blocks, and returns
-// its level, which may be changed while the process runs. Settings are valid
-// already.
+// NewLogger returns a logger that writes to standard output without blocking
+// the caller, and its level, which may be changed while the process runs. cfg has
+// been validated.
 func NewLogger(cfg settings.Log) (*zap.Logger, zap.AtomicLevel, error) {
 	level, err := ParseLevel(cfg)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return zap.New(zapcore.NewCore(encoder, NewAsyncWriter(os.Stdout), atomic)), atomic, nil
 }
 
-// ParseLevel returns the level that the settings name; info when they name none.
+// ParseLevel returns the log level of cfg; info when it has none.
 func ParseLevel(cfg settings.Log) (zapcore.Level, error) {
 	if cfg.Level == "" {
 		return zapcore.InfoLevel, nil
@@ -62,14 +62,14 @@
 // Health is a process's readiness; it starts unhealthy.
 type Health struct{ ready atomic.Bool }
 
-// Set changes the readiness.
+// Set sets the readiness.
 func (h *Health) Set(ready bool) { h.ready.Store(ready) }
 
-// Ready tells the readiness.
+// Ready reports whether the process is ready.
 func (h *Health) Ready() bool { return h.ready.Load() }
 
-// ServeHTTP answers 200 when ready and 503 otherwise; the fabric's health
-// check reads it.
+// ServeHTTP responds with 200 when ready and 503 otherwise, for the network
+// fabric's health check.
 func (h *Health) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	if !h.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -84,23 +84,23 @@
 	listener net.Listener
 }
 
-// timeouts bound what a connection may keep open: one may go silent for good
-// without a reset.
+// timeouts limit how long a connection may be idle or stalled, since a peer may
+// disappear without a reset.
 type timeouts struct {
-	// header bounds a request's header, answer the writing of its answer, idle
-	// the pause between two requests.
-	header, answer, idle time.Duration
+	// header limits reading a request's header, write limits writing the
+	// response, and idle limits the pause between two requests.
+	header, write, idle time.Duration
 }
 
-// The readers of these servers call each second or so, and answers are at most
-// some megabytes between VMs of one region.
-var serverTimeouts = timeouts{header: 5 * time.Second, answer: 10 * time.Second, idle: 15 * time.Second}
+// Clients of these servers send a request about every second, and responses are
+// at most some megabytes between VMs of one region.
+var serverTimeouts = timeouts{header: 5 * time.Second, write: 10 * time.Second, idle: 15 * time.Second}
 
-func (t timeouts) server(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: t.header, WriteTimeout: t.answer, IdleTimeout: t.idle}
+func (t timeouts) newServer(handler http.Handler) *http.Server {
+	return &http.Server{Handler: handler, ReadHeaderTimeout: t.header, WriteTimeout: t.write, IdleTimeout: t.idle}
 }
 
-// Listen opens the endpoint's listener.
+// Listen binds address and returns the endpoint; Serve runs it.
 func Listen(address string, reg *prometheus.Registry, health *Health) (*Endpoint, error) {
 	ln, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -109,13 +109,13 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	mux.Handle("GET /healthz", health)
-	return &Endpoint{server: serverTimeouts.server(mux), listener: ln}, nil
+	return &Endpoint{server: serverTimeouts.newServer(mux), listener: ln}, nil
 }
 
 // Addr returns the bound address.
 func (e *Endpoint) Addr() string { return e.listener.Addr().String() }
 
-// Serve runs until ctx ends.
+// Serve serves requests until ctx ends.
 func (e *Endpoint) Serve(ctx context.Context) error { return serve(ctx, e.listener, e.server) }
 
 // ServeHTTP serves a handler on an address until ctx ends.
@@ -124,7 +124,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "listen on %s", address)
 	}
-	return serve(ctx, ln, serverTimeouts.server(handler))
+	return serve(ctx, ln, serverTimeouts.newServer(handler))
 }
 
 // ServeMetrics serves /metrics and /healthz of a process that is healthy as long
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -11,18 +11,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSilentConnectionsAreClosed: a peer that went away without a word holds no
-// descriptor for ever, neither between requests nor within a header nor while
-// it reads nothing of an answer.
-func TestSilentConnectionsAreClosed(t *testing.T) {
-	answer := make([]byte, 16<<20)
-	short := timeouts{header: 100 * time.Millisecond, answer: 100 * time.Millisecond, idle: 100 * time.Millisecond}
+// TestServerClosesStalledConnections: a peer that disappears without a reset does not
+// hold a file descriptor for ever, whether between requests, within a request header or
+// while it reads nothing of the response.
+func TestServerClosesStalledConnections(t *testing.T) {
+	body := make([]byte, 16<<20)
+	short := timeouts{header: 100 * time.Millisecond, write: 100 * time.Millisecond, idle: 100 * time.Millisecond}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	closed := make(chan struct{}, 16)
-	server := short.server(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := short.newServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/large" {
-			_, _ = w.Write(answer)
+			_, _ = w.Write(body)
 		}
 	}))
 	server.ConnState = func(_ net.Conn, s http.ConnState) {
@@ -34,9 +34,9 @@
 	defer stop()
 	go func() { _ = serve(ctx, ln, server) }()
 	for name, sent := range map[string]string{
-		"between requests": "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
-		"within a header":  "GET / HT",
-		"within an answer": "GET /large HTTP/1.1\r\nHost: a\r\n\r\n",
+		"between requests":  "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
+		"within a header":   "GET / HT",
+		"within a response": "GET /large HTTP/1.1\r\nHost: a\r\n\r\n",
 	} {
 		conn, err := net.Dial("tcp4", ln.Addr().String())
 		require.NoError(t, err)
@@ -49,7 +49,7 @@
 		select {
 		case <-closed:
 		case <-time.After(5 * time.Second):
-			require.Fail(t, "connection stays open", name)
+			require.Fail(t, "connection is still open", name)
 		}
 		_ = conn.Close()
 	}
--- a/telemetry/zones.go
+++ b/telemetry/zones.go
@@ -5,34 +5,34 @@
 	"go.uber.org/zap"
 )
 
-// ZoneGauges show which zones a node takes for emptied, and by which revision of the
-// store: where all nodes show the same, an evacuation is in force everywhere.
+// ZoneGauges show the zones that a node regards as evacuated, and the store revision
+// that they come from: once all nodes show the same, an evacuation is in force everywhere.
 type ZoneGauges struct {
-	emptied  *prometheus.GaugeVec
-	revision prometheus.Gauge
+	evacuated *prometheus.GaugeVec
+	revision  prometheus.Gauge
 }
 
-// NewZoneGauges registers the gauges of a subsystem.
+// NewZoneGauges registers the gauges.
 func NewZoneGauges(c Counters) *ZoneGauges {
 	return &ZoneGauges{
-		emptied:  c.GaugeVector("emptied_zone", "1 for each availability zone whose targets get no new flows.", "zone"),
-		revision: c.Gauge("emptied_zones_revision", "The store's revision by which the emptied zones changed last."),
+		evacuated: c.GaugeVector("emptied_zone", "1 for each availability zone whose targets get no new flows.", "zone"),
+		revision:  c.Gauge("emptied_zones_revision", "The store's revision by which the emptied zones changed last."),
 	}
 }
 
-// Changed shows and logs that other zones than formerly are emptied since a revision;
-// from is who told it.
+// Changed sets the gauges to the evacuated zones as of a revision and logs the change.
+// former are the zones evacuated before; from is the source of the change.
 func (g *ZoneGauges) Changed(log *zap.Logger, zones, former []string, revision int64, from string) {
 	g.set(zones, revision)
 	log.Info("zones emptied", zap.Strings("zones", zones), zap.Strings("former", former),
 		zap.Int64(FieldEvacuations, revision), zap.String("from", from))
 }
 
-// set replaces the zones shown.
+// set replaces the evacuated zones in the gauges.
 func (g *ZoneGauges) set(zones []string, revision int64) {
-	g.emptied.Reset()
+	g.evacuated.Reset()
 	for _, zone := range zones {
-		g.emptied.WithLabelValues(zone).Set(1)
+		g.evacuated.WithLabelValues(zone).Set(1)
 	}
 	g.revision.Set(float64(revision))
 }
--- a/telemetry/zones_test.go
+++ b/telemetry/zones_test.go
@@ -13,9 +13,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// TestEmptiedZonesAreShownAndLogged: the metrics name just those that are emptied now, the
-// line also those before.
-func TestEmptiedZonesAreShownAndLogged(t *testing.T) {
+// TestEvacuatedZonesInMetricsAndLog: the metrics show only the zones evacuated now, the
+// log line also those before.
+func TestEvacuatedZonesInMetricsAndLog(t *testing.T) {
 	reg := prometheus.NewRegistry()
 	g := NewZoneGauges(Counters{Registry: reg, Subsystem: "front"})
 	var out bytes.Buffer
