--- a/control/control_test.go
+++ b/control/control_test.go
@@ -113,7 +113,7 @@
 	return len(b), nil
 }
 
-func TestReplayedAndForgedFramesAreRejected(t *testing.T) {
+func TestReplayedFrameIsRejected(t *testing.T) {
 	client, server := newStreamPair(t)
 	body := []byte(`{"Text":"x"}`)
 	frame := make([]byte, frameHeaderLen)
--- a/control/messages.go
+++ b/control/messages.go
@@ -39,8 +39,8 @@
 	Data        netip.AddrPort        `json:"d"`
 	Incarnation directory.Incarnation `json:"i"`
 	Sequence    uint32                `json:"q"`
-	// Entry is the agent's directory entry, sent when this registrar does not
-	// have it yet.
+	// Entry is the agent's directory entry, sent until this registrar has
+	// acknowledged its Sequence.
 	Entry *directory.Entry `json:"e,omitempty"`
 	// Host names the host whose configuration records the agent needs;
 	// Revision is the configuration revision that the agent has.
@@ -66,18 +66,20 @@
 	Registrars []directory.Entry `json:"g,omitempty"`
 }
 
-// ExchangeRequest is one gossip round between two balancers.
+// ExchangeRequest starts one gossip round between two balancers.
 type ExchangeRequest struct {
-	Rumours  []directory.Entry `json:"e,omitempty"`
-	Root     uint64            `json:"x"`
-	Revision catalog.Revision  `json:"r"`
+	Rumours []directory.Entry `json:"e,omitempty"`
+	// Root is the digest of the sender's whole directory.
+	Root     uint64           `json:"x"`
+	Revision catalog.Revision `json:"r"`
 }
 
 // ExchangeReply is the reply to an ExchangeRequest.
 type ExchangeReply struct {
-	Rumours  []directory.Entry `json:"e,omitempty"`
-	Root     uint64            `json:"x"`
-	Revision catalog.Revision  `json:"r"`
+	Rumours []directory.Entry `json:"e,omitempty"`
+	// Root is the digest of the replier's whole directory.
+	Root     uint64           `json:"x"`
+	Revision catalog.Revision `json:"r"`
 	// News lists the requester's gossip updates that were new to the replier,
 	// by index.
 	News []int `json:"n,omitempty"`
