--- a/agent/agent.go
+++ b/agent/agent.go
@@ -29,50 +29,52 @@
 )
 
 const (
-	callTimeout     = 2 * time.Second
-	platformTimeout = 5 * time.Second
-	idleConn        = time.Minute
-	headerTimeout   = 5 * time.Second
-	sweepEvery      = time.Second
-	// farewellRounds is how often a leaving agent announces its last state.
-	farewellRounds = 2
-	// bufferWarning silences the QUIC library about socket buffers: it sees a
-	// packet connection of ours, not a socket.
-	bufferWarning = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
+	callTimeout       = 2 * time.Second
+	platformTimeout   = 5 * time.Second
+	idleConnTimeout   = time.Minute
+	readHeaderTimeout = 5 * time.Second
+	sweepInterval     = time.Second
+	// finalHeartbeatRounds is how many heartbeat rounds a leaving agent sends
+	// with status Left.
+	finalHeartbeatRounds = 2
+	// disableBufferWarningEnv turns off the QUIC library's warning about socket
+	// buffer sizes: it reads from a serviceConn, not from a socket.
+	disableBufferWarningEnv = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
 )
 
-// Agent is one agent process.
+// Agent is the process that runs beside the targets of a host and serves QUIC
+// for them.
 //
-// Lock order: replanMu, then state.mu, then gate.mu; mux.mu and endpoint.mu
+// Lock order: reconcileMu, then state.mu, then gate.mu; mux.mu and endpoint.mu
 // are leaf locks. No lock is held during a call to another process.
 type Agent struct {
-	cfg      Settings
-	log      *zap.Logger
-	health   *telemetry.Health
-	metrics  *metrics
-	mux      *mux
-	gate     *gate
-	handover *handover
-	certs    *certificates
-	client   *control.Client
-	store    store.Store
-	traffic  control.Traffic
-	http     *telemetry.Endpoint
-	announce net.Listener
-	// kick asks for a heartbeat round at once.
-	kick chan struct{}
+	cfg              Settings
+	log              *zap.Logger
+	health           *telemetry.Health
+	metrics          *metrics
+	mux              *mux
+	gate             *gate
+	dispatcher       *dispatcher
+	certificates     *certificates
+	client           *control.Client
+	store            store.Store
+	traffic          control.Traffic
+	httpEndpoint     *telemetry.Endpoint
+	announceListener net.Listener
+	// heartbeatTrigger starts a heartbeat round without waiting for the period.
+	heartbeatTrigger chan struct{}
 
-	// replanMu serialises replan.
-	replanMu sync.Mutex
-	state    state
-	workers  *worker.Group
-	serving  context.Context
+	// reconcileMu serialises reconcile.
+	reconcileMu sync.Mutex
+	state       state
+	workers     *worker.Group
+	servingCtx  context.Context
 }
 
-// state is what the agent knows; mu guards all of it.
+// state is the agent's mutable state; mu guards all fields.
 type state struct {
 	mu        sync.Mutex
-	registry  *registry
+	registry  *targetRegistry
 	catalog   *catalog.State
 	entry     directory.Entry
 	plan      plan
@@ -80,9 +82,9 @@
 	leaving   bool
 }
 
-// New opens all sockets of an agent; Run serves them.
+// New returns an agent with all its sockets open; Run serves them.
 func New(cfg Settings, log *zap.Logger) (*Agent, error) {
-	if err := os.Setenv(bufferWarning, "true"); err != nil {
+	if err := os.Setenv(disableBufferWarningEnv, "true"); err != nil {
 		return nil, err
 	}
 	secrets, err := settings.Secrets(cfg.Secrets)
@@ -90,21 +92,21 @@
 		return nil, err
 	}
 	a := &Agent{
-		cfg:      cfg,
-		log:      log,
-		workers:  worker.NewGroup(log),
-		health:   &telemetry.Health{},
-		gate:     newGate(time.Now, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		handover: newHandover(),
-		kick:     make(chan struct{}, 1),
+		cfg:              cfg,
+		log:              log,
+		workers:          worker.NewGroup(log),
+		health:           &telemetry.Health{},
+		gate:             newGate(time.Now, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		dispatcher:       newDispatcher(),
+		heartbeatTrigger: make(chan struct{}, 1),
 	}
-	if a.certs, err = loadCertificates(cfg.Certificates); err != nil {
+	if a.certificates, err = loadCertificates(cfg.Certificates); err != nil {
 		return nil, err
 	}
 	if cfg.Platform != "" {
 		a.store = gateway.NewClient(cfg.Platform, platformTimeout)
 	}
-	a.client = control.NewClient(secrets, &a.traffic, callTimeout, idleConn)
+	a.client = control.NewClient(secrets, &a.traffic, callTimeout, idleConnTimeout)
 	if err := a.listen(secrets); err != nil {
 		return nil, err
 	}
@@ -132,15 +134,15 @@
 		return err
 	}
 	a.mux = newMux(socket, tagger, codec, resets, a.metrics)
-	if a.announce, err = a.listenAnnounce(); err != nil {
+	if a.announceListener, err = a.listenAnnounce(); err != nil {
 		return err
 	}
-	a.http, err = telemetry.Listen(a.cfg.Metrics, reg, a.health)
+	a.httpEndpoint, err = telemetry.Listen(a.cfg.Metrics, reg, a.health)
 	return err
 }
 
 func (a *Agent) initState() {
-	a.state.registry = newRegistry(a.cfg.Host, a.cfg.TargetTTL.D())
+	a.state.registry = newTargetRegistry(a.cfg.Host, a.cfg.TargetTTL.D())
 	a.state.catalog = catalog.NewState()
 	a.state.endpoints = map[route.ServiceID]*endpoint{}
 	a.state.entry = directory.Entry{
@@ -148,29 +150,30 @@
 		Name:        a.cfg.Host,
 		Zone:        a.cfg.Zone,
 		Data:        a.mux.socket.Addr(),
-		Control:     netip.MustParseAddrPort(a.http.Addr()),
+		Control:     netip.MustParseAddrPort(a.httpEndpoint.Addr()),
 		Incarnation: directory.Incarnation(time.Now().Unix()),
 		Sequence:    1,
 		Status:      directory.Alive,
 	}
 }
 
-// AnnounceURL returns the base URL for targets.
-func (a *Agent) AnnounceURL() string { return "http://" + a.announce.Addr().String() }
+// AnnounceURL returns the base URL at which targets announce themselves.
+func (a *Agent) AnnounceURL() string { return "http://" + a.announceListener.Addr().String() }
 
 // MetricsAddr returns the bound address of /metrics and /healthz.
-func (a *Agent) MetricsAddr() string { return a.http.Addr() }
+func (a *Agent) MetricsAddr() string { return a.httpEndpoint.Addr() }
 
-// Run serves until ctx ends, then leaves gracefully: no new work, GOAWAY to
-// callers, open work runs on until it ends or DrainLimit passes.
+// Run serves until ctx ends and then shuts down gracefully: it accepts no new
+// work, sends GOAWAY to callers, and lets open work continue until it ends or
+// DrainLimit has passed.
 func (a *Agent) Run(ctx context.Context) error {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	a.serving = serving
+	a.servingCtx = serving
 	a.startWorkers(serving)
 	a.health.Set(true)
 	<-ctx.Done()
-	a.leave(serving)
+	a.drainAndLeave(serving)
 	stop()
 	a.close()
 	a.workers.Wait()
@@ -181,61 +184,62 @@
 	a.log.Info("agent started",
 		zap.Stringer("data", a.mux.socket.Addr()),
 		zap.String("announce", a.AnnounceURL()),
-		zap.String("metrics", a.http.Addr()))
+		zap.String("metrics", a.httpEndpoint.Addr()))
 	a.workers.Run(a.mux.serve)
-	a.workers.Go(ctx, "http", a.http.Serve)
+	a.workers.Go(ctx, "http", a.httpEndpoint.Serve)
 	a.workers.Go(ctx, "announce-api", a.serveAnnounce)
-	a.workers.Go(ctx, "announce", a.announceLoop)
+	a.workers.Go(ctx, "announce", a.heartbeatLoop)
 	a.workers.Go(ctx, "gate", a.gateLoop)
 	a.workers.Go(ctx, "sweep", a.sweepLoop)
 }
 
 func (a *Agent) serveAnnounce(ctx context.Context) error {
-	srv := &http.Server{Handler: a.announceAPI(), ReadHeaderTimeout: headerTimeout}
+	srv := &http.Server{Handler: a.announceAPI(), ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
-	if err := srv.Serve(a.announce); !errors.Is(err, http.ErrServerClosed) {
+	if err := srv.Serve(a.announceListener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
 func (a *Agent) gateLoop(ctx context.Context) error {
-	return worker.Every(ctx, gatePeriod, func() {
+	return worker.Every(ctx, gateInterval, func() {
 		if a.gate.tick() {
-			a.replan()
+			a.reconcile()
 		}
 	})
 }
 
 func (a *Agent) sweepLoop(ctx context.Context) error {
-	return worker.Every(ctx, sweepEvery, func() {
+	return worker.Every(ctx, sweepInterval, func() {
 		now := time.Now()
 		a.mux.sweep(now)
 		a.state.mu.Lock()
 		expired := a.state.registry.expire(now)
 		a.state.mu.Unlock()
 		if expired {
-			a.replan()
+			a.reconcile()
 		}
 	})
 }
 
-func (a *Agent) kickNow() {
+func (a *Agent) triggerHeartbeat() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.heartbeatTrigger <- struct{}{}:
 	default:
 	}
 }
 
-// leave drains the whole host and waits for open work.
-func (a *Agent) leave(ctx context.Context) {
+// drainAndLeave drains the whole host, waits for open connections up to
+// DrainLimit, and announces the host with status Left.
+func (a *Agent) drainAndLeave(ctx context.Context) {
 	a.log.Info("agent leaving", zap.Duration("limit", a.cfg.DrainLimit.D()))
 	a.health.Set(false)
 	a.state.mu.Lock()
 	a.state.leaving = true
 	a.state.mu.Unlock()
-	a.replan()
+	a.reconcile()
 	limit, cancel := context.WithTimeout(ctx, a.cfg.DrainLimit.D())
 	defer cancel()
 	a.waitIdle(limit)
@@ -243,9 +247,9 @@
 	a.state.entry.Status = directory.Left
 	a.state.entry.Sequence++
 	a.state.mu.Unlock()
-	for range farewellRounds {
-		a.kickNow()
-		time.Sleep(drainPoll)
+	for range finalHeartbeatRounds {
+		a.triggerHeartbeat()
+		time.Sleep(drainPollInterval)
 	}
 }
 
@@ -253,7 +257,7 @@
 	for ctx.Err() == nil && a.openConnections() > 0 {
 		select {
 		case <-ctx.Done():
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
@@ -263,7 +267,7 @@
 	defer a.state.mu.Unlock()
 	n := int64(0)
 	for _, e := range a.state.endpoints {
-		n += e.open.Load()
+		n += e.openConns.Load()
 	}
 	return n
 }
@@ -276,6 +280,6 @@
 		e.close()
 	}
 	_ = a.mux.socket.Close()
-	_ = a.announce.Close()
+	_ = a.announceListener.Close()
 	a.client.Close()
 }
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -20,58 +20,64 @@
 )
 
 const (
-	maxAnnouncement = 64 << 10
-	// askPlatformAfter is how many rounds in a row must fail before the
-	// platform is asked for balancers.
-	askPlatformAfter = 3
-	// seedsTried is the number of bootstrap addresses tried in one round.
-	seedsTried = 2
+	maxAnnouncementLen = 64 << 10
+	// platformFallbackRounds is the number of consecutive failed rounds after
+	// which bootstrap also reads balancer addresses from the platform.
+	platformFallbackRounds = 3
+	// seedsPerRound is the number of bootstrap addresses tried in a round; each
+	// failed round adds one.
+	seedsPerRound = 2
 )
 
-// announcer keeps the host's entry known at its registrars.
-type announcer struct {
+// heartbeatState holds the host's registrars and what was exchanged with each
+// of them.
+type heartbeatState struct {
 	registrars []directory.Entry
-	// told is the sequence that each registrar has acknowledged.
-	told map[netip.AddrPort]uint32
-	// asked is the period that each registrar asked for; period, the longest
-	// of them, is what all are told.
-	asked   map[netip.AddrPort]time.Duration
-	period  time.Duration
-	failing int
+	// acknowledged is the latest entry sequence that each registrar has
+	// acknowledged.
+	acknowledged map[netip.AddrPort]uint32
+	// requestedPeriods is the heartbeat period that each registrar asked for;
+	// period is the longest of them and is announced to all.
+	requestedPeriods map[netip.AddrPort]time.Duration
+	period           time.Duration
+	failedRounds     int
 }
 
-// settlePeriod follows the registrar that asks for the longest period.
-func (an *announcer) settlePeriod(least time.Duration) {
-	an.period = least
-	for _, r := range an.registrars {
-		an.period = max(an.period, an.asked[r.Data])
+// updatePeriod sets the period to the longest one requested by a registrar,
+// but not below minimum.
+func (hs *heartbeatState) updatePeriod(minimum time.Duration) {
+	hs.period = minimum
+	for _, r := range hs.registrars {
+		hs.period = max(hs.period, hs.requestedPeriods[r.Data])
 	}
 }
 
-// announceLoop sends heartbeats each period, and at once on a change.
-func (a *Agent) announceLoop(ctx context.Context) error {
-	an := &announcer{
-		told:   map[netip.AddrPort]uint32{},
-		asked:  map[netip.AddrPort]time.Duration{},
-		period: a.cfg.Heartbeat.D(),
+// heartbeatLoop sends heartbeats once per period, and immediately when the
+// entry changes.
+func (a *Agent) heartbeatLoop(ctx context.Context) error {
+	an := &heartbeatState{
+		acknowledged:     map[netip.AddrPort]uint32{},
+		requestedPeriods: map[netip.AddrPort]time.Duration{},
+		period:           a.cfg.Heartbeat.D(),
 	}
 	for ctx.Err() == nil {
-		// A longer period counts from the round after the one that states it:
-		// registrars expect the host within what it said last.
-		stated := an.period
-		a.announceRound(ctx, an)
-		a.waitForChange(ctx, worker.Jitter(stated))
+		// A longer period that a registrar requests in this round applies from
+		// the next round on, which announces it. Until then registrars expect a
+		// heartbeat within the period announced last.
+		announcedPeriod := an.period
+		a.heartbeatRound(ctx, an)
+		a.waitForTrigger(ctx, worker.Jitter(announcedPeriod))
 	}
 	return nil
 }
 
-func (a *Agent) waitForChange(ctx context.Context, d time.Duration) {
+func (a *Agent) waitForTrigger(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-a.kick:
+	case <-a.heartbeatTrigger:
 	}
 }
 
@@ -82,41 +88,42 @@
 	err   error
 }
 
-// announceRound talks to all registrars at once, or looks for some.
-func (a *Agent) announceRound(ctx context.Context, an *announcer) {
-	peers := an.registrars
+// heartbeatRound sends a heartbeat to all registrars concurrently, or to
+// bootstrap addresses if there are no registrars.
+func (a *Agent) heartbeatRound(ctx context.Context, hs *heartbeatState) {
+	peers := hs.registrars
 	if len(peers) == 0 {
-		peers = a.bootstrap(ctx, an)
+		peers = a.bootstrap(ctx, hs)
 	}
-	results := a.heartbeatAll(ctx, an, peers)
+	results := a.heartbeatAll(ctx, hs, peers)
 	ok := 0
 	for _, r := range results {
 		if r.err != nil {
 			a.metrics.heartbeatErrors.Inc()
 			a.log.Debug("heartbeat failed", zap.String(telemetry.FieldPeer, r.peer.Control.String()), zap.Error(r.err))
-			delete(an.told, r.peer.Data)
+			delete(hs.acknowledged, r.peer.Data)
 			continue
 		}
 		ok++
-		a.takeReply(ctx, an, r)
+		a.handleReply(ctx, hs, r)
 	}
 	if ok == 0 {
-		an.failing++
-		an.registrars = nil
+		hs.failedRounds++
+		hs.registrars = nil
 		return
 	}
-	an.failing = 0
+	hs.failedRounds = 0
 }
 
-// bootstrap returns addresses to find registrars by.
-func (a *Agent) bootstrap(ctx context.Context, an *announcer) []directory.Entry {
+// bootstrap returns random balancers to ask for the list of registrars.
+func (a *Agent) bootstrap(ctx context.Context, hs *heartbeatState) []directory.Entry {
 	addresses := slices.Clone(a.cfg.Balancers)
-	if an.failing >= askPlatformAfter && a.store != nil {
+	if hs.failedRounds >= platformFallbackRounds && a.store != nil {
 		addresses = append(addresses, a.platformSeeds(ctx)...)
 	}
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	var out []directory.Entry
-	for _, s := range addresses[:min(len(addresses), seedsTried+an.failing)] {
+	for _, s := range addresses[:min(len(addresses), seedsPerRound+hs.failedRounds)] {
 		if ap, err := netip.ParseAddrPort(s); err == nil {
 			out = append(out, directory.Entry{Control: ap, Data: ap})
 		}
@@ -132,15 +139,15 @@
 		return nil
 	})
 	if err != nil {
-		a.log.Warn("balancers not read from the platform", zap.Error(err))
+		a.log.Warn("failed to read balancer addresses from the platform", zap.Error(err))
 	}
 	return seeds
 }
 
-func (a *Agent) heartbeatAll(ctx context.Context, an *announcer, peers []directory.Entry) []heartbeatResult {
+func (a *Agent) heartbeatAll(ctx context.Context, hs *heartbeatState, peers []directory.Entry) []heartbeatResult {
 	p := pool.NewWithResults[heartbeatResult]()
 	for _, peer := range peers {
-		req := a.heartbeat(an, peer)
+		req := a.heartbeatRequest(hs, peer)
 		p.Go(func() heartbeatResult {
 			res := heartbeatResult{peer: peer, seq: req.Sequence}
 			res.err = a.client.Call(ctx, peer.Control.String(), control.MethodHeartbeat, req, &res.reply)
@@ -150,7 +157,7 @@
 	return p.Wait()
 }
 
-func (a *Agent) heartbeat(an *announcer, peer directory.Entry) control.HeartbeatRequest {
+func (a *Agent) heartbeatRequest(hs *heartbeatState, peer directory.Entry) control.HeartbeatRequest {
 	a.state.mu.Lock()
 	defer a.state.mu.Unlock()
 	e := a.state.entry
@@ -161,40 +168,41 @@
 		Host:        a.cfg.Host,
 		Zone:        a.cfg.Zone,
 		Revision:    a.state.catalog.Revision(),
-		Registrars:  control.RegistrarHash(an.registrars),
+		Registrars:  control.RegistrarHash(hs.registrars),
 
-		PeriodMillis: an.period.Milliseconds(),
+		PeriodMillis: hs.period.Milliseconds(),
 	}
-	if an.told[peer.Data] != e.Sequence {
+	if hs.acknowledged[peer.Data] != e.Sequence {
 		req.Entry = &e
 	}
 	return req
 }
 
-// takeReply learns from one registrar's answer.
-func (a *Agent) takeReply(ctx context.Context, an *announcer, r heartbeatResult) {
+// handleReply applies one registrar's reply.
+func (a *Agent) handleReply(ctx context.Context, hs *heartbeatState, r heartbeatResult) {
 	if r.reply.NeedEntry {
-		delete(an.told, r.peer.Data)
-		a.kickNow()
+		delete(hs.acknowledged, r.peer.Data)
+		a.triggerHeartbeat()
 	} else {
-		an.told[r.peer.Data] = r.seq
+		hs.acknowledged[r.peer.Data] = r.seq
 	}
 	if r.reply.Sequence > 0 || r.reply.Incarnation > 0 {
 		a.refute(r.reply)
 	}
 	if r.reply.PeriodMillis > 0 {
-		an.asked[r.peer.Data] = time.Duration(r.reply.PeriodMillis) * time.Millisecond
-		an.settlePeriod(a.cfg.Heartbeat.D())
+		hs.requestedPeriods[r.peer.Data] = time.Duration(r.reply.PeriodMillis) * time.Millisecond
+		hs.updatePeriod(a.cfg.Heartbeat.D())
 	}
 	if len(r.reply.Registrars) > 0 {
-		a.changeRegistrars(ctx, an, r.reply.Registrars)
+		a.replaceRegistrars(ctx, hs, r.reply.Registrars)
 	}
 	if r.reply.Update != nil {
-		a.takeUpdate(*r.reply.Update)
+		a.applyUpdate(*r.reply.Update)
 	}
 }
 
-// refute raises the entry above a claim that stands against this host.
+// refute raises the entry's incarnation and sequence above those of a claim
+// against this host, so that the entry overrides the claim.
 func (a *Agent) refute(reply control.HeartbeatReply) {
 	a.state.mu.Lock()
 	e := &a.state.entry
@@ -204,47 +212,48 @@
 	e.Sequence = max(e.Sequence, reply.Sequence) + 1
 	a.state.mu.Unlock()
 	a.metrics.refutations.Inc()
-	a.kickNow()
+	a.triggerHeartbeat()
 }
 
-// changeRegistrars moves to a new list and says farewell to the old ones.
-func (a *Agent) changeRegistrars(ctx context.Context, an *announcer, list []directory.Entry) {
-	old := an.registrars
+// replaceRegistrars switches to a new list of registrars and sends a final
+// heartbeat to those that are no longer in it.
+func (a *Agent) replaceRegistrars(ctx context.Context, hs *heartbeatState, list []directory.Entry) {
+	old := hs.registrars
 	if control.RegistrarHash(old) == control.RegistrarHash(list) {
 		return
 	}
-	an.registrars = list
-	known := make([]netip.AddrPort, 0, len(list))
+	hs.registrars = list
+	addresses := make([]netip.AddrPort, 0, len(list))
 	for _, e := range list {
-		known = append(known, e.Data)
+		addresses = append(addresses, e.Data)
 	}
-	a.mux.setKnown(known)
+	a.mux.setFallbackBalancers(addresses)
 	for _, e := range old {
 		if slices.ContainsFunc(list, func(n directory.Entry) bool { return n.Data == e.Data }) {
 			continue
 		}
-		req := a.heartbeat(an, e)
+		req := a.heartbeatRequest(hs, e)
 		req.Final = true
-		delete(an.told, e.Data)
-		delete(an.asked, e.Data)
+		delete(hs.acknowledged, e.Data)
+		delete(hs.requestedPeriods, e.Data)
 		var reply control.HeartbeatReply
 		_ = a.client.Call(ctx, e.Control.String(), control.MethodHeartbeat, req, &reply)
 	}
-	a.kickNow()
+	a.triggerHeartbeat()
 }
 
-func (a *Agent) takeUpdate(u catalog.Update) {
+func (a *Agent) applyUpdate(u catalog.Update) {
 	a.state.mu.Lock()
 	changed, err := a.state.catalog.Apply(u)
 	a.state.mu.Unlock()
 	if err != nil {
-		a.log.Error("configuration not applied", zap.Error(err))
+		a.log.Error("failed to apply configuration update", zap.Error(err))
 		return
 	}
 	if changed {
-		a.replan()
+		a.reconcile()
 	}
 	if u.More() {
-		a.kickNow()
+		a.triggerHeartbeat()
 	}
 }
--- a/agent/certificates.go
+++ b/agent/certificates.go
@@ -9,17 +9,19 @@
 	"github.com/go-faster/errors"
 )
 
-// reloadEvery is the least time between two looks at a key pair's files.
-const reloadEvery = 10 * time.Second
+// reloadInterval is the minimum time between two checks of a certificate file
+// for changes.
+const reloadInterval = 10 * time.Second
 
-// certificate is one key pair that follows its files; mu guards the rest.
+// certificate is a key pair that is reloaded when its certificate file changes.
 type certificate struct {
 	files Certificate
 
-	mu       sync.Mutex
-	pair     *tls.Certificate
-	modified time.Time
-	lookedAt time.Time
+	// mu guards the fields below.
+	mu        sync.Mutex
+	pair      *tls.Certificate
+	modified  time.Time
+	checkedAt time.Time
 }
 
 func loadCertificate(files Certificate) (*certificate, error) {
@@ -43,21 +45,23 @@
 	return nil
 }
 
-// get returns the current key pair; one that cannot be reloaded stays in use.
+// get returns the current key pair. If the files cannot be loaded, it returns
+// the previous one.
 func (c *certificate) get(now time.Time) *tls.Certificate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.lookedAt) < reloadEvery {
+	if now.Sub(c.checkedAt) < reloadInterval {
 		return c.pair
 	}
-	c.lookedAt = now
+	c.checkedAt = now
 	if info, err := os.Stat(c.files.Cert); err == nil && !info.ModTime().Equal(c.modified) {
 		_ = c.load()
 	}
 	return c.pair
 }
 
-// certificates finds the key pair of a service.
+// certificates holds the key pairs by service name; the empty name is the
+// default.
 type certificates struct{ byService map[string]*certificate }
 
 func loadCertificates(list []Certificate) (*certificates, error) {
@@ -72,8 +76,8 @@
 	return cs, nil
 }
 
-// tlsConfig returns the TLS settings of a service, nil when it has no key pair
-// here.
+// tlsConfig returns the TLS configuration of a service, or nil if it has no
+// key pair and there is no default.
 func (cs *certificates) tlsConfig(service string) *tls.Config {
 	c, ok := cs.byService[service]
 	if !ok {
--- a/agent/endpoint.go
+++ b/agent/endpoint.go
@@ -21,34 +21,35 @@
 )
 
 const (
-	// maxIdle ends a connection whose caller is silent.
-	maxIdle = 30 * time.Second
-	// keepAlive keeps board streams open through silence.
-	keepAlive = 10 * time.Second
-	// maxStreamsPerConn bounds the requests in progress on one connection.
+	// idleTimeout closes a connection on which nothing was received.
+	idleTimeout = 30 * time.Second
+	// keepAlivePeriod keeps the connections of idle streams open.
+	keepAlivePeriod = 10 * time.Second
+	// maxStreamsPerConn limits the concurrent requests on one connection.
 	maxStreamsPerConn = 256
 	maxHeaderBytes    = 64 << 10
-	// drainPoll is how often a closing endpoint looks for its last connection.
-	drainPoll = 100 * time.Millisecond
+	// drainPollInterval is how often a draining agent or endpoint checks for
+	// open connections.
+	drainPollInterval = 100 * time.Millisecond
 )
 
-// connIDs makes the QUIC library use routes as connection IDs.
-type connIDs struct{ minter *route.IDGenerator }
+// routeIDGenerator supplies routes as connection IDs to the QUIC library.
+type routeIDGenerator struct{ generator *route.IDGenerator }
 
 // GenerateConnectionID implements quic.ConnectionIDGenerator.
-func (g connIDs) GenerateConnectionID() (quic.ConnectionID, error) {
-	id := g.minter.Next()
+func (g routeIDGenerator) GenerateConnectionID() (quic.ConnectionID, error) {
+	id := g.generator.Next()
 	return quic.ConnectionIDFromBytes(id[:]), nil
 }
 
 // ConnectionIDLen implements quic.ConnectionIDGenerator.
-func (g connIDs) ConnectionIDLen() int { return route.Len }
+func (g routeIDGenerator) ConnectionIDLen() int { return route.Len }
 
-// endpoint ends QUIC for one service at this host.
+// endpoint terminates QUIC for one service on this host.
 //
-// It is serving or draining. While draining it sends GOAWAY on every
-// connection, refuses what is new and lets what is open run on; it can be
-// resumed, then only new connections are served again.
+// It is either serving or draining. A draining endpoint sends GOAWAY on every
+// connection, refuses new connections and requests, and lets open requests
+// finish. If it is resumed, only new connections are served again.
 type endpoint struct {
 	id        route.ServiceID
 	log       *zap.Logger
@@ -58,21 +59,23 @@
 	handler   http.Handler
 	maxConns  int
 
-	open    atomic.Int64
-	service atomic.Pointer[catalog.Service]
+	openConns atomic.Int64
+	service   atomic.Pointer[catalog.Service]
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	server  *http3.Server
 	serving bool
 	conns   map[*quic.Conn]struct{}
-	// stopRetiring is set while no target here serves the service.
-	stopRetiring context.CancelFunc
+	// cancelRetirement ends the wait for the last connection. It is nil unless
+	// the endpoint is retiring, which means that no local target serves the
+	// service any more.
+	cancelRetirement context.CancelFunc
 }
 
 func newEndpoint(m *mux, s *catalog.Service, tlsConf *tls.Config, maxConns int, load func(route.ServiceID) serviceLoad, log *zap.Logger) (*endpoint, error) {
-	base := route.Route{Host: m.socket.Addr(), Incarnation: m.inc, Service: s.ID}
-	minter, err := route.NewIDGenerator(m.codec, base, rand.Uint32())
+	base := route.Route{Host: m.socket.Addr(), Incarnation: m.incarnation, Service: s.ID}
+	generator, err := route.NewIDGenerator(m.codec, base, rand.Uint32())
 	if err != nil {
 		return nil, err
 	}
@@ -85,14 +88,15 @@
 	e.service.Store(s)
 	e.conn = newServiceConn(m, s.ID, func() (int, int, int) {
 		l := load(s.ID)
-		return int(e.open.Load()), l.busy, l.slots
+		return int(e.openConns.Load()), l.busy, l.slots
 	})
 	e.transport = &quic.Transport{
 		Conn:                  e.conn,
-		ConnectionIDGenerator: connIDs{minter},
-		StatelessResetKey:     m.resets.currentKey(),
-		// Every new flow gets a Retry, whose connection ID is a route. Tokens
-		// of former connections would skip it, so they are born expired.
+		ConnectionIDGenerator: routeIDGenerator{generator},
+		StatelessResetKey:     m.resetter.currentKey(),
+		// Every new flow is answered with a Retry, whose connection ID is a
+		// route. A token from an earlier connection would skip the Retry, so
+		// tokens expire as soon as they are issued.
 		VerifySourceAddress: func(_ net.Addr) bool { return true },
 		MaxTokenAge:         time.Nanosecond,
 	}
@@ -105,17 +109,17 @@
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
-		MaxIdleTimeout:        maxIdle,
-		KeepAlivePeriod:       keepAlive,
+		MaxIdleTimeout:        idleTimeout,
+		KeepAlivePeriod:       keepAlivePeriod,
 		MaxIncomingStreams:    maxStreamsPerConn,
 		MaxIncomingUniStreams: 8,
-		// A request exists only on the connection that finished its
-		// handshake: at most once needs 0-RTT off.
+		// 0-RTT data can be replayed. Without it, a request exists only on the
+		// connection that completed its handshake, so it runs at most once.
 		Allow0RTT: false,
 	}
 }
 
-// resume makes the endpoint take new work.
+// resume makes the endpoint accept new connections.
 func (e *endpoint) resume() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,7 +132,7 @@
 	e.log.Info("endpoint serving")
 }
 
-// drain makes the endpoint take no new work and tells callers.
+// drain stops the endpoint from accepting new work and sends GOAWAY to callers.
 func (e *endpoint) drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,9 +142,9 @@
 	e.serving = false
 	e.conn.accepting.Store(false)
 	server := e.server
-	e.log.Info("endpoint draining", zap.Int64("connections", e.open.Load()))
-	// Shutdown sends GOAWAY at once and then waits for the connections; those
-	// given to ServeQUICConn are never closed by it.
+	e.log.Info("endpoint draining", zap.Int64("connections", e.openConns.Load()))
+	// Shutdown sends GOAWAY immediately and then waits for the connections. It
+	// never closes those passed to ServeQUICConn.
 	go func() { _ = server.Shutdown(context.Background()) }()
 }
 
@@ -156,14 +160,14 @@
 }
 
 func (e *endpoint) serveConn(conn *quic.Conn) {
-	if e.open.Add(1) > int64(e.maxConns) {
-		e.open.Add(-1)
+	if e.openConns.Add(1) > int64(e.maxConns) {
+		e.openConns.Add(-1)
 		e.refuse(conn)
 		return
 	}
-	defer e.open.Add(-1)
-	server, serving := e.enter(conn)
-	defer e.exit(conn)
+	defer e.openConns.Add(-1)
+	server, serving := e.addConn(conn)
+	defer e.removeConn(conn)
 	if !serving {
 		e.refuse(conn)
 		return
@@ -171,59 +175,60 @@
 	_ = server.ServeQUICConn(conn)
 }
 
-func (e *endpoint) enter(conn *quic.Conn) (*http3.Server, bool) {
+func (e *endpoint) addConn(conn *quic.Conn) (*http3.Server, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.conns[conn] = struct{}{}
 	return e.server, e.serving
 }
 
-func (e *endpoint) exit(conn *quic.Conn) {
+func (e *endpoint) removeConn(conn *quic.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.conns, conn)
 }
 
-// refuse closes a connection on which no request was read.
+// refuse closes a connection before any request is read from it.
 func (e *endpoint) refuse(conn *quic.Conn) {
 	_ = conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeRequestRejected), "not serving")
 }
 
-// beginRetiring starts the wait for the last connection, at most for limit; it
-// tells whether none was running.
-func (e *endpoint) beginRetiring(parent context.Context, limit time.Duration) (context.Context, bool) {
+// beginRetirement returns the context for waiting up to limit for the last
+// connection, or false if the endpoint is already retiring.
+func (e *endpoint) beginRetirement(parent context.Context, limit time.Duration) (context.Context, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stopRetiring != nil {
+	if e.cancelRetirement != nil {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(parent, limit)
-	e.stopRetiring = cancel
+	e.cancelRetirement = cancel
 	return ctx, true
 }
 
-// keep ends a wait that was started: the service is served here again.
-func (e *endpoint) keep() {
+// abortRetirement ends the wait that beginRetirement started, if any.
+func (e *endpoint) abortRetirement() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stopRetiring != nil {
-		e.stopRetiring()
-		e.stopRetiring = nil
+	if e.cancelRetirement != nil {
+		e.cancelRetirement()
+		e.cancelRetirement = nil
 	}
 }
 
 func (e *endpoint) isRetiring() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.stopRetiring != nil
+	return e.cancelRetirement != nil
 }
 
-// waitIdle waits for the last connection. It is false when the wait was ended
-// by keep, true when it is over or the limit has passed.
+// waitIdle waits for the last connection. It returns true once no connection
+// is open or the limit has passed, and false if ctx is cancelled before, as by
+// abortRetirement.
 func (e *endpoint) waitIdle(ctx context.Context) bool {
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
-	for e.open.Load() > 0 {
+	for e.openConns.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return !errors.Is(ctx.Err(), context.Canceled)
@@ -233,7 +238,7 @@
 	return true
 }
 
-// close ends what is still open and tells the callers.
+// close closes the open connections, notifying the callers, and the listener.
 func (e *endpoint) close() {
 	e.mu.Lock()
 	for conn := range e.conns {
--- a/agent/gate.go
+++ b/agent/gate.go
@@ -16,48 +16,51 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// gatePeriod is how often waiting requests and ejections are looked at.
-const gatePeriod = 25 * time.Millisecond
+// gateInterval is how often queued requests, ejections and published loads are
+// updated.
+const gateInterval = 25 * time.Millisecond
 
-// gateTarget is a target as the gate sees it.
+// gateTarget is the address of a target and its parameters for admission.
 type gateTarget struct {
 	address string
 	spec    admission.TargetSpec
 }
 
-// gate is the shell around admission and outlier detection: it makes requests
-// wait for the controller's decisions.
+// gate applies admission control and outlier detection to requests: it blocks
+// each request until the controller decides whether and where it runs.
 //
 // Lock order: mu is a leaf lock.
 type gate struct {
 	now func() time.Time
-	// loads is what published returns, replaced whole.
+	// loads holds the load reports that recentLoad returns. The map is replaced,
+	// never modified.
 	loads atomic.Pointer[map[route.ServiceID]serviceLoad]
 
-	// mu guards what follows.
-	mu       sync.Mutex
-	ctrl     *admission.Controller
-	detector *outlier.Detector
-	waiting  map[admission.Ticket]chan admission.Decision
-	targets  map[string]gateTarget
-	services []route.ServiceID
-	ejected  map[string]bool
-	// changed tells that an ejection began or ended since the last look.
-	changed bool
+	// mu guards the fields below.
+	mu         sync.Mutex
+	controller *admission.Controller
+	detector   *outlier.Detector
+	waiting    map[admission.Ticket]chan admission.Decision
+	targets    map[string]gateTarget
+	serviceIDs []route.ServiceID
+	ejected    map[string]bool
+	// ejectionsChanged reports whether an ejection began or ended since the last
+	// tick.
+	ejectionsChanged bool
 }
 
 func newGate(now func() time.Time, rnd *rand.Rand) *gate {
 	return &gate{
-		now:      now,
-		ctrl:     admission.New(admission.Defaults(), rnd),
-		detector: outlier.New(outlier.Defaults(), outlier.DefaultPolicy()),
-		waiting:  map[admission.Ticket]chan admission.Decision{},
-		targets:  map[string]gateTarget{},
-		ejected:  map[string]bool{},
+		now:        now,
+		controller: admission.New(admission.Defaults(), rnd),
+		detector:   outlier.New(outlier.Defaults(), outlier.DefaultPolicy()),
+		waiting:    map[admission.Ticket]chan admission.Decision{},
+		targets:    map[string]gateTarget{},
+		ejected:    map[string]bool{},
 	}
 }
 
-// grant is the right to run one request at a target. It ends with done.
+// grant permits one request to run at a target until done is called.
 type grant struct {
 	gate    *gate
 	ticket  admission.Ticket
@@ -66,14 +69,14 @@
 	once    sync.Once
 }
 
-// enter waits until the request may run. The error carries verdict.NotRun.
-func (g *gate) enter(ctx context.Context, o admission.Offer) (*grant, error) {
+// admit waits until the request may run. Its errors have the verdict NotRun.
+func (g *gate) admit(ctx context.Context, o admission.Offer) (*grant, error) {
 	d, wait := g.offer(o)
 	if wait != nil {
 		d = g.await(ctx, d.Ticket, wait)
 	}
 	if d.Action != admission.Run {
-		return nil, refusal(ctx, d)
+		return nil, refusalError(ctx, d)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -83,15 +86,15 @@
 func (g *gate) offer(o admission.Offer) (admission.Decision, chan admission.Decision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	decisions := g.ctrl.Offer(g.now(), o)
+	decisions := g.controller.Offer(g.now(), o)
 	g.deliver(decisions[1:])
-	own := decisions[0]
-	if own.Action != admission.Wait {
-		return own, nil
+	decision := decisions[0]
+	if decision.Action != admission.Wait {
+		return decision, nil
 	}
 	ch := make(chan admission.Decision, 1)
-	g.waiting[own.Ticket] = ch
-	return own, ch
+	g.waiting[decision.Ticket] = ch
+	return decision, ch
 }
 
 func (g *gate) await(ctx context.Context, t admission.Ticket, ch chan admission.Decision) admission.Decision {
@@ -102,16 +105,18 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, still := g.waiting[t]; !still {
-		// The decision came first; a granted one is given back by run.
+	if _, pending := g.waiting[t]; !pending {
+		// The decision was made before the cancellation. If it is a grant,
+		// proxy.run detects the cancellation and releases it.
 		return <-ch
 	}
 	delete(g.waiting, t)
-	g.ctrl.Cancel(t)
+	g.controller.Cancel(t)
 	return admission.Decision{Ticket: t, Action: admission.Refuse, Reason: admission.Deadline}
 }
 
-// deliver hands decisions to waiting requests; it runs under mu.
+// deliver passes decisions to the requests that wait for them. The caller
+// holds mu.
 func (g *gate) deliver(decisions []admission.Decision) {
 	for _, d := range decisions {
 		ch, ok := g.waiting[d.Ticket]
@@ -123,9 +128,9 @@
 	}
 }
 
-func refusal(ctx context.Context, d admission.Decision) error {
+func refusalError(ctx context.Context, d admission.Decision) error {
 	if d.Reason == admission.Deadline {
-		return notRunInTime(ctx)
+		return notRunError(ctx)
 	}
 	return &verdict.Error{
 		Verdict:    verdict.NotRun,
@@ -135,23 +140,24 @@
 	}
 }
 
-// done ends the grant; further calls do nothing.
+// done releases the grant and records the result of the request. Only the
+// first call has an effect.
 func (gr *grant) done(res admission.Result) {
 	gr.once.Do(func() { gr.gate.finish(gr, res) })
 }
 
-// promote turns the request into a stream.
+// promote reclassifies the request as a stream.
 func (gr *grant) promote() {
 	gr.gate.mu.Lock()
 	defer gr.gate.mu.Unlock()
-	gr.gate.deliver(gr.gate.ctrl.Promote(gr.gate.now(), gr.ticket))
+	gr.gate.deliver(gr.gate.controller.Promote(gr.gate.now(), gr.ticket))
 }
 
 func (g *gate) finish(gr *grant, res admission.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	g.deliver(g.ctrl.Done(now, gr.ticket, res))
+	g.deliver(g.controller.Done(now, gr.ticket, res))
 	if res.Outcome == admission.Succeeded || res.Outcome == admission.Failed {
 		g.detector.Report(now, gr.target, res.Outcome == admission.Failed)
 		g.applyEjections(now)
@@ -165,38 +171,39 @@
 	now := g.now()
 	for name := range g.targets {
 		if _, ok := targets[name]; !ok {
-			g.deliver(g.ctrl.RemoveTarget(now, name))
+			g.deliver(g.controller.RemoveTarget(now, name))
 			g.detector.Remove(name)
 			delete(g.ejected, name)
 		}
 	}
 	g.targets = targets
-	g.services = slices.Collect(maps.Keys(services))
+	g.serviceIDs = slices.Collect(maps.Keys(services))
 	for id, names := range services {
-		g.deliver(g.ctrl.SetService(now, id, names))
+		g.deliver(g.controller.SetService(now, id, names))
 	}
 	for name := range targets {
 		g.applyTarget(now, name)
 	}
-	g.publish()
+	g.publishLoads()
 }
 
-// serviceLoad is the load reading of one service.
+// serviceLoad is the load report of one service: its ready slots, and its load
+// in thousandths of the limit.
 type serviceLoad struct{ slots, busy int }
 
-// publish takes the readings of all services; it runs under mu.
-func (g *gate) publish() {
-	loads := make(map[route.ServiceID]serviceLoad, len(g.services))
-	for _, id := range g.services {
-		slots, busy := g.ctrl.Slots(id)
+// publishLoads updates the load reports of all services. The caller holds mu.
+func (g *gate) publishLoads() {
+	loads := make(map[route.ServiceID]serviceLoad, len(g.serviceIDs))
+	for _, id := range g.serviceIDs {
+		slots, busy := g.controller.Slots(id)
 		loads[id] = serviceLoad{slots, busy}
 	}
 	g.loads.Store(&loads)
 }
 
-// published returns a reading that is at most a gatePeriod old. It takes no
-// lock: every datagram to a caller carries one.
-func (g *gate) published(id route.ServiceID) serviceLoad {
+// recentLoad returns a load report that is at most gateInterval old. It takes no
+// lock, because it is called for every datagram to a caller.
+func (g *gate) recentLoad(id route.ServiceID) serviceLoad {
 	loads := g.loads.Load()
 	if loads == nil {
 		return serviceLoad{}
@@ -204,51 +211,54 @@
 	return (*loads)[id]
 }
 
-// applyTarget gives one target to the controller, with its ejection; it runs
-// under mu.
+// applyTarget updates a target in the controller; an ejected target is not
+// ready. The caller holds mu.
 func (g *gate) applyTarget(now time.Time, name string) {
 	spec := g.targets[name].spec
 	spec.Ready = spec.Ready && !g.ejected[name]
-	g.deliver(g.ctrl.SetTarget(now, name, spec))
+	g.deliver(g.controller.SetTarget(now, name, spec))
 }
 
-// applyEjections runs under mu.
+// applyEjections updates the targets whose ejection began or ended. The caller
+// holds mu.
 func (g *gate) applyEjections(now time.Time) {
 	for name := range g.targets {
-		out := g.detector.Ejected(now, name)
-		if out == g.ejected[name] {
+		ejected := g.detector.Ejected(now, name)
+		if ejected == g.ejected[name] {
 			continue
 		}
-		g.ejected[name] = out
-		g.changed = true
+		g.ejected[name] = ejected
+		g.ejectionsChanged = true
 		g.applyTarget(now, name)
 	}
 }
 
-// tick refuses what waited too long and lets ejections end. It tells whether
-// the slots of the host may have changed.
+// tick refuses requests that waited too long and ends ejections. It reports
+// whether the ready slots of the host may have changed.
 func (g *gate) tick() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	g.deliver(g.ctrl.Expire(now))
+	g.deliver(g.controller.Expire(now))
 	g.applyEjections(now)
-	g.publish()
-	changed := g.changed
-	g.changed = false
+	g.publishLoads()
+	changed := g.ejectionsChanged
+	g.ejectionsChanged = false
 	return changed
 }
 
-// slots returns the ready slots of a service and its load.
+// slots returns the ready slots of a service and its load in thousandths of
+// the limit.
 func (g *gate) slots(id route.ServiceID) (slots, busy int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ctrl.Slots(id)
+	return g.controller.Slots(id)
 }
 
-// inProgress returns the requests and streams at a target.
+// inProgress returns the numbers of requests and streams in progress at a
+// target.
 func (g *gate) inProgress(target string) (requests, streams int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ctrl.InProgress(target)
+	return g.controller.InProgress(target)
 }
--- a/agent/handover.go
+++ b/agent/handover.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	dialTimeout       = time.Second
-	maxIdlePerTarget  = 64
-	idleTargetTimeout = 30 * time.Second
+	dialTimeout           = time.Second
+	maxIdleConnsPerTarget = 64
+	targetIdleConnTimeout = 30 * time.Second
 )
 
-// handover gives requests to local targets over HTTP/1.1 and tells for every
-// failure whether the request may have run.
+// dispatcher sends requests to local targets over HTTP/1.1. Each error carries
+// a verdict on whether the request may have run.
 //
-// The standard transport repeats requests on its own in two cases: when no
-// byte was written, which is harmless, and when it takes a request for
-// idempotent. The second is kept to safe methods: see noReplay.
-type handover struct{ transport *http.Transport }
+// The standard transport retries a request in two cases: when no byte of it was
+// written, which is harmless, and when it considers the request idempotent.
+// preventReplay restricts the second case to safe methods.
+type dispatcher struct{ transport *http.Transport }
 
-func newHandover() *handover {
+func newDispatcher() *dispatcher {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return &handover{transport: &http.Transport{
+	return &dispatcher{transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
@@ -40,19 +40,19 @@
 			}
 			return &trackedConn{Conn: conn}, nil
 		},
-		MaxIdleConnsPerHost: maxIdlePerTarget,
-		IdleConnTimeout:     idleTargetTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerTarget,
+		IdleConnTimeout:     targetIdleConnTimeout,
 		DisableCompression:  true,
 	}}
 }
 
-// attempt watches which connections a request was written to. The hooks run in
-// goroutines of the transport; mu guards the fields.
+// attempt tracks the connections to which a request was written. Its hooks run
+// in goroutines of the transport; mu guards the fields.
 type attempt struct {
-	mu     sync.Mutex
-	conn   *trackedConn
-	before int64
-	mayRun bool
+	mu            sync.Mutex
+	conn          *trackedConn
+	writtenBefore int64
+	mayHaveRun    bool
 }
 
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
@@ -60,37 +60,39 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !ok {
-		a.mayRun = true
+		a.mayHaveRun = true
 		return
 	}
-	if a.conn != nil && a.conn.seal() > a.before {
-		a.mayRun = true
+	if a.conn != nil && a.conn.seal() > a.writtenBefore {
+		a.mayHaveRun = true
 	}
-	a.conn, a.before = tracked, tracked.mark()
+	a.conn, a.writtenBefore = tracked, tracked.bytesWritten()
 }
 
-// verdict seals the connection and tells whether any byte went out.
+// verdict seals the connection and returns NotRun if no byte of the request
+// was written, otherwise Unknown.
 func (a *attempt) verdict() verdict.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.conn != nil && a.conn.seal() > a.before {
-		a.mayRun = true
+	if a.conn != nil && a.conn.seal() > a.writtenBefore {
+		a.mayHaveRun = true
 	}
-	if a.mayRun {
+	if a.mayHaveRun {
 		return verdict.Unknown
 	}
 	return verdict.NotRun
 }
 
-// do runs one request at a target. A returned error carries its verdict.
-func (h *handover) do(req *http.Request) (*http.Response, error) {
+// roundTrip sends a request to a target and returns the response. Its errors
+// are of type *verdict.Error.
+func (h *dispatcher) roundTrip(req *http.Request) (*http.Response, error) {
 	a := &attempt{}
 	trace := &httptrace.ClientTrace{GotConn: a.gotConn}
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
-	noReplay(req)
+	preventReplay(req)
 	resp, err := h.transport.RoundTrip(req)
 	if err != nil {
-		// What silenced this connection may have silenced the kept ones too.
+		// The cause of this failure may also affect the pooled connections.
 		h.transport.CloseIdleConnections()
 		return nil, h.failure(req, a.verdict(), err)
 	}
@@ -101,7 +103,7 @@
 	return resp, nil
 }
 
-func (h *handover) failure(req *http.Request, v verdict.Verdict, err error) error {
+func (h *dispatcher) failure(req *http.Request, v verdict.Verdict, err error) error {
 	e := &verdict.Error{Verdict: v, Status: http.StatusBadGateway, Reason: "target-unreachable", Err: err}
 	if v == verdict.Unknown {
 		e.Reason = "target-lost"
@@ -112,14 +114,16 @@
 	return e
 }
 
-// replayKeys make the standard transport take any request for idempotent.
-var replayKeys = []string{"Idempotency-Key", "X-Idempotency-Key"}
+// idempotencyHeaders make the standard transport treat any request as
+// idempotent.
+var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// noReplay keeps the transport from sending a request twice: it looks the keys
-// up in canonical form only, while on the wire names are case-insensitive.
-func noReplay(req *http.Request) {
+// preventReplay stops the transport from sending a request twice. It changes
+// the idempotency headers to lower case: the transport looks them up in
+// canonical form only, while header names are case-insensitive on the wire.
+func preventReplay(req *http.Request) {
 	req.GetBody = nil
-	for _, key := range replayKeys {
+	for _, key := range idempotencyHeaders {
 		if v, ok := req.Header[key]; ok {
 			delete(req.Header, key)
 			req.Header[strings.ToLower(key)] = v
@@ -127,8 +131,9 @@
 	}
 }
 
-// framed tells whether a cut answer can be told from a whole one: one that
-// ends with its connection cannot (RFC 9112 section 6.3).
+// framed reports whether a truncated response can be distinguished from a
+// complete one. One that ends when its connection closes cannot (RFC 9112
+// section 6.3).
 func framed(resp *http.Response) bool {
 	if resp.ContentLength >= 0 || resp.Request.Method == http.MethodHead {
 		return true
@@ -141,16 +146,18 @@
 	return resp.Body == http.NoBody
 }
 
-// hopByHop are the headers that end at a proxy (RFC 9110 section 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the headers that a proxy does not forward (RFC 9110
+// section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyEndToEnd copies all headers but those that end here.
-func copyEndToEnd(dst, src http.Header) {
+// copyEndToEndHeaders copies all headers except the hop-by-hop ones, including
+// those named in Connection.
+func copyEndToEndHeaders(dst, src http.Header) {
 	drop := map[string]bool{}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		drop[name] = true
 	}
 	for _, list := range src["Connection"] {
@@ -165,5 +172,6 @@
 	}
 }
 
-// onceBody hides everything but reading, so that the transport cannot rewind.
-type onceBody struct{ io.ReadCloser }
+// readOnlyBody exposes only Read and Close, so that the transport cannot rewind
+// the body.
+type readOnlyBody struct{ io.ReadCloser }
--- a/agent/handover_test.go
+++ b/agent/handover_test.go
@@ -27,33 +27,34 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// script tells what a raw target does with its next request.
-type script struct {
-	// hangUp closes the connection: before reading, after some bytes, after
-	// the whole request, after it ran ("silent"), or after some bytes of the
-	// answer.
-	hangUp string
-	after  int
+// responseScript determines how a raw target handles its next requests.
+type responseScript struct {
+	// closeAt is when the target closes the connection: "request" before it
+	// runs the request, "silent" after running it without a response, "answer"
+	// in the middle of the response, "after" after all of it, or "" never.
+	closeAt string
+	// after is the number of bytes of the request or response before the close.
+	after int
 	// framing is "length", "chunked" or "close".
 	framing string
 	body    string
 }
 
-// rawTarget is an HTTP/1.1 target on a bare connection, so that it can fail at
-// any byte. It keeps a log of every request of which it saw a byte.
+// rawTarget is an HTTP/1.1 target on a TCP connection, so that it can close the
+// connection at any byte. It counts the runs of each request.
 type rawTarget struct {
 	ln net.Listener
 
-	mu   sync.Mutex
-	next script
-	seen map[string]int
-	byID map[string]int
+	mu       sync.Mutex
+	script   responseScript
+	seen     map[string]int
+	runsByID map[string]int
 }
 
 func newRawTarget(t require.TestingT) *rawTarget {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	rt := &rawTarget{ln: ln, seen: map[string]int{}, byID: map[string]int{}}
+	rt := &rawTarget{ln: ln, seen: map[string]int{}, runsByID: map[string]int{}}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -66,10 +67,10 @@
 	return rt
 }
 
-func (rt *rawTarget) set(s script) {
+func (rt *rawTarget) setScript(s responseScript) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	rt.next = s
+	rt.script = s
 }
 
 func (rt *rawTarget) serve(conn net.Conn) {
@@ -80,9 +81,9 @@
 			return
 		}
 		rt.mu.Lock()
-		s := rt.next
+		s := rt.script
 		rt.mu.Unlock()
-		if s.hangUp == "request" {
+		if s.closeAt == "request" {
 			_, _ = r.Discard(min(s.after, r.Buffered()))
 			return
 		}
@@ -92,7 +93,7 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		rt.mu.Lock()
-		rt.byID[req.Header.Get("Request-Id")]++
+		rt.runsByID[req.Header.Get("Request-Id")]++
 		rt.mu.Unlock()
 		if !rt.answer(conn, s) {
 			return
@@ -100,7 +101,7 @@
 	}
 }
 
-func (rt *rawTarget) answer(conn net.Conn, s script) bool {
+func (rt *rawTarget) answer(conn net.Conn, s responseScript) bool {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 200 OK\r\n")
 	switch s.framing {
@@ -116,34 +117,35 @@
 		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(s.body), s.body)
 	}
 	out := b.Bytes()
-	if s.hangUp == "silent" {
+	if s.closeAt == "silent" {
 		return false
 	}
-	if s.hangUp == "answer" && s.after < len(out) {
+	if s.closeAt == "answer" && s.after < len(out) {
 		_, _ = conn.Write(out[:s.after])
 		return false
 	}
 	_, _ = conn.Write(out)
-	return s.framing != "close" && s.hangUp == ""
+	return s.framing != "close" && s.closeAt == ""
 }
 
-func (rt *rawTarget) ran(id string) int {
+func (rt *rawTarget) runs(id string) int {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	return rt.byID[id]
+	return rt.runsByID[id]
 }
 
-// newTestProxy serves one service at the given target address.
+// newTestProxy returns a proxy of a service with one target at the given
+// address.
 func newTestProxy(address string, now func() time.Time) *proxy {
 	svc := &catalog.Service{Name: "tables", ID: 1, Authorities: []string{"tables.example"}}
 	g := newGate(now, rand.New(rand.NewPCG(1, 1)))
 	spec := admission.TargetSpec{Slots: 64, Requests: 64, Streams: 64, Ready: true}
 	g.setTargets(map[string]gateTarget{"a": {address: address, spec: spec}}, map[route.ServiceID][]string{1: {"a"}})
-	return &proxy{id: 1, service: func() *catalog.Service { return svc }, gate: g, handover: newHandover(), metrics: testMetrics()}
+	return &proxy{id: 1, service: func() *catalog.Service { return svc }, gate: g, dispatcher: newDispatcher(), metrics: testMetrics()}
 }
 
-// call runs one request and tells whether the stream was reset.
-func call(p *proxy, req *http.Request) (w *httptest.ResponseRecorder, reset bool) {
+// serveRequest serves one request and reports whether the stream was reset.
+func serveRequest(p *proxy, req *http.Request) (w *httptest.ResponseRecorder, reset bool) {
 	w = httptest.NewRecorder()
 	defer func() {
 		if v := recover(); v != nil {
@@ -163,11 +165,11 @@
 	return req
 }
 
-// TestVerdictsAgainstTheTargetsOwnLog lets a target close its connection at
-// any byte of request or answer, on fresh and kept-alive connections. "Not
-// run" is never said of a request that ran, no move runs twice, and an answer
-// is whole or the stream is reset. Points 3, 4 and 5.
-func TestVerdictsAgainstTheTargetsOwnLog(t *testing.T) {
+// TestVerdictsMatchTheTargetsLog lets a target close its connection at
+// any byte of the request or response, on new and on kept-alive connections. No
+// request that ran may get the verdict NotRun, no request may run twice, and a
+// response must be complete or the stream reset. Points 3, 4 and 5.
+func TestVerdictsMatchTheTargetsLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rt := newRawTarget(t)
 		defer func() { _ = rt.ln.Close() }()
@@ -177,29 +179,29 @@
 			"request": func(t *rapid.T) {
 				n++
 				id := strconv.Itoa(n)
-				s := script{
-					hangUp:  rapid.SampledFrom([]string{"", "", "", "request", "answer", "silent", "silent", "after"}).Draw(t, "hang up"),
+				s := responseScript{
+					closeAt: rapid.SampledFrom([]string{"", "", "", "request", "answer", "silent", "silent", "after"}).Draw(t, "hang up"),
 					after:   rapid.OneOf(rapid.IntRange(0, 10), rapid.IntRange(30, 120)).Draw(t, "after"),
 					framing: rapid.SampledFrom([]string{"length", "chunked", "close"}).Draw(t, "framing"),
 					body:    strings.Repeat("x", rapid.IntRange(0, 80).Draw(t, "size")),
 				}
-				rt.set(s)
+				rt.setScript(s)
 				req := newRequest(http.MethodPost, id, strings.Repeat("m", rapid.SampledFrom([]int{0, 0, 1, 50}).Draw(t, "body")))
 				if rapid.Bool().Draw(t, "key") {
 					req.Header.Set("Idempotency-Key", id)
 				}
-				w, reset := call(p, req)
-				ran := rt.ran(id)
-				require.LessOrEqual(t, ran, 1, "a move ran twice")
+				w, reset := serveRequest(p, req)
+				ran := rt.runs(id)
+				require.LessOrEqual(t, ran, 1, "a request ran twice")
 				if reset {
 					return
 				}
 				v := verdict.Parse(w.Header().Get(verdict.HeaderVerdict))
 				if v == verdict.NotRun {
-					require.Zero(t, ran, "said not run, but it ran")
+					require.Zero(t, ran, "verdict NotRun for a request that ran")
 				}
 				if w.Code == http.StatusOK {
-					require.Equal(t, s.body, w.Body.String(), "a cut answer with a clean end")
+					require.Equal(t, s.body, w.Body.String(), "a truncated response ended without a reset")
 					require.Equal(t, verdict.Ran, v)
 				}
 			},
@@ -212,11 +214,11 @@
 	require.NoError(t, err)
 	address := ln.Addr().String()
 	require.NoError(t, ln.Close())
-	w, _ := call(newTestProxy(address, time.Now), newRequest(http.MethodPost, "1", "m"))
+	w, _ := serveRequest(newTestProxy(address, time.Now), newRequest(http.MethodPost, "1", "m"))
 	require.Equal(t, "not-run", w.Header().Get(verdict.HeaderVerdict))
 }
 
-func TestRequestsThatNeverLeave(t *testing.T) {
+func TestInvalidRequestsAreRefusedBeforeDispatch(t *testing.T) {
 	rt := newRawTarget(t)
 	defer func() { _ = rt.ln.Close() }()
 	p := newTestProxy(rt.ln.Addr().String(), time.Now)
@@ -230,32 +232,33 @@
 	} {
 		req := newRequest(http.MethodPost, name, "m")
 		c.change(req)
-		w, _ := call(p, req)
+		w, _ := serveRequest(p, req)
 		require.Equal(t, c.status, w.Code, name)
 		require.Equal(t, "not-run", w.Header().Get(verdict.HeaderVerdict), name)
-		require.Zero(t, rt.ran(name))
+		require.Zero(t, rt.runs(name))
 	}
 }
 
-// TestFrozenAgentDoesNotRunLateRequests freezes the process between admission
-// and hand-over: the deadline has passed by the clock, but no timer has fired.
+// TestFrozenAgentDoesNotRunLateRequests covers a process that was frozen between
+// admission and dispatch: the deadline has passed, but the context's timer has
+// not fired yet. The request must not reach the target.
 func TestFrozenAgentDoesNotRunLateRequests(t *testing.T) {
 	rt := newRawTarget(t)
 	defer func() { _ = rt.ln.Close() }()
 	p := newTestProxy(rt.ln.Addr().String(), time.Now)
 	ctx := frozenContext{context.Background(), time.Now().Add(-time.Second)}
-	g, err := p.gate.enter(context.Background(), admission.Offer{Service: 1})
+	g, err := p.gate.admit(context.Background(), admission.Offer{Service: 1})
 	require.NoError(t, err)
 	w := httptest.NewRecorder()
 	status, v := p.run(ctx, w, newRequest(http.MethodPost, "late", "m"), g)
 	require.Equal(t, http.StatusGatewayTimeout, status)
 	require.Equal(t, verdict.NotRun, v)
-	require.Zero(t, rt.ran("late"))
+	require.Zero(t, rt.runs("late"))
 	requests, _ := p.gate.inProgress("a")
-	require.Zero(t, requests, "the slot is given back")
+	require.Zero(t, requests, "the slot was not released")
 }
 
-// frozenContext has a deadline in the past and has not noticed.
+// frozenContext has a deadline in the past, but is not done.
 type frozenContext struct {
 	context.Context
 	deadline time.Time
@@ -263,7 +266,7 @@
 
 func (c frozenContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
-func TestDeadlineAndCancellationArePassedOn(t *testing.T) {
+func TestDeadlineAndCancellationReachTheTarget(t *testing.T) {
 	started, cancelled := make(chan string, 1), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -277,7 +280,7 @@
 	req := newRequest(http.MethodPost, "1", "m").WithContext(ctx)
 	req.Header.Set(HeaderTimeout, "60000")
 	done := make(chan struct{})
-	go func() { defer close(done); call(p, req) }()
+	go func() { defer close(done); serveRequest(p, req) }()
 	left, err := strconv.Atoi(<-started)
 	require.NoError(t, err)
 	require.LessOrEqual(t, left, 60000)
@@ -287,31 +290,32 @@
 	<-done
 }
 
-func TestWaitingRequestThatGivesUpIsNotRun(t *testing.T) {
+func TestCancelledQueuedRequestIsNotRun(t *testing.T) {
 	p := newTestProxy("127.0.0.1:1", time.Now)
 	p.gate.setTargets(map[string]gateTarget{"a": {address: "127.0.0.1:1", spec: admission.TargetSpec{Slots: 1, Requests: 1, Ready: true}}},
 		map[route.ServiceID][]string{1: {"a"}})
-	held, err := p.gate.enter(t.Context(), admission.Offer{Service: 1})
+	first, err := p.gate.admit(t.Context(), admission.Offer{Service: 1})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = p.gate.enter(ctx, admission.Offer{Service: 1})
+	_, err = p.gate.admit(ctx, admission.Offer{Service: 1})
 	require.Equal(t, verdict.NotRun, verdict.FromError(err))
-	held.done(admission.Result{})
-	again, err := p.gate.enter(t.Context(), admission.Offer{Service: 1})
-	require.NoError(t, err, "the one that gave up holds nothing")
-	again.done(admission.Result{})
+	first.done(admission.Result{})
+	second, err := p.gate.admit(t.Context(), admission.Offer{Service: 1})
+	require.NoError(t, err, "the cancelled request still holds a slot")
+	second.done(admission.Result{})
 }
 
-func TestHopByHopHeadersEndHere(t *testing.T) {
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	dst := http.Header{}
-	copyEndToEnd(dst, http.Header{"Connection": {"X-Private, close"}, "X-Private": {"1"}, "Upgrade": {"x"}, "Accept": {"a"}})
+	copyEndToEndHeaders(dst, http.Header{"Connection": {"X-Private, close"}, "X-Private": {"1"}, "Upgrade": {"x"}, "Accept": {"a"}})
 	require.Equal(t, http.Header{"Accept": {"a"}}, dst)
 }
 
-// TestSilentConnectionsToTargetsAreLeft: one request finds that the connections
-// to its target have gone silent, the next one is served.
-func TestSilentConnectionsToTargetsAreLeft(t *testing.T) {
+// TestPooledConnectionsAreClosedAfterAFailure stops all traffic on the open
+// connections to a target. One request fails; the next must not use another
+// connection of the pool, which would fail too, and is served on a new one.
+func TestPooledConnectionsAreClosedAfterAFailure(t *testing.T) {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(20 * time.Millisecond)
 		_, _ = w.Write([]byte("done"))
@@ -320,13 +324,13 @@
 	proxy, err := standin.NewProxy(target.Listener.Addr().String())
 	require.NoError(t, err)
 	defer proxy.Close()
-	h := newHandover()
-	ask := func() error {
+	h := newDispatcher()
+	request := func() error {
 		ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 		defer cancel()
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+proxy.Addr()+"/", nil)
 		require.NoError(t, err)
-		resp, err := h.do(req)
+		resp, err := h.roundTrip(req)
 		if err != nil {
 			return err
 		}
@@ -334,14 +338,14 @@
 		_, err = io.ReadAll(resp.Body)
 		return err
 	}
-	var both sync.WaitGroup
+	var concurrent sync.WaitGroup
 	for range 3 {
-		both.Add(1)
-		go func() { defer both.Done(); assert.NoError(t, ask()) }()
+		concurrent.Add(1)
+		go func() { defer concurrent.Done(); assert.NoError(t, request()) }()
 	}
-	both.Wait()
+	concurrent.Wait()
 	proxy.Silence()
-	err = ask()
-	require.Equal(t, verdict.Unknown, verdict.FromError(err), "it may have run")
-	require.NoError(t, ask())
+	err = request()
+	require.Equal(t, verdict.Unknown, verdict.FromError(err), "the request may have run")
+	require.NoError(t, request())
 }
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -10,21 +10,21 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// dropReason is why a datagram was dropped; it labels a counter.
+// dropReason is the label value of the counter of dropped datagrams.
 type dropReason string
 
 const (
-	dropHeader      dropReason = "bad_header"
-	dropKind        dropReason = "bad_kind"
-	dropPacket      dropReason = "not_quic"
-	dropService     dropReason = "wrong_service"
-	dropIncarnation dropReason = "former_incarnation"
-	dropQueue       dropReason = "queue_full"
-	dropNoBalancer  dropReason = "no_balancer"
+	dropBadHeader         dropReason = "bad_header"
+	dropBadKind           dropReason = "bad_kind"
+	dropNotQUIC           dropReason = "not_quic"
+	dropWrongService      dropReason = "wrong_service"
+	dropFormerIncarnation dropReason = "former_incarnation"
+	dropQueueFull         dropReason = "queue_full"
+	dropNoBalancer        dropReason = "no_balancer"
 )
 
 var dropReasons = []dropReason{
-	dropHeader, dropKind, dropPacket, dropService, dropIncarnation, dropQueue, dropNoBalancer,
+	dropBadHeader, dropBadKind, dropNotQUIC, dropWrongService, dropFormerIncarnation, dropQueueFull, dropNoBalancer,
 }
 
 type metrics struct {
--- a/agent/mux.go
+++ b/agent/mux.go
@@ -14,14 +14,14 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// packetQueue bounds the datagrams that wait for one service's QUIC stack; one
-// more is dropped, as a full socket buffer would.
-const packetQueue = 1024
+// packetQueueLen is the maximum number of datagrams queued for one service's
+// QUIC stack. Further ones are dropped, as by a full socket buffer.
+const packetQueueLen = 1024
 
-// packetLen is the room for one datagram.
-const packetLen = 1536
+// maxPacketLen is the maximum length of a datagram in bytes.
+const maxPacketLen = 1536
 
-// packetSocket is what the mux needs of the host's data socket.
+// packetSocket is the part of *relay.Socket that mux uses.
 type packetSocket interface {
 	Addr() netip.AddrPort
 	Read(*relay.Batch) ([]relay.Datagram, error)
@@ -29,17 +29,18 @@
 	Close() error
 }
 
-// mux shares the host's data socket between the services.
+// mux demultiplexes the host's data socket: it passes each datagram to the
+// QUIC stack of its service.
 //
 // Lock order: mu is a leaf lock.
 type mux struct {
-	socket  packetSocket
-	tagger  *encap.Tagger
-	codec   *route.Codec
-	inc     route.Incarnation
-	metrics *metrics
-	resets  *resetter
-	packets sync.Pool
+	socket      packetSocket
+	tagger      *encap.Tagger
+	codec       *route.Codec
+	incarnation route.Incarnation
+	metrics     *metrics
+	resetter    *resetter
+	packets     sync.Pool
 
 	conns atomic.Pointer[map[route.ServiceID]*serviceConn]
 
@@ -49,30 +50,30 @@
 	rnd   *rand.Rand
 }
 
-// packet is one caller's datagram on its way to the QUIC stack.
+// packet is a caller's datagram that is queued for the QUIC stack.
 type packet struct {
 	caller *net.UDPAddr
 	data   []byte
-	room   [packetLen]byte
+	buf    [maxPacketLen]byte
 }
 
 func newMux(socket packetSocket, tagger *encap.Tagger, codec *route.Codec, resets *resetter, met *metrics) *mux {
 	m := &mux{
-		socket:  socket,
-		tagger:  tagger,
-		codec:   codec,
-		resets:  resets,
-		metrics: met,
-		inc:     route.Incarnation(rand.Uint32()),
-		packets: sync.Pool{New: func() any { return &packet{} }},
-		paths:   returnpath.New(returnpath.Defaults()),
-		rnd:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		socket:      socket,
+		tagger:      tagger,
+		codec:       codec,
+		resetter:    resets,
+		metrics:     met,
+		incarnation: route.Incarnation(rand.Uint32()),
+		packets:     sync.Pool{New: func() any { return &packet{} }},
+		paths:       returnpath.New(returnpath.Defaults()),
+		rnd:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 	m.conns.Store(&map[route.ServiceID]*serviceConn{})
 	return m
 }
 
-// setConns replaces the services that are served here.
+// setConns replaces the connections of the services on this host.
 func (m *mux) setConns(conns map[route.ServiceID]*serviceConn) { m.conns.Store(&conns) }
 
 // serve reads the data socket until it closes.
@@ -90,58 +91,61 @@
 	}
 }
 
-// handle decides on one datagram of a balancer.
+// handle processes a datagram from a balancer.
 func (m *mux) handle(now time.Time, from netip.AddrPort, datagram []byte) {
 	h, payload, err := m.tagger.Decode(datagram)
 	if err != nil {
-		m.metrics.drop(dropHeader)
+		m.metrics.drop(dropBadHeader)
 		return
 	}
 	switch h.Kind {
 	case encap.Forward:
-		m.observe(now, h.Caller, from)
-		m.forward(from, h, payload)
+		m.observePath(now, h.Caller, from)
+		m.dispatch(from, h, payload)
 	case encap.Leaving:
 		m.mu.Lock()
 		m.paths.RemoveBalancer(from)
 		m.mu.Unlock()
 	default:
-		m.metrics.drop(dropKind)
+		m.metrics.drop(dropBadKind)
 	}
 }
 
-func (m *mux) observe(now time.Time, caller, balancer netip.AddrPort) {
+func (m *mux) observePath(now time.Time, caller, balancer netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.paths.Observe(now, caller, balancer)
 }
 
-// forward gives a datagram to its service, or back when nobody here takes it.
-func (m *mux) forward(from netip.AddrPort, h encap.Header, payload []byte) {
+// dispatch passes a datagram to the QUIC stack of its service. A datagram of a
+// flow that is not open on this host is reset, and one of a new flow that the
+// service does not accept is returned to the balancer.
+func (m *mux) dispatch(from netip.AddrPort, h encap.Header, payload []byte) {
 	p, ok := encap.ParsePacket(payload, route.Len)
 	if !ok {
-		m.metrics.drop(dropPacket)
+		m.metrics.drop(dropNotQUIC)
 		return
 	}
 	conn := (*m.conns.Load())[h.ServiceID]
 	r, err := m.codec.Decode(p.ID)
 	if err != nil {
-		m.newFlow(conn, from, h, payload)
+		m.handleNewFlow(conn, from, h, payload)
 		return
 	}
 	if r.Service != h.ServiceID {
-		m.metrics.drop(dropService)
+		m.metrics.drop(dropWrongService)
 		return
 	}
-	if r.Host != m.socket.Addr() || r.Incarnation != m.inc || conn == nil {
-		m.reset(from, h, p, payload)
+	if r.Host != m.socket.Addr() || r.Incarnation != m.incarnation || conn == nil {
+		m.sendReset(from, h, p, payload)
 		return
 	}
 	conn.deliver(h, payload)
 }
 
-// newFlow takes an Initial that no route pins, unless the service takes none.
-func (m *mux) newFlow(conn *serviceConn, from netip.AddrPort, h encap.Header, payload []byte) {
+// handleNewFlow delivers a datagram without a route, which starts a new flow,
+// or returns it to the balancer if the service accepts no new flows.
+func (m *mux) handleNewFlow(conn *serviceConn, from netip.AddrPort, h encap.Header, payload []byte) {
 	if conn != nil && conn.accepting.Load() {
 		conn.deliver(h, payload)
 		return
@@ -152,14 +156,15 @@
 	m.send(from, h, payload)
 }
 
-// reset answers a datagram of a former incarnation with a stateless reset, so
-// that the caller knows at once.
-func (m *mux) reset(from netip.AddrPort, h encap.Header, p encap.Packet, payload []byte) {
-	m.metrics.drop(dropIncarnation)
+// sendReset answers a datagram of a flow that is not open on this host, such as
+// one of a former incarnation, with a stateless reset, so that the caller detects
+// the loss at once. It drops packets with a long header.
+func (m *mux) sendReset(from netip.AddrPort, h encap.Header, p encap.Packet, payload []byte) {
+	m.metrics.drop(dropFormerIncarnation)
 	if p.Long {
 		return
 	}
-	packet, ok := m.resets.packet(p.ID, len(payload))
+	packet, ok := m.resetter.resetPacket(p.ID, len(payload))
 	if !ok {
 		return
 	}
@@ -176,15 +181,16 @@
 	}
 }
 
-// path returns the balancer for a datagram to the caller.
-func (m *mux) path(now time.Time, caller netip.AddrPort) (netip.AddrPort, bool) {
+// chooseBalancer returns the balancer through which to send a datagram to the
+// caller, or false if none is known.
+func (m *mux) chooseBalancer(now time.Time, caller netip.AddrPort) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.paths.Choose(now, m.rnd, caller)
 }
 
-// setKnown names balancers to answer through when none was heard.
-func (m *mux) setKnown(balancers []netip.AddrPort) {
+// setFallbackBalancers sets the balancers to send through while none is live.
+func (m *mux) setFallbackBalancers(balancers []netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.paths.SetFallback(balancers)
--- a/agent/mux_test.go
+++ b/agent/mux_test.go
@@ -27,7 +27,7 @@
 	caller    = netip.MustParseAddrPort("192.0.2.1:6000")
 )
 
-// fakeSocket keeps what was sent.
+// fakeSocket records the datagrams that were sent.
 type fakeSocket struct{ sent [][]byte }
 
 func (*fakeSocket) Addr() netip.AddrPort                        { return hostAddr }
@@ -72,10 +72,11 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("198.51.100.%d:443", id))
 }
 
-// TestNothingReachesAnotherService gives the agent every kind of datagram:
-// genuine and forged tags, routes of this and former incarnations, of other
-// hosts, of other services, new flows, for services that are served, draining
-// or unknown. The oracle says which service may see it. Points 2 and 6.
+// TestNothingReachesAnotherService handles random datagrams: with genuine and
+// forged tags, with routes of this host, another incarnation, another host or
+// another service, and without a route, for services that are serving, draining
+// or unknown. A datagram may be delivered only to the service that it names and
+// that its route belongs to. Points 2 and 6.
 func TestNothingReachesAnotherService(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		socket := &fakeSocket{}
@@ -96,7 +97,7 @@
 		}
 		r := route.Route{
 			Host:        rapid.SampledFrom([]netip.AddrPort{hostAddr, hostAddr, hostAddr, otherHost}).Draw(t, "host"),
-			Incarnation: m.inc + rapid.SampledFrom([]route.Incarnation{0, 0, 0, 1}).Draw(t, "incarnation"),
+			Incarnation: m.incarnation + rapid.SampledFrom([]route.Incarnation{0, 0, 0, 1}).Draw(t, "incarnation"),
 			Service:     route.ServiceID(rapid.IntRange(1, 3).Draw(t, "route service")),
 		}
 		routeKey := rapid.SampledFrom([][]route.Secret{secrets, foreign}).Draw(t, "route key")
@@ -116,7 +117,7 @@
 		switch {
 		case !forward:
 		case routed:
-			want = r.Host == hostAddr && r.Incarnation == m.inc && r.Service == h.ServiceID && conn != nil
+			want = r.Host == hostAddr && r.Incarnation == m.incarnation && r.Service == h.ServiceID && conn != nil
 		default:
 			want = conn != nil && conn.accepting.Load()
 		}
@@ -125,10 +126,10 @@
 			require.Equal(t, want && sid == h.ServiceID, got, "service %d", sid)
 		}
 		if !forward {
-			require.Empty(t, socket.sent, "a forged datagram is never reflected")
+			require.Empty(t, socket.sent, "a datagram that is forged or of another kind is not answered")
 		}
 		if forward && !routed && !want {
-			require.Len(t, socket.sent, 1, "a new flow is handed back")
+			require.Len(t, socket.sent, 1, "a refused new flow is returned to the balancer")
 			back, rest, err := m.tagger.Decode(socket.sent[0])
 			require.NoError(t, err)
 			require.Equal(t, encap.Refused, back.Kind)
@@ -136,11 +137,11 @@
 			require.Equal(t, payload, rest)
 		}
 		if forward && routed && !long && r.Service == h.ServiceID && !want {
-			require.Len(t, socket.sent, 1, "a former incarnation's flow is reset")
+			require.Len(t, socket.sent, 1, "a flow that is not open on this host is reset")
 			_, rest, err := m.tagger.Decode(socket.sent[0])
 			require.NoError(t, err)
 			require.Less(t, len(rest), len(payload))
-			require.Equal(t, m.resets.token(id), rest[len(rest)-resetTokenLen:])
+			require.Equal(t, m.resetter.token(id), rest[len(rest)-statelessResetTokenLen:])
 		}
 	})
 }
@@ -148,13 +149,13 @@
 func TestQueueOfAServiceIsBounded(t *testing.T) {
 	m := newTestMux(t, &fakeSocket{})
 	c := newServiceConn(m, 1, idle)
-	for range packetQueue + 5 {
+	for range packetQueueLen + 5 {
 		c.deliver(encap.Header{Caller: caller, Service: serviceAddr(1)}, []byte("x"))
 	}
-	require.Len(t, c.packets, packetQueue)
-	require.EqualValues(t, 5, testutil.ToFloat64(m.metrics.drops[dropQueue]))
-	c.deliver(encap.Header{}, make([]byte, packetLen+1))
-	require.Len(t, c.packets, packetQueue)
+	require.Len(t, c.packets, packetQueueLen)
+	require.EqualValues(t, 5, testutil.ToFloat64(m.metrics.drops[dropQueueFull]))
+	c.deliver(encap.Header{}, make([]byte, maxPacketLen+1))
+	require.Len(t, c.packets, packetQueueLen)
 }
 
 func TestServiceConnDeadline(t *testing.T) {
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -18,29 +18,31 @@
 )
 
 const (
-	// HeaderTimeout is the caller's deadline in milliseconds from the arrival
-	// of the request; the target gets what is left of it.
+	// HeaderTimeout is the request header with the caller's timeout in
+	// milliseconds, counted from the arrival of the request. The target
+	// receives the remaining time.
 	HeaderTimeout = "Poppywall-Timeout-Ms"
-	// maxTimeout bounds HeaderTimeout.
+	// maxTimeout is the maximum value of HeaderTimeout.
 	maxTimeout = 24 * time.Hour
-	// longBody is the size from which a body's time is the caller's.
-	longBody      = 64 << 10
-	copyBuffer    = 32 << 10
-	eventStream   = "text/event-stream"
-	headerForward = "X-Forwarded-For"
+	// largeBodyLen is the size in bytes from which the transfer time of a body
+	// depends on the caller, so that the latency is not the target's own.
+	largeBodyLen       = 64 << 10
+	copyBufferLen      = 32 << 10
+	eventStreamType    = "text/event-stream"
+	headerForwardedFor = "X-Forwarded-For"
 )
 
 // proxy is the HTTP handler of one service.
 type proxy struct {
-	id       route.ServiceID
-	service  func() *catalog.Service
-	gate     *gate
-	handover *handover
-	metrics  *metrics
+	id         route.ServiceID
+	service    func() *catalog.Service
+	gate       *gate
+	dispatcher *dispatcher
+	metrics    *metrics
 }
 
-// ServeHTTP admits a request, hands it to a target and relays the answer. An
-// answer is relayed whole or the stream is reset.
+// ServeHTTP admits a request, sends it to a target and relays the response. If
+// the response cannot be relayed completely, the stream is reset.
 func (p *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	svc := p.service()
@@ -57,7 +59,7 @@
 	}
 	defer cancel()
 	deadline, _ := ctx.Deadline()
-	grant, err := p.gate.enter(ctx, admission.Offer{
+	grant, err := p.gate.admit(ctx, admission.Offer{
 		Service:   p.id,
 		Workspace: workspace,
 		Weight:    weightOf(svc, workspace),
@@ -110,42 +112,43 @@
 	return e.Status, e.Verdict
 }
 
-// run hands an admitted request over and relays the answer.
+// run sends an admitted request to its target and relays the response.
 func (p *proxy) run(ctx context.Context, w http.ResponseWriter, r *http.Request, g *grant) (int, verdict.Verdict) {
-	// The process may have been frozen since admission: this is the last look
-	// at the deadline before the target can see the request.
-	if passed(ctx, time.Now()) {
+	// The process may have been frozen since admission, so check the deadline
+	// once more before anything is sent to the target.
+	if cancelledOrExpired(ctx, time.Now()) {
 		g.done(admission.Result{Outcome: admission.Cancelled})
-		return p.refuse(w, notRunInTime(ctx))
+		return p.refuse(w, notRunError(ctx))
 	}
-	out := p.outgoing(ctx, r, g.address)
-	resp, err := p.handover.do(out)
+	out := p.outgoingRequest(ctx, r, g.address)
+	resp, err := p.dispatcher.roundTrip(out)
 	if err != nil {
 		g.done(admission.Result{Outcome: outcomeOf(r)})
 		return p.refuse(w, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if strings.HasPrefix(resp.Header.Get("Content-Type"), eventStream) {
+	if strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType) {
 		g.promote()
 	}
-	writeHead(w, resp)
+	writeResponseHeader(w, resp)
 	err = relayBody(w, resp)
 	g.done(resultOf(ctx, r, resp, err))
 	if err != nil {
-		// Resetting the stream tells the caller that the answer is not whole.
+		// Reset the stream, so that the caller detects the incomplete response.
 		panic(http.ErrAbortHandler)
 	}
 	return resp.StatusCode, verdict.Ran
 }
 
-// passed tells whether the caller has given up. It reads the clock itself: right
-// after a freeze the context's timer may not have fired yet.
-func passed(ctx context.Context, now time.Time) bool {
+// cancelledOrExpired reports whether the request was cancelled or its deadline
+// has passed. It compares the deadline with now, because the context's timer may
+// not have fired yet right after the process was frozen.
+func cancelledOrExpired(ctx context.Context, now time.Time) bool {
 	deadline, ok := ctx.Deadline()
 	return ctx.Err() != nil || (ok && !now.Before(deadline))
 }
 
-func notRunInTime(ctx context.Context) error {
+func notRunError(ctx context.Context) error {
 	e := &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable, Reason: "cancelled"}
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		e.Status, e.Reason = http.StatusGatewayTimeout, string(admission.Deadline)
@@ -153,22 +156,22 @@
 	return e
 }
 
-// outgoing builds the target's request.
-func (p *proxy) outgoing(ctx context.Context, r *http.Request, address string) *http.Request {
+// outgoingRequest returns the request to send to the target.
+func (p *proxy) outgoingRequest(ctx context.Context, r *http.Request, address string) *http.Request {
 	out := r.Clone(ctx)
 	out.URL.Scheme = "http"
 	out.URL.Host = address
 	out.RequestURI = ""
 	out.Proto, out.ProtoMajor, out.ProtoMinor = "HTTP/1.1", 1, 1
 	out.Header = http.Header{}
-	copyEndToEnd(out.Header, r.Header)
+	copyEndToEndHeaders(out.Header, r.Header)
 	if caller, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
-		out.Header.Set(headerForward, caller)
+		out.Header.Set(headerForwardedFor, caller)
 	}
 	out.Header.Del(HeaderTimeout)
 	if deadline, ok := ctx.Deadline(); ok {
-		left := max(time.Until(deadline).Milliseconds(), 1)
-		out.Header.Set(HeaderTimeout, strconv.FormatInt(left, 10))
+		remaining := max(time.Until(deadline).Milliseconds(), 1)
+		out.Header.Set(HeaderTimeout, strconv.FormatInt(remaining, 10))
 	}
 	if _, ok := out.Header["User-Agent"]; !ok {
 		out.Header.Set("User-Agent", "")
@@ -181,22 +184,22 @@
 	if r.ContentLength == 0 || r.Body == nil {
 		return http.NoBody
 	}
-	return onceBody{r.Body}
+	return readOnlyBody{r.Body}
 }
 
-func writeHead(w http.ResponseWriter, resp *http.Response) {
+func writeResponseHeader(w http.ResponseWriter, resp *http.Response) {
 	h := w.Header()
-	copyEndToEnd(h, resp.Header)
+	copyEndToEndHeaders(h, resp.Header)
 	h.Del(verdict.HeaderReason)
 	h.Set(verdict.HeaderVerdict, verdict.Ran.String())
 	w.WriteHeader(resp.StatusCode)
 }
 
-// relayBody copies the answer and flushes after each read, so that events of a
-// stream are not held back.
+// relayBody copies the response body and flushes after each read, so that
+// events of a stream are not delayed.
 func relayBody(w http.ResponseWriter, resp *http.Response) error {
 	rc := http.NewResponseController(w)
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferLen)
 	if err := rc.Flush(); err != nil {
 		return err
 	}
@@ -228,8 +231,9 @@
 	}
 }
 
-// outcomeOf tells what a failed hand-over says of the target: nothing when the
-// caller went away first.
+// outcomeOf returns the outcome of a request that got no response: Cancelled if
+// the caller went away first, which does not count against the target, otherwise
+// Failed.
 func outcomeOf(r *http.Request) admission.Outcome {
 	if r.Context().Err() != nil {
 		return admission.Cancelled
@@ -240,7 +244,7 @@
 func resultOf(ctx context.Context, r *http.Request, resp *http.Response, err error) admission.Result {
 	res := admission.Result{
 		Outcome:    admission.Succeeded,
-		Comparable: r.ContentLength >= 0 && r.ContentLength < longBody && resp.ContentLength >= 0 && resp.ContentLength < longBody,
+		Comparable: r.ContentLength >= 0 && r.ContentLength < largeBodyLen && resp.ContentLength >= 0 && resp.ContentLength < largeBodyLen,
 	}
 	switch {
 	case r.Context().Err() != nil:
@@ -255,9 +259,10 @@
 	return res
 }
 
-// classOf guesses the class from the request; the answer can promote it.
+// classOf derives the class from the Accept header. A request is promoted to a
+// stream if its response turns out to be an event stream.
 func classOf(r *http.Request) admission.Class {
-	if strings.Contains(r.Header.Get("Accept"), eventStream) {
+	if strings.Contains(r.Header.Get("Accept"), eventStreamType) {
 		return admission.Stream
 	}
 	return admission.Request
@@ -271,9 +276,9 @@
 	return strings.ToLower(host)
 }
 
-// otherWorkspaces stands for all authorities that the service does not name, so
-// that callers cannot make up workspaces.
-const otherWorkspaces = "other"
+// otherWorkspace is the workspace of all authorities that the service does not
+// list, so that callers cannot create workspaces.
+const otherWorkspace = "other"
 
 func workspaceOf(s *catalog.Service, authority string) string {
 	name := hostName(authority)
@@ -283,7 +288,7 @@
 	if len(s.Authorities) > 0 && s.Allows(name) {
 		return name
 	}
-	return otherWorkspaces
+	return otherWorkspace
 }
 
 func weightOf(s *catalog.Service, workspace string) int { return max(s.Workspaces[workspace], 1) }
--- a/agent/registry.go
+++ b/agent/registry.go
@@ -16,62 +16,66 @@
 )
 
 const (
-	// maxTargets bounds the targets of one host.
+	// maxTargets is the maximum number of targets on one host.
 	maxTargets = 256
-	// defaultSlotRequests and defaultSlotStreams hold where a service states
-	// no limit.
+	// defaultSlotRequests and defaultSlotStreams are the limits per slot of a
+	// service that configures none.
 	defaultSlotRequests = 16
 	defaultSlotStreams  = 1000
 )
 
-// Announcement is what a target puts to its agent.
+// Announcement is the body of the PUT request with which a target announces
+// itself to its agent.
 type Announcement struct {
-	// Address is where the target listens, on loopback.
+	// Address is the loopback address at which the target listens.
 	Address string `json:"address" validate:"required,addrport4"`
-	// Slots is how much the target can do at once, relative to its peers.
+	// Slots is how much work the target can do concurrently, relative to other
+	// targets.
 	Slots int `json:"slots" validate:"gte=1,lte=1024"`
-	// Labels are what selectors match.
+	// Labels are matched by the selectors of services.
 	Labels catalog.Labels `json:"labels,omitempty" validate:"max=32,dive,keys,required,max=63,endkeys,max=63"`
-	// Draining asks for no new work.
+	// Draining requests that the target receive no new work.
 	Draining bool `json:"draining,omitempty"`
 }
 
 var (
-	errNotLoopback = errors.New("field \"address\": a target must listen on loopback")
-	errTooMany     = errors.New("too many targets on this host")
-	errSameAddress = errors.New("field \"address\": another target has announced it")
+	errNotLoopback    = errors.New("field \"address\": not a loopback address")
+	errTooManyTargets = errors.New("too many targets on this host")
+	errAddressTaken   = errors.New("field \"address\": already announced by another target")
 )
 
-type announced struct {
+type registeredTarget struct {
 	Announcement
-	heardAt time.Time
+	lastSeen time.Time
 }
 
-// registry holds the targets that announced themselves. It is pure and not
-// safe for concurrent use; the agent holds a lock.
-type registry struct {
+// targetRegistry holds the targets that announced themselves. It does no I/O and
+// takes the time as an argument. It is not safe for concurrent use; the agent
+// guards it with state.mu.
+type targetRegistry struct {
 	host    string
 	ttl     time.Duration
-	targets map[string]announced
+	targets map[string]registeredTarget
 }
 
-func newRegistry(host string, ttl time.Duration) *registry {
-	return &registry{host: host, ttl: ttl, targets: map[string]announced{}}
+func newTargetRegistry(host string, ttl time.Duration) *targetRegistry {
+	return &targetRegistry{host: host, ttl: ttl, targets: map[string]registeredTarget{}}
 }
 
-// put takes an announcement and tells whether anything but its time changed.
-func (r *registry) put(now time.Time, name string, a Announcement) (bool, error) {
-	if err := r.check(name, a); err != nil {
+// put stores an announcement and reports whether it differs from the target's
+// previous one.
+func (r *targetRegistry) put(now time.Time, name string, a Announcement) (bool, error) {
+	if err := r.validate(name, a); err != nil {
 		return false, err
 	}
 	old, known := r.targets[name]
-	r.targets[name] = announced{a, now}
+	r.targets[name] = registeredTarget{a, now}
 	same := known && old.Address == a.Address && old.Slots == a.Slots &&
 		old.Draining == a.Draining && maps.Equal(old.Labels, a.Labels)
 	return !same, nil
 }
 
-func (r *registry) check(name string, a Announcement) error {
+func (r *targetRegistry) validate(name string, a Announcement) error {
 	if err := settings.Validate(a); err != nil {
 		return err
 	}
@@ -79,44 +83,46 @@
 		return errNotLoopback
 	}
 	if _, known := r.targets[name]; !known && len(r.targets) >= maxTargets {
-		return errTooMany
+		return errTooManyTargets
 	}
 	for other, t := range r.targets {
 		if other != name && t.Address == a.Address {
-			return errSameAddress
+			return errAddressTaken
 		}
 	}
 	return nil
 }
 
-// remove takes a target's farewell.
-func (r *registry) remove(name string) bool {
+// remove deregisters a target and reports whether it was registered.
+func (r *targetRegistry) remove(name string) bool {
 	_, known := r.targets[name]
 	delete(r.targets, name)
 	return known
 }
 
-// expire drops targets without a heartbeat and tells whether there were any.
-func (r *registry) expire(now time.Time) bool {
+// expire removes the targets that sent no announcement for longer than ttl and
+// reports whether there were any.
+func (r *targetRegistry) expire(now time.Time) bool {
 	before := len(r.targets)
-	maps.DeleteFunc(r.targets, func(_ string, t announced) bool { return now.Sub(t.heardAt) > r.ttl })
+	maps.DeleteFunc(r.targets, func(_ string, t registeredTarget) bool { return now.Sub(t.lastSeen) > r.ttl })
 	return len(r.targets) != before
 }
 
-// plan is what the host serves under the current configuration.
+// plan is the state that the host should have under the current announcements
+// and configuration.
 type plan struct {
-	targets  map[string]gateTarget
-	services map[route.ServiceID][]string
-	specs    map[route.ServiceID]*catalog.Service
+	targets     map[string]gateTarget
+	targetNames map[route.ServiceID][]string
+	services    map[route.ServiceID]*catalog.Service
 }
 
-// plan matches targets with services. A target that drains stays in its
-// services without being ready, so that what is open there runs on.
-func (r *registry) plan(cat *catalog.State, leaving bool) plan {
+// plan assigns targets to services. A draining target stays assigned but is not
+// ready, so that its open work continues.
+func (r *targetRegistry) plan(cat *catalog.State, leaving bool) plan {
 	p := plan{
-		targets:  map[string]gateTarget{},
-		services: map[route.ServiceID][]string{},
-		specs:    map[route.ServiceID]*catalog.Service{},
+		targets:     map[string]gateTarget{},
+		targetNames: map[route.ServiceID][]string{},
+		services:    map[route.ServiceID]*catalog.Service{},
 	}
 	services := cat.Services()
 	for _, name := range slices.Sorted(maps.Keys(r.targets)) {
@@ -125,16 +131,16 @@
 	return p
 }
 
-func (r *registry) planTarget(p *plan, cat *catalog.State, services map[route.ServiceID]*catalog.Service, name string, leaving bool) {
+func (r *targetRegistry) planTarget(p *plan, cat *catalog.State, services map[route.ServiceID]*catalog.Service, name string, leaving bool) {
 	t := r.targets[name]
-	eff := cat.Target(r.host, name, t.Labels)
-	spec := admission.TargetSpec{Slots: t.Slots, Ready: !t.Draining && !eff.Drain && !leaving}
+	effective := cat.Target(r.host, name, t.Labels)
+	spec := admission.TargetSpec{Slots: t.Slots, Ready: !t.Draining && !effective.Drain && !leaving}
 	for id, s := range services {
-		if !s.Selector.Matches(eff.Labels) {
+		if !s.Selector.Matches(effective.Labels) {
 			continue
 		}
-		p.services[id] = append(p.services[id], name)
-		p.specs[id] = s
+		p.targetNames[id] = append(p.targetNames[id], name)
+		p.services[id] = s
 		spec.Requests = max(spec.Requests, t.Slots*orDefault(s.SlotRequests, defaultSlotRequests))
 		spec.Streams = max(spec.Streams, t.Slots*orDefault(s.SlotStreams, defaultSlotStreams))
 	}
@@ -148,10 +154,11 @@
 	return fallback
 }
 
-// offers lists the services of the host with their ready slots.
+// offers returns the services of the host with their ready slots, at most
+// directory.MaxOffers of them.
 func offers(p plan, slots func(route.ServiceID) (int, int)) []directory.Offer {
 	var out []directory.Offer
-	for _, id := range slices.Sorted(maps.Keys(p.services)) {
+	for _, id := range slices.Sorted(maps.Keys(p.targetNames)) {
 		if len(out) == directory.MaxOffers {
 			break
 		}
--- a/agent/registry_test.go
+++ b/agent/registry_test.go
@@ -18,22 +18,22 @@
 	return Announcement{Address: fmt.Sprintf("127.0.0.1:%d", 1000+i), Slots: 2, Labels: catalog.Labels{"service": service}}
 }
 
-// TestLeavingTargetsGetNothingNew announces, drains, relabels, silences and
-// reconfigures targets in any order. The oracle keeps what each target last
-// said and what operators configured; a request only ever runs at a target of
-// its own service that is not leaving. Points 2 and 6, enforced by the agent
-// whatever balancers believe.
-func TestLeavingTargetsGetNothingNew(t *testing.T) {
+// TestLeavingTargetsGetNoNewRequests announces, removes, drains, relabels and
+// expires targets in random order. A request may run only at a target that serves
+// its service and is not draining, by the latest announcements and the operators'
+// configuration. Points 2 and 6, enforced by the agent whatever state the
+// balancers have.
+func TestLeavingTargetsGetNoNewRequests(t *testing.T) {
 	const ttl = 3 * time.Second
 	names := []string{"one", "two", "three"}
 	serviceNames := []string{"tables", "intake"}
 	rapid.Check(t, func(t *rapid.T) {
 		now, rev := t0, catalog.Revision(0)
-		reg, cat := newRegistry("h", ttl), catalog.NewState()
+		reg, cat := newTargetRegistry("h", ttl), catalog.NewState()
 		g := newGate(func() time.Time { return now }, rand.New(rand.NewPCG(1, 1)))
-		said := map[string]Announcement{}
-		heard := map[string]time.Time{}
-		labels := map[string]string{} // operators' own label, stronger than the target's
+		announced := map[string]Announcement{}
+		lastSeen := map[string]time.Time{}
+		labels := map[string]string{} // the operators' label, which overrides the target's
 		drained := map[string]bool{}
 		apply := func(r catalog.Record) {
 			from := rev
@@ -47,15 +47,15 @@
 				Name: s, ID: route.ServiceID(i + 1), Address: fmt.Sprintf("127.0.0.1:%d", i+1), Selector: catalog.Labels{"service": s},
 			}})
 		}
-		replan := func() {
+		applyPlan := func() {
 			p := reg.plan(cat, false)
 			services := map[route.ServiceID][]string{1: nil, 2: nil}
-			for id, list := range p.services {
+			for id, list := range p.targetNames {
 				services[id] = list
 			}
 			g.setTargets(p.targets, services)
 		}
-		operator := func(name string) {
+		configureTarget := func(name string) {
 			target := &catalog.Target{Host: "h", Name: name, Drain: drained[name]}
 			if l := labels[name]; l != "" {
 				target.Labels = catalog.Labels{"service": l}
@@ -63,71 +63,71 @@
 			apply(catalog.Record{Key: catalog.TargetKey("h", name), Target: target})
 		}
 		serves := func(name, service string) bool {
-			a, known := said[name]
+			a, known := announced[name]
 			label := a.Labels["service"]
 			if labels[name] != "" {
 				label = labels[name]
 			}
 			return known && !a.Draining && !drained[name] && label == service
 		}
-		draw := func(t *rapid.T) string { return rapid.SampledFrom(names).Draw(t, "target") }
+		drawName := func(t *rapid.T) string { return rapid.SampledFrom(names).Draw(t, "target") }
 		t.Repeat(map[string]func(*rapid.T){
 			"announce": func(t *rapid.T) {
-				name := draw(t)
+				name := drawName(t)
 				i := rapid.IntRange(0, 2).Draw(t, "address")
 				a := announcement(i, rapid.SampledFrom(serviceNames).Draw(t, "service"))
 				a.Draining = rapid.Bool().Draw(t, "draining")
 				_, err := reg.put(now, name, a)
-				taken := false
-				for other, o := range said {
-					taken = taken || (other != name && o.Address == a.Address)
+				addressTaken := false
+				for other, o := range announced {
+					addressTaken = addressTaken || (other != name && o.Address == a.Address)
 				}
-				require.Equal(t, taken, err != nil)
+				require.Equal(t, addressTaken, err != nil)
 				if err == nil {
-					said[name], heard[name] = a, now
+					announced[name], lastSeen[name] = a, now
 				}
 			},
-			"farewell": func(t *rapid.T) {
-				name := draw(t)
+			"exit": func(t *rapid.T) {
+				name := drawName(t)
 				reg.remove(name)
-				delete(said, name)
+				delete(announced, name)
 			},
 			"label": func(t *rapid.T) {
-				name := draw(t)
+				name := drawName(t)
 				labels[name] = rapid.SampledFrom([]string{"", "tables", "intake"}).Draw(t, "label")
-				operator(name)
+				configureTarget(name)
 			},
 			"drain": func(t *rapid.T) {
-				name := draw(t)
+				name := drawName(t)
 				drained[name] = rapid.Bool().Draw(t, "drain")
-				operator(name)
+				configureTarget(name)
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 				reg.expire(now)
-				for name := range said {
-					if now.Sub(heard[name]) > ttl {
-						delete(said, name)
+				for name := range announced {
+					if now.Sub(lastSeen[name]) > ttl {
+						delete(announced, name)
 					}
 				}
 			},
 			"request": func(t *rapid.T) {
-				replan()
+				applyPlan()
 				id := rapid.IntRange(1, 2).Draw(t, "service")
 				class := admission.Class(rapid.IntRange(0, 1).Draw(t, "class"))
 				d, _ := g.offer(admission.Offer{Service: route.ServiceID(id), Class: class})
-				able := 0
+				eligible := 0
 				for _, name := range names {
 					if serves(name, serviceNames[id-1]) {
-						able++
+						eligible++
 					}
 				}
 				if d.Action == admission.Run {
-					require.True(t, serves(d.Target, serviceNames[id-1]), "%s got a request", d.Target)
+					require.True(t, serves(d.Target, serviceNames[id-1]), "the request ran at %s, which is leaving or does not serve its service", d.Target)
 					return
 				}
 				if d.Action == admission.Refuse && d.Reason == admission.NoTarget {
-					require.Zero(t, able)
+					require.Zero(t, eligible)
 				}
 			},
 		})
@@ -135,14 +135,14 @@
 }
 
 func TestAnnouncementsAreChecked(t *testing.T) {
-	reg := newRegistry("h", time.Second)
-	for name, spoil := range map[string]func(*Announcement){
+	reg := newTargetRegistry("h", time.Second)
+	for name, invalidate := range map[string]func(*Announcement){
 		"off loopback": func(a *Announcement) { a.Address = "10.0.0.1:1" },
 		"no slots":     func(a *Announcement) { a.Slots = 0 },
 		"address":      func(a *Announcement) { a.Address = "x" },
 	} {
 		a := announcement(1, "s")
-		spoil(&a)
+		invalidate(&a)
 		_, err := reg.put(t0, "t", a)
 		require.Error(t, err, name)
 	}
--- a/agent/replan.go
+++ b/agent/replan.go
@@ -11,20 +11,21 @@
 	"github.com/poppywall/poppywall/telemetry"
 )
 
-// replan brings targets, endpoints and the host's entry in line with what
-// targets announced and operators configured.
-func (a *Agent) replan() {
-	a.replanMu.Lock()
-	defer a.replanMu.Unlock()
+// reconcile updates the targets, the endpoints and the host's directory entry to
+// match the targets' announcements and the configuration.
+func (a *Agent) reconcile() {
+	a.reconcileMu.Lock()
+	defer a.reconcileMu.Unlock()
 	a.state.mu.Lock()
 	p := a.state.registry.plan(a.state.catalog, a.state.leaving)
 	a.state.plan = p
-	former := slices.Collect(maps.Keys(a.state.endpoints))
+	existing := slices.Collect(maps.Keys(a.state.endpoints))
 	a.state.mu.Unlock()
 
-	// A service that lost its last target keeps an empty list: nothing new.
-	services := maps.Clone(p.services)
-	for _, id := range former {
+	// A service that lost its last target gets an empty list, so that the gate
+	// refuses its new requests.
+	services := maps.Clone(p.targetNames)
+	for _, id := range existing {
 		if _, ok := services[id]; !ok {
 			services[id] = nil
 		}
@@ -43,16 +44,16 @@
 	}
 	a.state.entry.Offers = list
 	a.state.entry.Sequence++
-	a.kickNow()
+	a.triggerHeartbeat()
 }
 
-// updateEndpoints opens, drains, resumes and closes endpoints; it runs under
-// replanMu.
+// updateEndpoints opens, drains, resumes and retires endpoints. The caller holds
+// reconcileMu.
 func (a *Agent) updateEndpoints(p plan) {
 	a.state.mu.Lock()
 	endpoints := maps.Clone(a.state.endpoints)
 	a.state.mu.Unlock()
-	for id, svc := range p.specs {
+	for id, svc := range p.services {
 		e, ok := endpoints[id]
 		if !ok {
 			e = a.openEndpoint(svc)
@@ -62,7 +63,7 @@
 			endpoints[id] = e
 		}
 		e.service.Store(svc)
-		e.keep()
+		e.abortRetirement()
 	}
 	for id, e := range endpoints {
 		if n, _ := a.gate.slots(id); n > 0 {
@@ -70,7 +71,7 @@
 			continue
 		}
 		e.drain()
-		if _, planned := p.specs[id]; !planned {
+		if _, planned := p.services[id]; !planned {
 			a.retire(id, e)
 		}
 	}
@@ -78,26 +79,26 @@
 }
 
 func (a *Agent) openEndpoint(svc *catalog.Service) *endpoint {
-	conf := a.certs.tlsConfig(svc.Name)
+	conf := a.certificates.tlsConfig(svc.Name)
 	if conf == nil {
-		a.log.Error("no certificate for service", zap.String(telemetry.FieldService, svc.Name))
+		a.log.Error("no certificate configured for service", zap.String(telemetry.FieldService, svc.Name))
 		return nil
 	}
-	e, err := newEndpoint(a.mux, svc, conf, a.cfg.MaxConnections, a.gate.published, a.log)
+	e, err := newEndpoint(a.mux, svc, conf, a.cfg.MaxConnections, a.gate.recentLoad, a.log)
 	if err != nil {
-		a.log.Error("endpoint not opened", zap.String(telemetry.FieldService, svc.Name), zap.Error(err))
+		a.log.Error("failed to open endpoint", zap.String(telemetry.FieldService, svc.Name), zap.Error(err))
 		return nil
 	}
-	e.handler = &proxy{id: svc.ID, service: e.service.Load, gate: a.gate, handover: a.handover, metrics: a.metrics}
-	a.workers.Run(func() { e.acceptLoop(a.serving) })
+	e.handler = &proxy{id: svc.ID, service: e.service.Load, gate: a.gate, dispatcher: a.dispatcher, metrics: a.metrics}
+	a.workers.Run(func() { e.acceptLoop(a.servingCtx) })
 	return e
 }
 
-// retire closes an endpoint whose service no target here serves any more, once
-// its connections ended. Until then the endpoint stays known, for its open
-// flows run on, and the service may come back.
+// retire closes an endpoint whose service no local target serves any more, once
+// its connections have ended or DrainLimit has passed. Until then it stays
+// registered, because its open flows continue and the service may return.
 func (a *Agent) retire(id route.ServiceID, e *endpoint) {
-	ctx, started := e.beginRetiring(a.serving, a.cfg.DrainLimit.D())
+	ctx, started := e.beginRetirement(a.servingCtx, a.cfg.DrainLimit.D())
 	if !started {
 		return
 	}
@@ -109,10 +110,10 @@
 	})
 }
 
-// remove forgets and closes an endpoint, unless its service came back.
+// remove unregisters and closes an endpoint, unless its service has returned.
 func (a *Agent) remove(id route.ServiceID, e *endpoint) {
-	a.replanMu.Lock()
-	defer a.replanMu.Unlock()
+	a.reconcileMu.Lock()
+	defer a.reconcileMu.Unlock()
 	if !e.isRetiring() {
 		return
 	}
@@ -121,7 +122,7 @@
 	a.state.mu.Unlock()
 	delete(endpoints, id)
 	a.setEndpoints(endpoints)
-	e.keep()
+	e.abortRetirement()
 	e.close()
 	a.log.Info("endpoint closed", zap.Uint16(telemetry.FieldService, uint16(id)))
 }
--- a/agent/reset_test.go
+++ b/agent/reset_test.go
@@ -13,9 +13,11 @@
 	"github.com/poppywall/poppywall/standin"
 )
 
-// TestResetsAreTakenByTheQUICLibrary makes a connection under the reset key and
-// lets a second process at the same address, which does not know it, reset it.
-func TestResetsAreTakenByTheQUICLibrary(t *testing.T) {
+// TestQUICLibraryAcceptsStatelessResets opens a connection under the reset key,
+// closes the server's socket, and answers from a new socket at the same address
+// with stateless resets. It guards against reset tokens that differ from those of
+// the QUIC library, which would leave the caller waiting for its idle timeout.
+func TestQUICLibraryAcceptsStatelessResets(t *testing.T) {
 	resets, err := newResetter(secrets)
 	require.NoError(t, err)
 	ca, err := standin.NewAuthority()
@@ -29,7 +31,7 @@
 	require.NoError(t, err)
 	defer func() { _ = server.Close() }()
 	// IDs start with the number of the secret, as routes do.
-	tr := &quic.Transport{Conn: server, StatelessResetKey: resets.currentKey(), ConnectionIDGenerator: firstByte{secrets[0].Number}}
+	tr := &quic.Transport{Conn: server, StatelessResetKey: resets.currentKey(), ConnectionIDGenerator: secretPrefixedIDs{secrets[0].Number}}
 	ln, err := tr.Listen(&tls.Config{Certificates: []tls.Certificate{pair}, NextProtos: []string{"t"}}, nil)
 	require.NoError(t, err)
 	accepted := make(chan struct{})
@@ -45,24 +47,24 @@
 	require.NoError(t, err)
 	<-accepted
 
-	// The old process is gone; a bare socket at its address answers.
+	// Stands for a restarted process at the same address, without the connection.
 	address := server.LocalAddr().(*net.UDPAddr)
 	require.NoError(t, server.Close())
-	fresh, err := net.ListenUDP("udp4", address)
+	restarted, err := net.ListenUDP("udp4", address)
 	require.NoError(t, err)
-	defer func() { _ = fresh.Close() }()
+	defer func() { _ = restarted.Close() }()
 	go func() {
 		buf := make([]byte, 1500)
 		for {
-			n, from, err := fresh.ReadFromUDP(buf)
+			n, from, err := restarted.ReadFromUDP(buf)
 			if err != nil {
 				return
 			}
-			if n < 1+idLen || buf[0]&0x80 != 0 {
+			if n < 1+testIDLen || buf[0]&0x80 != 0 {
 				continue
 			}
-			if p, ok := resets.packet(buf[1:1+idLen], n); ok {
-				_, _ = fresh.WriteToUDP(p, from)
+			if p, ok := resets.resetPacket(buf[1:1+testIDLen], n); ok {
+				_, _ = restarted.WriteToUDP(p, from)
 			}
 		}
 	}()
@@ -71,31 +73,35 @@
 		var reset *quic.StatelessResetError
 		require.ErrorAs(t, context.Cause(conn.Context()), &reset)
 	case <-ctx.Done():
-		t.Fatal("the caller did not learn that its flow is gone")
+		t.Fatal("the client did not detect that its connection was reset")
 	}
 }
 
-const idLen = 20
+const testIDLen = 20
 
-type firstByte struct{ number byte }
+// secretPrefixedIDs generates connection IDs that start with the number of a
+// secret.
+type secretPrefixedIDs struct{ secretNumber byte }
 
-func (g firstByte) GenerateConnectionID() (quic.ConnectionID, error) {
-	id := make([]byte, idLen)
-	id[0] = g.number
+func (g secretPrefixedIDs) GenerateConnectionID() (quic.ConnectionID, error) {
+	id := make([]byte, testIDLen)
+	id[0] = g.secretNumber
 	copy(id[1:], time.Now().Format("150405.000000000"))
 	return quic.ConnectionIDFromBytes(id), nil
 }
 
-func (firstByte) ConnectionIDLen() int { return idLen }
+func (secretPrefixedIDs) ConnectionIDLen() int { return testIDLen }
 
+// TestResetsCannotLoop answers resets with resets. Each must be shorter than the
+// last, so that two endpoints without state do not answer each other forever.
 func TestResetsCannotLoop(t *testing.T) {
 	resets, err := newResetter(secrets)
 	require.NoError(t, err)
-	id := make([]byte, idLen)
+	id := make([]byte, testIDLen)
 	id[0] = secrets[0].Number
 	size := 1200
 	for hops := 0; ; hops++ {
-		p, ok := resets.packet(id, size)
+		p, ok := resets.resetPacket(id, size)
 		if !ok {
 			return
 		}
--- a/agent/resetter.go
+++ b/agent/resetter.go
@@ -10,24 +10,26 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// resetter makes stateless resets (RFC 9000 section 10.3) for connection IDs
-// of any agent of the cluster: the key comes from the cluster secret, so a
-// restarted agent resets the flows of its former incarnation.
+// resetter creates stateless resets (RFC 9000 section 10.3) for connection IDs
+// of any agent of the cluster. The key is derived from the cluster secret, so
+// that a restarted agent can reset the flows of its former incarnation.
 //
-// A connection ID starts with the number of the secret it was made under; its
-// reset token comes from the same one, so a rotation does not break resets.
+// A connection ID starts with the number of the secret under which it was
+// created. Its reset token is derived from the same secret, so that resets work
+// across secret rotations.
 type resetter struct {
 	current byte
 	keys    map[byte]quic.StatelessResetKey
 }
 
 const (
-	resetTokenLen = 16
-	// minResetLen is the least length that looks like a short packet.
-	minResetLen = 21
-	maxResetLen = 41
-	fixedBit    = 0x40
-	shortMask   = 0x7f
+	statelessResetTokenLen = 16
+	// minResetLen is the minimum length at which a reset is indistinguishable
+	// from a packet with a short header.
+	minResetLen     = 21
+	maxResetLen     = 41
+	fixedBit        = 0x40
+	shortHeaderMask = 0x7f
 )
 
 func newResetter(secrets []route.Secret) (*resetter, error) {
@@ -42,16 +44,17 @@
 	return r, nil
 }
 
-// currentKey is the key for connection IDs made from now on.
+// currentKey returns the reset key for new connection IDs.
 func (r *resetter) currentKey() *quic.StatelessResetKey {
 	key := r.keys[r.current]
 	return &key
 }
 
-// packet returns a reset for a datagram of the given length. It is shorter
-// than what it answers, so that two resetting ends cannot loop.
-func (r *resetter) packet(id []byte, answered int) ([]byte, bool) {
-	n := min(answered-1, maxResetLen)
+// resetPacket returns a stateless reset in answer to a datagram of the given
+// length, or false if that is too short. The reset is shorter than the datagram,
+// so that two endpoints cannot answer each other's resets forever.
+func (r *resetter) resetPacket(id []byte, answeredLen int) ([]byte, bool) {
+	n := min(answeredLen-1, maxResetLen)
 	if n < minResetLen {
 		return nil, false
 	}
@@ -59,16 +62,16 @@
 	if _, err := rand.Read(out); err != nil {
 		return nil, false
 	}
-	out[0] = out[0]&shortMask | fixedBit
-	copy(out[n-resetTokenLen:], r.token(id))
+	out[0] = out[0]&shortHeaderMask | fixedBit
+	copy(out[n-statelessResetTokenLen:], r.token(id))
 	return out, true
 }
 
-// token is the QUIC library's derivation, which issued the token to the
-// caller: HMAC-SHA256 of the connection ID, truncated.
+// token returns the reset token of a connection ID: its truncated HMAC-SHA256.
+// The QUIC library derives the token that it issues to the caller the same way.
 func (r *resetter) token(id []byte) []byte {
 	key := r.keys[id[0]]
 	m := hmac.New(sha256.New, key[:])
 	m.Write(id)
-	return m.Sum(nil)[:resetTokenLen]
+	return m.Sum(nil)[:statelessResetTokenLen]
 }
--- a/agent/serviceconn.go
+++ b/agent/serviceconn.go
@@ -14,15 +14,17 @@
 )
 
 // serviceConn is the net.PacketConn of one service's QUIC stack. It does not
-// embed a UDP connection: the QUIC library would go around it.
+// embed a UDP connection, because the QUIC library would use that directly and
+// bypass the methods of serviceConn.
 type serviceConn struct {
 	mux     *mux
 	id      route.ServiceID
 	packets chan *packet
-	// accepting tells whether new flows are taken.
+	// accepting reports whether new flows are accepted.
 	accepting atomic.Bool
-	// reading is the load reading sent with each datagram.
-	reading func() (open, busy, slots int)
+	// load returns the load report that is sent with each datagram: open
+	// connections, load in thousandths of the limit, and ready slots.
+	load func() (open, busy, slots int)
 
 	address   atomic.Pointer[netip.AddrPort]
 	closeOnce sync.Once
@@ -43,26 +45,27 @@
 // Temporary implements net.Error.
 func (*timeoutError) Temporary() bool { return true }
 
-// deadline wakes a reader; the QUIC library sets it to the past to stop one.
+// deadline is a read deadline that takes effect only if it is set to a time in
+// the past, as the QUIC library does to unblock a reader. Any other time clears it.
 type deadline struct {
-	mu     sync.Mutex
-	passed chan struct{}
+	mu      sync.Mutex
+	expired chan struct{}
 }
 
-func (d *deadline) init() { d.passed = make(chan struct{}) }
+func (d *deadline) init() { d.expired = make(chan struct{}) }
 
 func (d *deadline) set(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	past := !t.IsZero() && !t.After(time.Now())
 	select {
-	case <-d.passed:
+	case <-d.expired:
 		if !past {
-			d.passed = make(chan struct{})
+			d.expired = make(chan struct{})
 		}
 	default:
 		if past {
-			close(d.passed)
+			close(d.expired)
 		}
 	}
 }
@@ -70,26 +73,26 @@
 func (d *deadline) done() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.passed
+	return d.expired
 }
 
-func newServiceConn(m *mux, id route.ServiceID, reading func() (open, busy, slots int)) *serviceConn {
+func newServiceConn(m *mux, id route.ServiceID, load func() (open, busy, slots int)) *serviceConn {
 	c := &serviceConn{
 		mux:     m,
 		id:      id,
-		packets: make(chan *packet, packetQueue),
-		reading: reading,
+		packets: make(chan *packet, packetQueueLen),
+		load:    load,
 		closed:  make(chan struct{}),
 	}
 	c.deadline.init()
 	return c
 }
 
-// deliver queues a caller's datagram; h names the service address to answer
-// from.
+// deliver queues a caller's datagram for the QUIC stack. Its header holds the
+// service address from which responses are sent.
 func (c *serviceConn) deliver(h encap.Header, payload []byte) {
-	if len(payload) > packetLen {
-		c.mux.metrics.drop(dropPacket)
+	if len(payload) > maxPacketLen {
+		c.mux.metrics.drop(dropNotQUIC)
 		return
 	}
 	if a := c.address.Load(); a == nil || *a != h.Service {
@@ -97,12 +100,12 @@
 	}
 	p := c.mux.packets.Get().(*packet)
 	p.caller = net.UDPAddrFromAddrPort(h.Caller)
-	p.data = p.room[:copy(p.room[:], payload)]
+	p.data = p.buf[:copy(p.buf[:], payload)]
 	select {
 	case c.packets <- p:
 	default:
 		c.mux.packets.Put(p)
-		c.mux.metrics.drop(dropQueue)
+		c.mux.metrics.drop(dropQueueFull)
 	}
 }
 
@@ -121,7 +124,7 @@
 	}
 }
 
-var errNotUDP = errors.New("caller address is not UDP")
+var errNotUDP = errors.New("caller address is not a UDP address")
 
 // WriteTo implements net.PacketConn.
 func (c *serviceConn) WriteTo(b []byte, addr net.Addr) (int, error) {
@@ -134,13 +137,13 @@
 		return len(b), nil
 	}
 	caller := udp.AddrPort()
-	to, ok := c.mux.path(time.Now(), caller)
+	to, ok := c.mux.chooseBalancer(time.Now(), caller)
 	if !ok {
-		// No balancer is known: as if the network had lost it.
+		// No balancer is known: drop the datagram, as the network might.
 		c.mux.metrics.drop(dropNoBalancer)
 		return len(b), nil
 	}
-	open, busy, slots := c.reading()
+	open, busy, slots := c.load()
 	c.mux.send(to, encap.Header{
 		Caller:    caller,
 		Service:   *service,
@@ -173,5 +176,6 @@
 	return nil
 }
 
-// SetWriteDeadline implements net.PacketConn; writes never wait.
+// SetWriteDeadline implements net.PacketConn. It has no effect, because writes do
+// not block.
 func (c *serviceConn) SetWriteDeadline(time.Time) error { return nil }
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -1,6 +1,6 @@
-// Package agent assembles the process that runs on each target VM: it ends
-// QUIC for the services that local targets serve, admits requests, hands them
-// to targets, drains, and announces the host.
+// Package agent implements the process that runs on each target VM. It
+// terminates QUIC for the services of the local targets, admits requests and
+// sends them to targets, drains targets, and announces the host to balancers.
 package agent
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/poppywall/poppywall/settings"
 )
 
-// Settings are an agent's settings file.
+// Settings is the content of an agent's settings file.
 type Settings struct {
 	// Host is the name of the host in labels, drains and status.
 	Host string `json:"host" validate:"required,hostname_rfc1123"`
@@ -22,35 +22,38 @@
 	Announce string `json:"announce" validate:"required,addrport4"`
 	// Metrics is the address of /metrics and /healthz.
 	Metrics string `json:"metrics" validate:"required,addrport4"`
-	// Balancers are control addresses to find the registrars by.
+	// Balancers are the control addresses of balancers to ask for registrars.
 	Balancers []string `json:"balancers" validate:"required,min=1,max=64,dive,addrport4"`
-	// Platform is the base URL of the platform's key-value service, asked for
-	// balancers when none of Balancers answers; empty never asks.
+	// Platform is the base URL of the platform's key-value service, from which
+	// balancer addresses are read when none of Balancers answers. If it is
+	// empty, they are not read.
 	Platform string `json:"platform,omitempty" validate:"omitempty,url"`
-	// Secrets is the cluster secret list; the first one signs.
+	// Secrets is the list of cluster secrets; the first one signs.
 	Secrets []settings.Secret `json:"secrets" validate:"required,min=1,max=8,dive"`
 	// Certificates are the TLS key pairs by service.
 	Certificates []Certificate `json:"certificates" validate:"required,min=1,max=64,dive"`
-	// Heartbeat is the period of announcements until a registrar states one.
+	// Heartbeat is the minimum period of heartbeats to registrars. A registrar can
+	// request a longer one.
 	Heartbeat settings.Duration `json:"heartbeat,omitempty" validate:"gte=20000000,lte=60000000000"`
-	// TargetTTL is how long a target counts without a heartbeat of its own.
+	// TargetTTL is how long a target stays registered without a new announcement.
 	TargetTTL settings.Duration `json:"targetTTL,omitempty" validate:"gte=100000000,lte=60000000000"`
-	// DrainLimit bounds how long open work of a leaving host may run on.
+	// DrainLimit is the maximum time for open work to continue when the host
+	// leaves or a service loses its last target.
 	DrainLimit settings.Duration `json:"drainLimit,omitempty" validate:"gte=0"`
-	// MaxConnections bounds the QUIC connections of each service.
+	// MaxConnections is the maximum number of QUIC connections per service.
 	MaxConnections int          `json:"maxConnections,omitempty" validate:"gte=1,lte=65535"`
 	Log            settings.Log `json:"log"`
 }
 
-// Certificate names the TLS key pair of one service; an empty Service is for
-// all others.
+// Certificate is the paths of a service's TLS key pair. An empty Service applies
+// to all services without a pair of their own.
 type Certificate struct {
 	Service string `json:"service,omitempty"`
 	Cert    string `json:"cert" validate:"required"`
 	Key     string `json:"key" validate:"required"`
 }
 
-// Defaults returns the settings that a file may leave out.
+// Defaults returns the default values of optional settings.
 func Defaults() Settings {
 	return Settings{
 		Heartbeat:      settings.Duration(time.Second),
--- a/agent/targetapi.go
+++ b/agent/targetapi.go
@@ -14,7 +14,8 @@
 	"github.com/poppywall/poppywall/directory"
 )
 
-// announceAPI is the loopback endpoint of targets.
+// announceAPI returns the HTTP handler at which local targets announce
+// themselves.
 func (a *Agent) announceAPI() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/targets/{name}", a.putTarget)
@@ -30,7 +31,7 @@
 		return
 	}
 	var ann Announcement
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementLen))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&ann); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -44,14 +45,16 @@
 		return
 	}
 	if changed {
-		a.replan()
+		a.reconcile()
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(announceReply{TTLMillis: a.cfg.TargetTTL.D().Milliseconds()})
 }
 
-// announceReply tells a target how often it must announce itself.
+// announceReply is the response to an announcement.
 type announceReply struct {
+	// TTLMillis is the time in milliseconds after which the target is removed
+	// unless it announces itself again.
 	TTLMillis int64 `json:"ttlMillis"`
 }
 
@@ -60,12 +63,12 @@
 	known := a.state.registry.remove(r.PathValue("name"))
 	a.state.mu.Unlock()
 	if known {
-		a.replan()
+		a.reconcile()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// targetStatus is one target in the list for operators and targets.
+// targetStatus is a target in the list that GET /v1/targets returns.
 type targetStatus struct {
 	Name     string         `json:"name"`
 	Labels   catalog.Labels `json:"labels"`
@@ -85,8 +88,8 @@
 	defer a.state.mu.Unlock()
 	out := []targetStatus{}
 	for name, t := range a.state.registry.targets {
-		eff := a.state.catalog.Target(a.cfg.Host, name, t.Labels)
-		st := targetStatus{Name: name, Labels: eff.Labels, Draining: eff.Drain || t.Draining}
+		effective := a.state.catalog.Target(a.cfg.Host, name, t.Labels)
+		st := targetStatus{Name: name, Labels: effective.Labels, Draining: effective.Drain || t.Draining}
 		st.Ready = a.state.plan.targets[name].spec.Ready
 		st.Requests, st.Streams = a.gate.inProgress(name)
 		out = append(out, st)
@@ -103,7 +106,7 @@
 func (a *Agent) listenAnnounce() (net.Listener, error) {
 	ap, err := netip.ParseAddrPort(a.cfg.Announce)
 	if err != nil || !ap.Addr().IsLoopback() {
-		return nil, errors.New("field \"announce\": must be a loopback address")
+		return nil, errors.New("field \"announce\": not a loopback address")
 	}
 	return net.Listen("tcp4", a.cfg.Announce)
 }
--- a/agent/trackedconn.go
+++ b/agent/trackedconn.go
@@ -7,16 +7,16 @@
 	"github.com/go-faster/errors"
 )
 
-var errSealed = errors.New("connection is sealed")
+var errSealed = errors.New("connection is closed for writing")
 
-// trackedConn counts the bytes written to a target and can be sealed: after
-// seal returns nothing more is written, so the count then tells for sure
-// whether a request may have reached the target.
+// trackedConn counts the bytes written to a target. After seal returns, no more
+// bytes are written, so the count is final and shows whether a request may have
+// reached the target.
 type trackedConn struct {
 	net.Conn
 
-	// mu orders writes with seal. A write in progress holds it, so seal first
-	// closes the connection, which ends the write.
+	// mu serialises Write and seal. A write in progress holds it, so seal first
+	// closes the connection to unblock the write.
 	mu      sync.Mutex
 	written int64
 	sealed  bool
@@ -34,14 +34,15 @@
 	return n, err
 }
 
-// mark returns the bytes written so far.
-func (c *trackedConn) mark() int64 {
+// bytesWritten returns the number of bytes written so far.
+func (c *trackedConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal stops all writing and returns the bytes written in all.
+// seal closes the connection, prevents further writes, and returns the total
+// number of bytes written.
 func (c *trackedConn) seal() int64 {
 	_ = c.Close()
 	c.mu.Lock()
