--- a/balancer/api.go
+++ b/balancer/api.go
@@ -23,7 +23,8 @@
 	b.server.Register(control.MethodStatus, control.Handle(b.handleStatus))
 }
 
-// handleHeartbeat serves as a registrar for an agent.
+// handleHeartbeat handles a heartbeat of an agent that uses this balancer as a
+// registrar.
 func (b *Balancer) handleHeartbeat(_ context.Context, req control.HeartbeatRequest) (control.HeartbeatReply, error) {
 	now := time.Now()
 	b.view.mu.Lock()
@@ -45,38 +46,39 @@
 		b.view.dir.Release(req.Data)
 		return reply, nil
 	}
-	list := directory.Registrars(req.Data.String(), req.Zone, b.view.dir.Balancers(), control.RegistrarsPerHost)
-	if control.RegistrarHash(list) != req.Registrars {
-		reply.Registrars = list
+	registrars := directory.Registrars(req.Data.String(), req.Zone, b.view.dir.Balancers(), control.RegistrarsPerHost)
+	if control.RegistrarHash(registrars) != req.Registrars {
+		reply.Registrars = registrars
 	}
 	return reply, nil
 }
 
 func (b *Balancer) handleExchange(_ context.Context, req control.ExchangeRequest) (control.ExchangeReply, error) {
-	news, _ := b.take(req.Rumours, nil)
+	changed, _ := b.merge(req.Rumours, nil)
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
-	// The own entry goes along: the requester may have come by a bare address.
-	rumours := append(b.view.dir.Rumours(req.Rumours), b.view.dir.Self())
+	// This balancer's own entry is always included, as a requester that joins
+	// through a seed may have only its address.
+	updates := append(b.view.dir.Rumours(req.Rumours), b.view.dir.Self())
 	return control.ExchangeReply{
-		Rumours:  rumours,
+		Rumours:  updates,
 		Root:     b.view.dir.Root(),
 		Revision: b.view.catalog.Revision(),
-		News:     news,
+		News:     changed,
 		Update:   b.view.catalog.Since(req.Revision, catalog.Everything),
 	}, nil
 }
 
 func (b *Balancer) handlePush(_ context.Context, req control.PushRequest) (control.PushReply, error) {
-	b.take(nil, &req.Update)
-	return control.PushReply{Revision: b.heard()}, nil
+	b.merge(nil, &req.Update)
+	return control.PushReply{Revision: b.receivedRevision()}, nil
 }
 
 func (b *Balancer) handleDigest(_ context.Context, req control.DigestRequest) (control.DigestReply, error) {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
-	of := b.view.dir.DiffBranches(req.Branches, repairBranches)
-	return control.DigestReply{Of: of, Leaves: b.view.dir.Leaves(of)}, nil
+	branches := b.view.dir.DiffBranches(req.Branches, maxRepairBranches)
+	return control.DigestReply{Of: branches, Leaves: b.view.dir.Leaves(branches)}, nil
 }
 
 func (b *Balancer) handleEntries(_ context.Context, req control.EntriesRequest) (control.EntriesReply, error) {
@@ -86,12 +88,12 @@
 	b.view.mu.Lock()
 	reply := control.EntriesReply{Entries: b.view.dir.EntriesOf(req.Leaves, control.MaxEntriesPerCall)}
 	b.view.mu.Unlock()
-	b.take(req.Entries, nil)
+	b.merge(req.Entries, nil)
 	return reply, nil
 }
 
 func (b *Balancer) handleSync(_ context.Context, req control.SyncRequest) (control.SyncReply, error) {
-	return control.SyncReply{Update: b.since(req.Revision, catalog.Everything)}, nil
+	return control.SyncReply{Update: b.updateSince(req.Revision, catalog.Everything)}, nil
 }
 
 func (b *Balancer) handleStatus(_ context.Context, req control.StatusRequest) (control.StatusReply, error) {
@@ -111,7 +113,8 @@
 	return reply, nil
 }
 
-// serviceStatus runs under view.mu.
+// serviceStatus returns the hosts and slots of each service, by name. The caller
+// holds view.mu.
 func (b *Balancer) serviceStatus() []control.ServiceStatus {
 	var out []control.ServiceStatus
 	for id, s := range b.view.catalog.Services() {
@@ -126,7 +129,8 @@
 	return out
 }
 
-// Slots returns the ready slots of each service as this balancer sees them.
+// Slots returns the number of ready slots of each service in this balancer's
+// directory.
 func (b *Balancer) Slots() map[string]int {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -28,8 +28,8 @@
 const (
 	callTimeout     = 2 * time.Second
 	platformTimeout = 5 * time.Second
-	idleConn        = 5 * time.Second
-	tickEvery       = 500 * time.Millisecond
+	idleConnTimeout = 5 * time.Second
+	tickInterval    = 500 * time.Millisecond
 )
 
 // Balancer is one balancer process.
@@ -60,20 +60,22 @@
 	workers *worker.Group
 }
 
-// view is what the balancer knows; mu guards all of it.
+// view is the balancer's copy of the cluster state: the directory of agents and
+// balancers, and the configuration. mu guards all fields.
 type view struct {
-	mu       sync.Mutex
-	dir      *directory.Directory
-	catalog  *catalog.State
-	rnd      *rand.Rand
-	feeder   bool
-	repairAt time.Time
-	// complete tells that the configuration is known and every service has
+	mu         sync.Mutex
+	dir        *directory.Directory
+	catalog    *catalog.State
+	rnd        *rand.Rand
+	feeder     bool
+	lastRepair time.Time
+	// ready reports whether a configuration is in force and every service has
 	// its socket.
-	complete bool
+	ready bool
 }
 
-// New opens all sockets of a balancer; Run serves them.
+// New creates a balancer and opens its internal, control and metrics sockets.
+// Service sockets follow from the configuration; Run serves all of them.
 func New(cfg Settings, log *zap.Logger) (*Balancer, error) {
 	secrets, err := settings.Secrets(cfg.Secrets)
 	if err != nil {
@@ -98,7 +100,7 @@
 		pool:    sync.Pool{New: func() any { return relay.NewBatch() }},
 	}
 	b.sockets.open = map[netip.AddrPort]*relay.Socket{}
-	b.client = control.NewClient(secrets, &b.traffic, callTimeout, idleConn)
+	b.client = control.NewClient(secrets, &b.traffic, callTimeout, idleConnTimeout)
 	if err := b.listen(secrets); err != nil {
 		b.close()
 		return nil, err
@@ -144,7 +146,7 @@
 	return netip.MustParseAddrPort(b.server.Addr().String())
 }
 
-// MetricsAddr returns the bound address of /metrics and /healthz.
+// MetricsAddr returns the bound address that serves /metrics and /healthz.
 func (b *Balancer) MetricsAddr() string { return b.http.Addr() }
 
 // ControlTraffic returns the bytes of control calls sent and received.
@@ -152,16 +154,16 @@
 	return b.traffic.Sent.Load(), b.traffic.Received.Load()
 }
 
-// Revision returns the revision in force here.
+// Revision returns the configuration revision in force on this balancer.
 func (b *Balancer) Revision() catalog.Revision {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
 	return b.view.catalog.InForce()
 }
 
-// Run serves until ctx ends, then leaves gracefully: the health endpoint
-// fails, forwarding goes on for LeaveDelay while the fabric takes the balancer
-// out, agents are told, peers are told.
+// Run serves until ctx ends, then stops gracefully: the health endpoint fails,
+// agents and peers are notified, and forwarding continues for LeaveDelay while
+// the network fabric stops routing to the balancer.
 func (b *Balancer) Run(ctx context.Context) error {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -197,29 +199,33 @@
 	b.client.Close()
 }
 
-// tickLoop runs the directory's clock and passes its changes to the table.
+// tickLoop runs the directory's timeouts and passes its changes to the
+// forwarding table. It also retries service sockets that failed to open.
 func (b *Balancer) tickLoop(ctx context.Context) error {
-	return worker.Every(ctx, tickEvery, func() {
+	return worker.Every(ctx, tickInterval, func() {
 		now := time.Now()
 		b.view.mu.Lock()
 		defer b.view.mu.Unlock()
 		b.view.dir.Tick(now)
-		b.audit(now)
+		b.auditRegistrars(now)
 		b.applyDirectory(now)
-		if b.view.catalog.InForce() > 0 && !b.view.complete {
+		if b.view.catalog.InForce() > 0 && !b.view.ready {
 			b.openServices()
 		}
 	})
 }
 
-// auditShare is the part of the directory audited in one tick.
-const auditShare = 1000
+// auditDivisor sets the hosts audited per tick: one, plus one for each
+// auditDivisor directory entries.
+const auditDivisor = 1000
 
-// audit runs under view.mu.
-func (b *Balancer) audit(now time.Time) {
+// auditRegistrars checks the next hosts of the directory in turn and suspects
+// those that should use this balancer as a registrar but have sent it no
+// heartbeats. The caller holds view.mu.
+func (b *Balancer) auditRegistrars(now time.Time) {
 	balancers := b.view.dir.Balancers()
 	self := b.view.dir.Self()
-	n := 1 + b.view.dir.Len()/auditShare
+	n := 1 + b.view.dir.Len()/auditDivisor
 	b.view.dir.Audit(now, n, func(e *directory.Entry) bool {
 		for _, r := range directory.Registrars(e.Data.String(), e.Zone, balancers, control.RegistrarsPerHost) {
 			if r.Data == self.Data {
@@ -230,13 +236,15 @@
 	})
 }
 
-// applyDirectory gives changed host lists to the table; it runs under view.mu.
+// applyDirectory passes changed host lists to the forwarding table. The caller
+// holds view.mu.
 func (b *Balancer) applyDirectory(now time.Time) {
 	for _, id := range b.view.dir.Dirty() {
 		b.table.SetHosts(now, id, b.candidates(id))
 	}
 }
 
+// candidates returns the usable hosts of a service for host selection.
 func (b *Balancer) candidates(id route.ServiceID) []choose.Host {
 	hosts := b.view.dir.Hosts(id)
 	out := make([]choose.Host, 0, len(hosts))
@@ -246,12 +254,12 @@
 	return out
 }
 
-// applyCatalog takes an update and puts it in force here; it runs under
+// applyCatalog applies a configuration update to this balancer. The caller holds
 // view.mu.
 func (b *Balancer) applyCatalog(u catalog.Update) {
 	changed, err := b.view.catalog.Apply(u)
 	if err != nil {
-		b.log.Error("configuration not applied", zap.Error(err))
+		b.log.Error("failed to apply configuration update", zap.Error(err))
 		return
 	}
 	if !changed {
@@ -261,6 +269,9 @@
 	b.log.Info("configuration in force", zap.Int64(telemetry.FieldRevision, int64(b.view.catalog.InForce())))
 }
 
+// openServices passes the configured services and their hosts to the forwarding
+// table, opens and closes service sockets to match, and updates the health
+// status. The caller holds view.mu.
 func (b *Balancer) openServices() {
 	services := b.view.catalog.Services()
 	specs := make([]forward.Spec, 0, len(services))
@@ -272,7 +283,8 @@
 	for _, sp := range specs {
 		b.table.SetHosts(now, sp.ID, b.candidates(sp.ID))
 	}
-	// A balancer that misses a service's address must not be given its packets.
-	b.view.complete = b.reconcileSockets(specs)
-	b.health.Set(b.view.complete && !b.leaving.started())
+	// A balancer that could not open a service's address reports itself unhealthy,
+	// so that the network fabric does not route that service's packets to it.
+	b.view.ready = b.reconcileSockets(specs)
+	b.health.Set(b.view.ready && !b.leaving.started())
 }
--- a/balancer/data.go
+++ b/balancer/data.go
@@ -13,10 +13,10 @@
 	"github.com/poppywall/poppywall/telemetry"
 )
 
-// internalReaders is the number of workers on the internal socket.
+// internalReaders is the number of goroutines that read the internal socket.
 const internalReaders = 2
 
-// socketSet is the open service sockets; mu guards open.
+// socketSet holds the open service sockets by address. mu guards all fields.
 type socketSet struct {
 	mu     sync.RWMutex
 	open   map[netip.AddrPort]*relay.Socket
@@ -42,7 +42,7 @@
 }
 
 // reconcileSockets opens the sockets of new services and closes those of
-// services that are gone. It tells whether every service has its socket.
+// removed services. It reports whether every service has its socket.
 func (b *Balancer) reconcileSockets(specs []forward.Spec) bool {
 	b.sockets.mu.Lock()
 	defer b.sockets.mu.Unlock()
@@ -65,25 +65,25 @@
 	return len(b.sockets.open) == len(wanted)
 }
 
-// openSocket runs under sockets.mu.
+// openSocket opens and serves a service socket. The caller holds sockets.mu.
 func (b *Balancer) openSocket(a netip.AddrPort) {
 	sock, err := relay.Listen(a, relay.Spray{Members: b.cfg.SprayMembers})
 	if err != nil {
 		b.metrics.socketErrors.Inc()
-		b.log.Error("service address not opened", zap.Stringer(telemetry.FieldAddress, a), zap.Error(err))
+		b.log.Error("failed to open service address", zap.Stringer(telemetry.FieldAddress, a), zap.Error(err))
 		return
 	}
 	b.sockets.open[a] = sock
 	b.workers.Run(func() { b.serveService(a, sock) })
 }
 
-// serveService forwards callers' datagrams of one service until its socket
-// closes.
+// serveService forwards callers' datagrams for one service until its socket is
+// closed.
 func (b *Balancer) serveService(address netip.AddrPort, sock *relay.Socket) {
-	b.pump(sock, func(batch *relay.Batch, in []relay.Datagram) {
+	b.readLoop(sock, func(batch *relay.Batch, in []relay.Datagram) {
 		s := b.table.Service(address)
 		if s == nil {
-			b.metrics.drop(forward.UnknownService, len(in))
+			b.metrics.countDrops(forward.UnknownService, len(in))
 			return
 		}
 		now := time.Now()
@@ -94,24 +94,27 @@
 	})
 }
 
-// serveInternal handles agents' datagrams until the internal socket closes.
+// serveInternal handles agents' datagrams until the internal socket is closed.
+// While this balancer is stopping, it notifies agents whose datagrams it
+// forwards.
 func (b *Balancer) serveInternal() {
-	b.pump(b.internal, func(batch *relay.Batch, in []relay.Datagram) {
+	b.readLoop(b.internal, func(batch *relay.Batch, in []relay.Datagram) {
 		now := time.Now()
 		for i := range in {
 			d := &in[i]
 			a := b.table.FromAgent(now, d.From, d.Payload)
 			b.perform(batch, d, a)
 			if b.leaving.started() && a.Operation == forward.ToCaller {
-				b.tellLeaving(now, d.From, a.Header)
+				b.notifyLeaving(now, d.From, a.Header)
 			}
 		}
 	})
 }
 
-// pump reads batches from a socket; the memory of a batch is held only while
-// there is something to do.
-func (b *Balancer) pump(sock *relay.Socket, handle func(*relay.Batch, []relay.Datagram)) {
+// readLoop passes batches of datagrams to handle until the socket is closed. It
+// takes a batch from the pool only once the socket is readable, so that idle
+// sockets hold no buffers.
+func (b *Balancer) readLoop(sock *relay.Socket, handle func(*relay.Batch, []relay.Datagram)) {
 	for sock.Wait() == nil {
 		batch := b.pool.Get().(*relay.Batch)
 		in, err := sock.Read(batch)
@@ -124,7 +127,7 @@
 	}
 }
 
-// perform carries out one decision.
+// perform executes the action that the forwarding table returned for a datagram.
 func (b *Balancer) perform(batch *relay.Batch, d *relay.Datagram, a forward.Action) {
 	switch a.Operation {
 	case forward.ToHost:
@@ -132,20 +135,20 @@
 	case forward.ToCaller:
 		sock := b.sockets.get(a.Header.Service)
 		if sock == nil {
-			b.metrics.drop(forward.UnknownService, 1)
+			b.metrics.countDrops(forward.UnknownService, 1)
 			return
 		}
 		b.metrics.toCaller.Inc()
 		b.metrics.lost.Add(float64(batch.Queue(sock, a.Peer, a.Payload)))
 	default:
-		b.metrics.drop(a.Reason, 1)
+		b.metrics.countDrops(a.Reason, 1)
 	}
 }
 
 func (b *Balancer) sendToHost(batch *relay.Batch, d *relay.Datagram, a forward.Action) {
 	buf := d.WithHeader(a.Payload)
 	if err := b.tagger.Encode(buf, a.Header); err != nil {
-		b.metrics.drop(forward.BadHeader, 1)
+		b.metrics.countDrops(forward.BadHeader, 1)
 		return
 	}
 	if a.NewFlow {
@@ -155,10 +158,10 @@
 	b.metrics.lost.Add(float64(batch.Queue(b.internal, a.Peer, buf)))
 }
 
-// tellLeaving tells an agent that this balancer is stopping, at most once per
-// second and agent.
-func (b *Balancer) tellLeaving(now time.Time, agent netip.AddrPort, h encap.Header) {
-	if !b.leaving.mayTell(now, agent) {
+// notifyLeaving notifies an agent that this balancer is stopping, at most once
+// per second and agent.
+func (b *Balancer) notifyLeaving(now time.Time, agent netip.AddrPort, h encap.Header) {
+	if !b.leaving.noticeDue(now, agent) {
 		return
 	}
 	buf := make([]byte, encap.HeaderLen)
--- a/balancer/feedloop.go
+++ b/balancer/feedloop.go
@@ -14,36 +14,37 @@
 )
 
 const (
-	// seedEvery is the period at which a feeder renews its seed key and tries
-	// the seeds of other zones.
-	seedEvery = 30 * time.Second
-	// seedTTL is the lease of a seed key.
+	// seedInterval is the period at which a feeder publishes its seed key and
+	// exchanges with another feeder.
+	seedInterval = 30 * time.Second
+	// seedTTL is the lifetime of a seed key's lease.
 	seedTTL = 120 * time.Second
 )
 
-// feedLoop reads the platform while this balancer is a feeder, or while it
-// knows no configuration and no peer gave it any.
+// feedLoop reads the configuration from the platform while this balancer is a
+// feeder, or has no configuration in force because no peer provided one.
 func (b *Balancer) feedLoop(ctx context.Context) error {
-	b.joinByPlatform(ctx)
-	next := time.Now()
+	b.joinByPublishedSeeds(ctx)
+	nextSeedRenewal := time.Now()
 	return worker.Every(ctx, b.cfg.PullEvery.D(), func() {
-		if !b.decideFeeder() {
+		if !b.updateFeeder() {
 			return
 		}
 		if err := b.pullPlatform(ctx); err != nil {
-			b.metrics.pullErrors.Inc()
-			b.log.Warn("platform not read", zap.Error(err))
+			b.metrics.platformPullErrors.Inc()
+			b.log.Warn("failed to read configuration from the platform", zap.Error(err))
 			return
 		}
-		if time.Now().After(next) {
-			next = time.Now().Add(seedEvery)
+		if time.Now().After(nextSeedRenewal) {
+			nextSeedRenewal = time.Now().Add(seedInterval)
 			b.renewSeed(ctx)
 		}
 	})
 }
 
-// decideFeeder tells whether to read the platform now.
-func (b *Balancer) decideFeeder() bool {
+// updateFeeder determines whether this balancer is a feeder, and reports whether
+// it should read the platform now.
+func (b *Balancer) updateFeeder() bool {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
 	self := b.view.dir.Self()
@@ -51,35 +52,39 @@
 	return b.view.feeder || b.view.catalog.InForce() == 0
 }
 
+// pullPlatform reads newer configuration records from the platform and applies
+// them.
 func (b *Balancer) pullPlatform(ctx context.Context) error {
-	b.metrics.pulls.Inc()
-	res, err := feed.Pull(ctx, b.store, b.heard())
+	b.metrics.platformPulls.Inc()
+	res, err := feed.Pull(ctx, b.store, b.receivedRevision())
 	if err != nil {
 		return err
 	}
 	if res.Malformed > 0 {
-		b.metrics.malformed.Add(float64(res.Malformed))
-		b.log.Error("malformed configuration records passed over", zap.Int("records", res.Malformed))
+		b.metrics.malformedRecords.Add(float64(res.Malformed))
+		b.log.Error("skipped malformed configuration records", zap.Int("records", res.Malformed))
 	}
-	b.take(nil, &res.Update)
+	b.merge(nil, &res.Update)
 	return nil
 }
 
-// joinByPlatform meets the others through the seed keys.
-func (b *Balancer) joinByPlatform(ctx context.Context) {
+// joinByPublishedSeeds joins through the first balancer that answers among the
+// seeds published on the platform.
+func (b *Balancer) joinByPublishedSeeds(ctx context.Context) {
 	seeds, err := b.readSeeds(ctx)
 	if err != nil {
-		b.log.Warn("seeds not read from the platform", zap.Error(err))
+		b.log.Warn("failed to read seeds from the platform", zap.Error(err))
 		return
 	}
 	for _, s := range seeds {
-		if b.joinBy(ctx, s) == nil {
+		if b.joinThrough(ctx, s) == nil {
 			return
 		}
 	}
 }
 
-// readSeeds returns the other feeders' addresses in random order.
+// readSeeds returns the published control addresses of other feeders in random
+// order.
 func (b *Balancer) readSeeds(ctx context.Context) ([]string, error) {
 	var seeds []string
 	req := store.RangeRequest{Key: feed.SeedPrefix, End: store.PrefixEnd(feed.SeedPrefix)}
@@ -95,17 +100,18 @@
 }
 
 // renewSeed publishes this feeder's address under a lease and exchanges with
-// one other feeder, so that parts of the fleet that lost each other meet.
+// one other feeder, so that the membership views of a partitioned fleet merge
+// again.
 func (b *Balancer) renewSeed(ctx context.Context) {
 	if err := b.publishSeed(ctx); err != nil {
-		b.log.Warn("seed not published", zap.Error(err))
+		b.log.Warn("failed to publish seed", zap.Error(err))
 	}
 	seeds, err := b.readSeeds(ctx)
 	if err != nil || len(seeds) == 0 {
 		return
 	}
 	if err := b.exchange(ctx, seeds[0]); err != nil {
-		b.log.Debug("seed did not answer", zap.Error(err))
+		b.log.Debug("exchange with seed failed", zap.Error(err))
 	}
 }
 
@@ -114,15 +120,16 @@
 	if err != nil {
 		return err
 	}
-	slot := strconv.FormatUint(uint64(b.seedSlot()), 10)
-	key := feed.SeedPrefix + b.cfg.Zone + "/" + slot
+	index := strconv.FormatUint(uint64(b.seedIndex()), 10)
+	key := feed.SeedPrefix + b.cfg.Zone + "/" + index
 	put := store.Put{Key: key, Value: []byte(b.ControlAddr().String()), Lease: lease}
 	_, err = b.store.Txn(ctx, store.Txn{Puts: []store.Put{put}})
 	return err
 }
 
-// seedSlot is this feeder's rank in its zone, so that seed keys stay few.
-func (b *Balancer) seedSlot() int {
+// seedIndex returns this feeder's rank among the feeders of its zone. It is part
+// of the seed key, so that the number of seed keys stays small.
+func (b *Balancer) seedIndex() int {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
 	self := b.view.dir.Self()
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -14,53 +14,58 @@
 )
 
 const (
-	// repairEvery is the least time between two comparisons of digests, so
-	// that changes still on their way do not cost a comparison each.
-	repairEvery = 2 * time.Second
-	// repairBranches bounds the branches repaired at once.
-	repairBranches = 8
-	// maxPushPages bounds the configuration pages given to a peer at once.
+	// repairInterval is the minimum time between two digest comparisons that
+	// follow exchanges. Without it, every change that gossip is still spreading
+	// would cause a comparison.
+	repairInterval = 2 * time.Second
+	// maxRepairBranches bounds the digest branches whose leaves are compared in
+	// one repair.
+	maxRepairBranches = 8
+	// maxPushPages bounds the configuration pages pushed to a peer per exchange.
 	maxPushPages = 4
-	// joinRounds bounds the repairs of a joining balancer.
-	joinRounds = 200
+	// maxJoinRepairs bounds the repairs a balancer runs while it joins.
+	maxJoinRepairs = 200
 )
 
-// gossipLoop exchanges with a random balancer each period, jittered so that
-// balancers started together do not stay in step.
+// gossipLoop exchanges with a random balancer each period. The period is
+// jittered so that balancers started together do not gossip in lockstep.
 func (b *Balancer) gossipLoop(ctx context.Context) error {
 	b.join(ctx)
 	for ctx.Err() == nil {
-		b.exchangeOnce(ctx)
+		b.exchangeWithRandomPeer(ctx)
 		worker.Sleep(ctx, worker.Jitter(b.cfg.GossipEvery.D()))
 	}
 	return nil
 }
 
-// join learns the directory and configuration from the first seed that
-// answers; without one this balancer is the first.
+// join fetches the directory and configuration from the first configured seed
+// that answers. If none answers, this balancer starts as the first one.
 func (b *Balancer) join(ctx context.Context) {
 	for _, seed := range b.cfg.Seeds {
-		if b.joinBy(ctx, seed) == nil {
+		if b.joinThrough(ctx, seed) == nil {
 			return
 		}
 	}
 }
 
-func (b *Balancer) joinBy(ctx context.Context, address string) error {
+// joinThrough exchanges with the balancer at the address, then repairs the
+// directory from it until nothing changes.
+func (b *Balancer) joinThrough(ctx context.Context, address string) error {
 	if err := b.exchange(ctx, address); err != nil {
 		return err
 	}
-	for range joinRounds {
-		n, err := b.repair(ctx, address)
-		if err != nil || n == 0 {
+	for range maxJoinRepairs {
+		changed, err := b.repair(ctx, address)
+		if err != nil || changed == 0 {
 			return err
 		}
 	}
 	return nil
 }
 
-// exchangeOnce trades changes with one random balancer.
-func (b *Balancer) exchangeOnce(ctx context.Context) {
+// exchangeWithRandomPeer exchanges with one random balancer and marks it suspect
+// if that fails.
+func (b *Balancer) exchangeWithRandomPeer(ctx context.Context) {
 	b.view.mu.Lock()
 	peer, ok := b.view.dir.Peer(b.view.rnd)
 	b.view.mu.Unlock()
@@ -80,7 +85,7 @@
 	b.view.dir.SuspectPeer(time.Now(), peer.Key())
 }
 
-// exchangeRequest builds the next gossip message.
+// exchangeRequest returns the next gossip message to send.
 func (b *Balancer) exchangeRequest() control.ExchangeRequest {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
@@ -91,19 +96,21 @@
 	}
 }
 
-// exchange runs one gossip round with the balancer at the address.
+// exchange runs one gossip round with the balancer at the address: it swaps
+// gossip updates and configuration, and repairs the directory if the digests
+// still differ and a repair is due.
 func (b *Balancer) exchange(ctx context.Context, address string) error {
 	req := b.exchangeRequest()
 	var reply control.ExchangeReply
 	if err := b.client.Call(ctx, address, control.MethodExchange, req, &reply); err != nil {
 		return err
 	}
-	b.feedback(req.Rumours, reply.News)
-	_, root := b.take(reply.Rumours, reply.Update)
-	if err := b.pull(ctx, address, reply); err != nil {
+	b.recordFeedback(req.Rumours, reply.News)
+	_, root := b.merge(reply.Rumours, reply.Update)
+	if err := b.pullUpdates(ctx, address, reply); err != nil {
 		return err
 	}
-	if err := b.push(ctx, address, reply.Revision); err != nil {
+	if err := b.pushUpdates(ctx, address, reply.Revision); err != nil {
 		return err
 	}
 	if root != reply.Root && b.repairDue() {
@@ -113,74 +120,84 @@
 	return nil
 }
 
-func (b *Balancer) feedback(passed []directory.Entry, news []int) {
+// recordFeedback records which of the sent entries changed the receiver's
+// directory, by index.
+func (b *Balancer) recordFeedback(sent []directory.Entry, changed []int) {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
-	b.view.dir.Feedback(passed, news)
+	b.view.dir.Feedback(sent, changed)
 }
 
-// take merges what a peer sent. It returns which entries were news, by index,
-// and the directory's root afterwards. Entries are valid: decoding checks them.
-func (b *Balancer) take(entries []directory.Entry, update *catalog.Update) (news []int, root uint64) {
+// merge merges directory entries and a configuration update received from a peer
+// or the platform. It returns the indexes of the entries that changed the
+// directory, and the root of its digest afterwards. Entries need no validation,
+// as decoding checks them.
+func (b *Balancer) merge(entries []directory.Entry, update *catalog.Update) (changed []int, root uint64) {
 	now := time.Now()
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
-	news = b.view.dir.Merge(now, entries)
+	changed = b.view.dir.Merge(now, entries)
 	b.applyDirectory(now)
 	if update != nil {
 		b.applyCatalog(*update)
 	}
-	return news, b.view.dir.Root()
+	return changed, b.view.dir.Root()
 }
 
+// repairDue reports whether repairInterval has passed since the last repair that
+// followed an exchange, and starts a new interval if so.
 func (b *Balancer) repairDue() bool {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
 	now := time.Now()
-	if now.Sub(b.view.repairAt) < repairEvery {
+	if now.Sub(b.view.lastRepair) < repairInterval {
 		return false
 	}
-	b.view.repairAt = now
+	b.view.lastRepair = now
 	return true
 }
 
-// manyNews is how many entries a repair must bring for the next one to follow
-// at once: after a mass event rumours are too slow. Ordinary changes on their
-// way bring fewer.
-const manyNews = 24
+// immediateRepairThreshold is the number of entries a repair must change for the
+// next exchange to repair again without waiting for repairInterval. After a mass
+// event, gossip updates are too slow; ordinary changes in transit stay below it.
+const immediateRepairThreshold = 24
 
-// hurry makes the next exchange compare digests again.
-func (b *Balancer) hurry() {
+// makeRepairDue lets the next exchange compare digests regardless of
+// repairInterval.
+func (b *Balancer) makeRepairDue() {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
-	b.view.repairAt = time.Time{}
+	b.view.lastRepair = time.Time{}
 }
 
-// pull fetches further pages while the peer has more.
-func (b *Balancer) pull(ctx context.Context, address string, reply control.ExchangeReply) error {
+// pullUpdates fetches the remaining configuration pages of a peer after an
+// exchange.
+func (b *Balancer) pullUpdates(ctx context.Context, address string, reply control.ExchangeReply) error {
 	update := reply.Update
 	for update != nil && update.More() {
 		var page control.SyncReply
-		err := b.client.Call(ctx, address, control.MethodSync, control.SyncRequest{Revision: b.heard()}, &page)
+		err := b.client.Call(ctx, address, control.MethodSync, control.SyncRequest{Revision: b.receivedRevision()}, &page)
 		if err != nil {
 			return err
 		}
 		update = page.Update
-		b.take(nil, update)
+		b.merge(nil, update)
 	}
 	return nil
 }
 
-func (b *Balancer) heard() catalog.Revision {
+// receivedRevision returns the configuration revision received so far, which may
+// be ahead of the one in force.
+func (b *Balancer) receivedRevision() catalog.Revision {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
 	return b.view.catalog.Revision()
 }
 
-// push gives the peer what it lacks.
-func (b *Balancer) push(ctx context.Context, address string, theirs catalog.Revision) error {
+// pushUpdates sends the configuration pages that the peer lacks.
+func (b *Balancer) pushUpdates(ctx context.Context, address string, peerRevision catalog.Revision) error {
 	for range maxPushPages {
-		update := b.since(theirs, catalog.Everything)
+		update := b.updateSince(peerRevision, catalog.Everything)
 		if update == nil {
 			return nil
 		}
@@ -188,46 +205,48 @@
 		if err := b.client.Call(ctx, address, control.MethodPush, control.PushRequest{Update: *update}, &reply); err != nil {
 			return err
 		}
-		if reply.Revision <= theirs {
+		if reply.Revision <= peerRevision {
 			return nil
 		}
-		theirs = reply.Revision
+		peerRevision = reply.Revision
 	}
 	return nil
 }
 
-func (b *Balancer) since(from catalog.Revision, keep func(*catalog.Record) bool) *catalog.Update {
+// updateSince returns the next configuration page for a node at revision from,
+// or nil if it needs nothing.
+func (b *Balancer) updateSince(from catalog.Revision, keep func(*catalog.Record) bool) *catalog.Update {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
 	return b.view.catalog.Since(from, keep)
 }
 
-// repair compares digests with a peer and trades the entries that differ. It
-// returns how many entries were news.
+// repair compares directory digests with a peer and exchanges the entries of the
+// leaves that differ. It returns the number of local entries that changed.
 func (b *Balancer) repair(ctx context.Context, address string) (int, error) {
 	b.metrics.repairs.Inc()
 	b.view.mu.Lock()
-	req := control.DigestRequest{Branches: b.view.dir.Branches()}
+	digestReq := control.DigestRequest{Branches: b.view.dir.Branches()}
 	b.view.mu.Unlock()
-	var diff control.DigestReply
-	if err := b.client.Call(ctx, address, control.MethodDigest, req, &diff); err != nil {
+	var digest control.DigestReply
+	if err := b.client.Call(ctx, address, control.MethodDigest, digestReq, &digest); err != nil {
 		return 0, err
 	}
 	b.view.mu.Lock()
-	leaves := b.view.dir.DiffLeaves(diff.Of, diff.Leaves)
-	mine := b.view.dir.EntriesOf(leaves, control.MaxEntriesPerCall)
+	leaves := b.view.dir.DiffLeaves(digest.Of, digest.Leaves)
+	localEntries := b.view.dir.EntriesOf(leaves, control.MaxEntriesPerCall)
 	b.view.mu.Unlock()
 	if len(leaves) == 0 {
 		return 0, nil
 	}
-	var theirs control.EntriesReply
-	trade := control.EntriesRequest{Leaves: leaves, Entries: mine}
-	if err := b.client.Call(ctx, address, control.MethodEntries, trade, &theirs); err != nil {
+	var reply control.EntriesReply
+	entriesReq := control.EntriesRequest{Leaves: leaves, Entries: localEntries}
+	if err := b.client.Call(ctx, address, control.MethodEntries, entriesReq, &reply); err != nil {
 		return 0, err
 	}
-	news, _ := b.take(theirs.Entries, nil)
-	if len(news) >= manyNews {
-		b.hurry()
+	changed, _ := b.merge(reply.Entries, nil)
+	if len(changed) >= immediateRepairThreshold {
+		b.makeRepairDue()
 	}
-	return len(news), nil
+	return len(changed), nil
 }
--- a/balancer/leave.go
+++ b/balancer/leave.go
@@ -13,47 +13,51 @@
 )
 
 const (
-	// tellEvery is the least time between two notices to one agent.
-	tellEvery = time.Second
-	// maxTold bounds the agents remembered while leaving.
-	maxTold = 1 << 15
-	// farewells is the number of peers told directly.
-	farewells = 3
+	// noticeInterval is the minimum time between two leaving notices to an agent.
+	noticeInterval = time.Second
+	// maxNotifiedAgents bounds the agents that are notified, and tracked in
+	// notifiedAt, during a graceful stop.
+	maxNotifiedAgents = 1 << 15
+	// leaveExchanges is the number of exchanges with random peers that announce a
+	// graceful stop.
+	leaveExchanges = 3
 )
 
-// leaveState is the state of a graceful stop; mu guards told.
+// leaveState tracks a graceful stop and the last leaving notice to each agent.
+// mu guards notifiedAt.
 type leaveState struct {
-	flag atomic.Bool
-	mu   sync.Mutex
-	told map[netip.AddrPort]time.Time
+	stopping   atomic.Bool
+	mu         sync.Mutex
+	notifiedAt map[netip.AddrPort]time.Time
 }
 
-func (l *leaveState) started() bool { return l.flag.Load() }
+func (l *leaveState) started() bool { return l.stopping.Load() }
 
 func (l *leaveState) start() {
 	l.mu.Lock()
-	l.told = map[netip.AddrPort]time.Time{}
+	l.notifiedAt = map[netip.AddrPort]time.Time{}
 	l.mu.Unlock()
-	l.flag.Store(true)
+	l.stopping.Store(true)
 }
 
-// mayTell tells whether the agent is due for a notice and counts it as told.
-func (l *leaveState) mayTell(now time.Time, agent netip.AddrPort) bool {
+// noticeDue reports whether a leaving notice to the agent is due, and records it
+// as sent if so.
+func (l *leaveState) noticeDue(now time.Time, agent netip.AddrPort) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at, known := l.told[agent]
-	if known && now.Sub(at) < tellEvery {
+	last, known := l.notifiedAt[agent]
+	if known && now.Sub(last) < noticeInterval {
 		return false
 	}
-	if !known && len(l.told) >= maxTold {
+	if !known && len(l.notifiedAt) >= maxNotifiedAgents {
 		return false
 	}
-	l.told[agent] = now
+	l.notifiedAt[agent] = now
 	return true
 }
 
-// leave fails the health endpoint, keeps forwarding for LeaveDelay and spreads
-// the farewell.
+// leave fails the health endpoint, announces to peers that this balancer has left
+// and keeps forwarding for LeaveDelay.
 func (b *Balancer) leave(ctx context.Context) {
 	b.health.Set(false)
 	b.leaving.start()
@@ -62,8 +66,8 @@
 	b.view.mu.Lock()
 	b.view.dir.UpdateSelf(now, func(e *directory.Entry) { e.Status = directory.Left })
 	b.view.mu.Unlock()
-	for range farewells {
-		b.exchangeOnce(ctx)
+	for range leaveExchanges {
+		b.exchangeWithRandomPeer(ctx)
 	}
 	time.Sleep(b.cfg.LeaveDelay.D())
 }
--- a/balancer/metrics.go
+++ b/balancer/metrics.go
@@ -8,11 +8,11 @@
 )
 
 type metrics struct {
-	toHost, toCaller, newFlows, lost prometheus.Counter
-	drops                            map[forward.Reason]prometheus.Counter
-	socketErrors, exchangeErrors     prometheus.Counter
-	repairs, pulls, pullErrors       prometheus.Counter
-	malformed                        prometheus.Counter
+	toHost, toCaller, newFlows, lost           prometheus.Counter
+	drops                                      map[forward.Reason]prometheus.Counter
+	socketErrors, exchangeErrors               prometheus.Counter
+	repairs, platformPulls, platformPullErrors prometheus.Counter
+	malformedRecords                           prometheus.Counter
 }
 
 func newMetrics(reg *prometheus.Registry, b *Balancer) *metrics {
@@ -21,17 +21,17 @@
 		return f.NewCounter(prometheus.CounterOpts{Namespace: "poppywall", Subsystem: "balancer", Name: name, Help: help})
 	}
 	m := &metrics{
-		toHost:         counter("to_host_datagrams_total", "Datagrams forwarded to agents."),
-		toCaller:       counter("to_caller_datagrams_total", "Datagrams forwarded to callers."),
-		newFlows:       counter("new_flow_datagrams_total", "Datagrams for which a host was chosen."),
-		lost:           counter("lost_datagrams_total", "Datagrams that the kernel did not take."),
-		socketErrors:   counter("socket_errors_total", "Service addresses that could not be opened."),
-		exchangeErrors: counter("exchange_errors_total", "Exchanges that failed."),
-		repairs:        counter("repairs_total", "Comparisons of directory digests."),
-		pulls:          counter("platform_pulls_total", "Reads of configuration at the platform."),
-		pullErrors:     counter("platform_pull_errors_total", "Reads of configuration that failed."),
-		malformed:      counter("malformed_records_total", "Configuration records passed over."),
-		drops:          map[forward.Reason]prometheus.Counter{},
+		toHost:             counter("to_host_datagrams_total", "Datagrams forwarded to agents."),
+		toCaller:           counter("to_caller_datagrams_total", "Datagrams forwarded to callers."),
+		newFlows:           counter("new_flow_datagrams_total", "Datagrams for which a host was chosen."),
+		lost:               counter("lost_datagrams_total", "Datagrams that the kernel did not take."),
+		socketErrors:       counter("socket_errors_total", "Service addresses that could not be opened."),
+		exchangeErrors:     counter("exchange_errors_total", "Exchanges that failed."),
+		repairs:            counter("repairs_total", "Comparisons of directory digests."),
+		platformPulls:      counter("platform_pulls_total", "Reads of configuration at the platform."),
+		platformPullErrors: counter("platform_pull_errors_total", "Reads of configuration that failed."),
+		malformedRecords:   counter("malformed_records_total", "Configuration records passed over."),
+		drops:              map[forward.Reason]prometheus.Counter{},
 	}
 	drops := f.NewCounterVec(prometheus.CounterOpts{
 		Namespace: "poppywall", Subsystem: "balancer", Name: "dropped_datagrams_total",
@@ -40,11 +40,11 @@
 	for _, r := range forward.Reasons {
 		m.drops[r] = drops.WithLabelValues(string(r))
 	}
-	gauges(f, b)
+	registerGauges(f, b)
 	return m
 }
 
-func gauges(f promauto.Factory, b *Balancer) {
+func registerGauges(f promauto.Factory, b *Balancer) {
 	gauge := func(name, help string, read func() float64) {
 		f.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "poppywall", Subsystem: "balancer", Name: name, Help: help}, read)
 	}
@@ -62,7 +62,8 @@
 	})
 }
 
-func (m *metrics) drop(r forward.Reason, n int) {
+// countDrops counts n datagrams dropped for a reason.
+func (m *metrics) countDrops(r forward.Reason, n int) {
 	if c, ok := m.drops[r]; ok {
 		c.Add(float64(n))
 	}
--- a/load/caller.go
+++ b/load/caller.go
@@ -1,5 +1,5 @@
-// Package load drives services as callers do and measures what callers see:
-// broken flows, imbalance, verdicts, latencies.
+// Package load generates HTTP/3 load on services and measures it from the
+// client side: broken flows, imbalance, verdicts and latencies.
 package load
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// Caller is one ordinary HTTP/3 client with a connection of its own.
+// Caller is an HTTP/3 client with its own connection.
 type Caller struct {
 	transport *http3.Transport
 	udp       *net.UDPConn
@@ -24,13 +24,13 @@
 }
 
 const (
-	callerIdle      = 30 * time.Second
-	callerKeepAlive = 5 * time.Second
-	callerHandshake = 10 * time.Second
+	callerIdleTimeout      = 30 * time.Second
+	callerKeepAlivePeriod  = 5 * time.Second
+	callerHandshakeTimeout = 10 * time.Second
 )
 
-// NewCaller returns a client that reaches the authority at the service address
-// and trusts the given authorities.
+// NewCaller returns a client that sends requests for the authority to the service
+// address and trusts the certificate authorities in roots.
 func NewCaller(address, authority string, roots *x509.CertPool) (*Caller, error) {
 	udp, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -45,9 +45,9 @@
 	c.transport = &http3.Transport{
 		TLSClientConfig: &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS13},
 		QUICConfig: &quic.Config{
-			MaxIdleTimeout:       callerIdle,
-			KeepAlivePeriod:      callerKeepAlive,
-			HandshakeIdleTimeout: callerHandshake,
+			MaxIdleTimeout:       callerIdleTimeout,
+			KeepAlivePeriod:      callerKeepAlivePeriod,
+			HandshakeIdleTimeout: callerHandshakeTimeout,
 		},
 		Dial: func(ctx context.Context, _ string, tlsConf *tls.Config, conf *quic.Config) (*quic.Conn, error) {
 			return c.quic.DialEarly(ctx, service, tlsConf, conf)
@@ -56,7 +56,7 @@
 	return c, nil
 }
 
-// Do sends one request for the path.
+// Do sends one request for the path and returns the response.
 func (c *Caller) Do(ctx context.Context, method, path string, body io.Reader, header http.Header) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "https://"+c.authority+path, body)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return c.transport.RoundTrip(req)
 }
 
-// Close ends the connection.
+// Close closes the connection and its socket.
 func (c *Caller) Close() {
 	_ = c.transport.Close()
 	_ = c.quic.Close()
--- a/load/plot.go
+++ b/load/plot.go
@@ -13,14 +13,14 @@
 	page := components.NewPage()
 	page.SetPageTitle(title)
 	page.AddCharts(
-		overTime(title+": max/mean of open streams", s.Samples, func(x Sample) float64 { return x.MaxOverMean }),
-		overTime(title+": coefficient of variation", s.Samples, func(x Sample) float64 { return x.CV }),
-		overTime(title+": open streams per slot, summed", s.Samples, func(x Sample) float64 { return x.Open }),
+		lineChart(title+": max/mean of open streams", s.Samples, func(x Sample) float64 { return x.MaxOverMean }),
+		lineChart(title+": coefficient of variation", s.Samples, func(x Sample) float64 { return x.CV }),
+		lineChart(title+": open streams per slot, summed", s.Samples, func(x Sample) float64 { return x.Open }),
 	)
 	return page.Render(w)
 }
 
-func overTime(title string, samples []Sample, value func(Sample) float64) *charts.Line {
+func lineChart(title string, samples []Sample, value func(Sample) float64) *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: title}),
--- a/load/recorder.go
+++ b/load/recorder.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxLatency and digits are the range and precision of histograms.
-	maxLatency = 2 * time.Minute
-	digits     = 3
+	// maxLatency and significantDigits are the range and the precision of the
+	// latency histograms.
+	maxLatency        = 2 * time.Minute
+	significantDigits = 3
 )
 
-// Latency is a summary of one histogram, in milliseconds from the intended
-// start of a request to the end of its answer.
+// Latency summarizes one histogram, in milliseconds. A request is measured from
+// its intended start to the end of its answer.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -27,18 +28,19 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Spread is how evenly something is spread over targets.
+// Spread measures how evenly a load is distributed over targets.
 type Spread struct {
 	MaxOverMean float64 `json:"max_over_mean"`
-	// CV is the coefficient of variation.
+	// CV is the coefficient of variation over the targets.
 	CV float64 `json:"cv"`
 }
 
-// Sample is the spread of open streams of one service at one instant.
+// Sample is the spread of a service's open streams at one instant.
 type Sample struct {
 	AtSeconds float64 `json:"at_seconds"`
 	Service   string  `json:"service"`
-	Open      float64 `json:"open"`
+	// Open is the number of open streams per slot, summed over the targets.
+	Open float64 `json:"open"`
 	Spread
 }
 
@@ -46,67 +48,69 @@
 type Summary struct {
 	Requests int64 `json:"requests"`
 	Streams  int64 `json:"streams"`
-	// BrokenFlows are streams that ended before their time, lost events or had
-	// them out of order, and requests whose connection failed under them.
+	// BrokenFlows counts streams that ended early, fell silent, or lost or
+	// reordered events, and requests that failed or got the wrong answer.
 	BrokenFlows int64 `json:"broken_flows"`
-	// Imbalance is the worst service's max/mean of open streams per slot, the
-	// mean over the samples after the warm-up.
+	// Imbalance is the max/mean ratio of open streams per slot, averaged over the
+	// samples after the warm-up, of the service with the highest average.
 	Imbalance float64 `json:"imbalance"`
 	Ran       int64   `json:"ran"`
 	NotRun    int64   `json:"not_run"`
 	Unknown   int64   `json:"unknown"`
-	// RefusedStreams were told at once to come back later.
+	// RefusedStreams counts streams that were answered with an error status and
+	// the verdict that the request did not run, so that they can be retried.
 	RefusedStreams int64 `json:"refused_streams"`
-	// Served counts answers with status 200 by workspace, Jain is the fairness
-	// index over the workspaces that offered load.
+	// Served counts answers with status 200 by workspace. Jain is Jain's fairness
+	// index of them relative to the load offered by each workspace.
 	Served    map[string]int64   `json:"served"`
 	Jain      float64            `json:"jain"`
 	Latencies map[string]Latency `json:"latencies"`
-	// ByTarget is the spread of requests served over the targets of a service;
-	// targets that came, left or failed count too.
+	// ByTarget is the spread of served requests over the targets of each service;
+	// targets that were added, left or failed during the plan count too.
 	ByTarget map[string]Spread `json:"by_target"`
 	Errors   []string          `json:"errors,omitempty"`
 	Samples  []Sample          `json:"samples,omitempty"`
 }
 
-// maxErrors bounds the error texts kept as examples.
-const maxErrors = 10
+// maxErrorSamples bounds the error texts in a summary.
+const maxErrorSamples = 10
 
-// recorder collects what callers see; mu guards all of it.
+// recorder collects the results of requests and streams; mu guards all fields.
 type recorder struct {
-	mu        sync.Mutex
-	sum       Summary
-	histogram map[string]*hdrhistogram.Histogram
-	byTarget  map[string]map[string]float64
+	mu         sync.Mutex
+	sum        Summary
+	histograms map[string]*hdrhistogram.Histogram
+	byTarget   map[string]map[string]float64
 }
 
 func newRecorder() *recorder {
 	return &recorder{
-		sum:       Summary{Served: map[string]int64{}, Latencies: map[string]Latency{}},
-		histogram: map[string]*hdrhistogram.Histogram{},
-		byTarget:  map[string]map[string]float64{},
+		sum:        Summary{Served: map[string]int64{}, Latencies: map[string]Latency{}},
+		histograms: map[string]*hdrhistogram.Histogram{},
+		byTarget:   map[string]map[string]float64{},
 	}
 }
 
-// answer is one finished request.
-type answer struct {
+// requestResult is the outcome of one request.
+type requestResult struct {
 	class, service, workspace, target string
 	status                            int
 	verdict                           verdict.Verdict
-	took                              time.Duration
+	latency                           time.Duration
 	err                               error
 }
 
-func (r *recorder) request(a answer) {
+// recordRequest adds the outcome of one request to the summary.
+func (r *recorder) recordRequest(result requestResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sum.Requests++
-	if a.err != nil {
+	if result.err != nil {
 		r.sum.Unknown++
-		r.broken(a.class, a.err)
+		r.recordBroken(result.class, result.err)
 		return
 	}
-	switch a.verdict {
+	switch result.verdict {
 	case verdict.Ran:
 		r.sum.Ran++
 	case verdict.NotRun:
@@ -114,35 +118,37 @@
 	default:
 		r.sum.Unknown++
 	}
-	if a.status == 200 {
-		r.sum.Served[a.workspace]++
-		if r.byTarget[a.service] == nil {
-			r.byTarget[a.service] = map[string]float64{}
+	if result.status == 200 {
+		r.sum.Served[result.workspace]++
+		if r.byTarget[result.service] == nil {
+			r.byTarget[result.service] = map[string]float64{}
 		}
-		r.byTarget[a.service][a.target]++
-		r.observe(a.class, a.took)
+		r.byTarget[result.service][result.target]++
+		r.recordLatency(result.class, result.latency)
 	}
 }
 
-// broken runs under mu.
-func (r *recorder) broken(class string, err error) {
+// recordBroken counts a broken flow. The caller holds mu.
+func (r *recorder) recordBroken(class string, err error) {
 	r.sum.BrokenFlows++
-	if len(r.sum.Errors) < maxErrors {
+	if len(r.sum.Errors) < maxErrorSamples {
 		r.sum.Errors = append(r.sum.Errors, class+": "+err.Error())
 	}
 }
 
-func (r *recorder) observe(class string, took time.Duration) {
-	h, ok := r.histogram[class]
+// recordLatency adds a latency to the histogram of a class. The caller holds mu.
+func (r *recorder) recordLatency(class string, latency time.Duration) {
+	h, ok := r.histograms[class]
 	if !ok {
-		h = hdrhistogram.New(1, maxLatency.Microseconds(), digits)
-		r.histogram[class] = h
+		h = hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
+		r.histograms[class] = h
 	}
-	_ = h.RecordValue(min(took, maxLatency).Microseconds())
+	_ = h.RecordValue(min(latency, maxLatency).Microseconds())
 }
 
-// stream notes the end of a stream; refused ones were never open.
-func (r *recorder) stream(refused bool, opened time.Duration, err error) {
+// recordStream records the end of a stream. A refused stream was never open; err
+// is why a stream broke, nil if it did not.
+func (r *recorder) recordStream(refused bool, openTime time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if refused {
@@ -151,31 +157,32 @@
 	}
 	r.sum.Streams++
 	if err != nil {
-		r.broken("stream", err)
+		r.recordBroken("stream", err)
 	}
-	if opened > 0 {
-		r.observe("stream-open", opened)
+	if openTime > 0 {
+		r.recordLatency("stream-open", openTime)
 	}
 }
 
-func (r *recorder) sample(s Sample) {
+func (r *recorder) addSample(s Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sum.Samples = append(r.sum.Samples, s)
 }
 
-// finish computes the summary; offered is the load offered by workspace.
-func (r *recorder) finish(warmup float64, offered map[string]float64) Summary {
+// summarize returns the summary; offered is the load offered by each workspace, in
+// requests per second.
+func (r *recorder) summarize(warmup float64, offered map[string]float64) Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for class, h := range r.histogram {
+	for class, h := range r.histograms {
 		r.sum.Latencies[class] = latencyOf(h)
 	}
 	r.sum.ByTarget = map[string]Spread{}
 	for service, counts := range r.byTarget {
 		r.sum.ByTarget[service] = SpreadOf(counts)
 	}
-	r.sum.Jain = jain(r.sum.Served, offered)
+	r.sum.Jain = jainIndex(r.sum.Served, offered)
 	r.sum.Imbalance = imbalance(r.sum.Samples, warmup)
 	return r.sum
 }
@@ -192,7 +199,7 @@
 	}
 }
 
-// SpreadOf computes the spread of a load over targets.
+// SpreadOf returns the spread of a load, given by target.
 func SpreadOf(load map[string]float64) Spread {
 	if len(load) == 0 {
 		return Spread{}
@@ -213,9 +220,9 @@
 	return Spread{MaxOverMean: largest / mean, CV: math.Sqrt(variance/float64(len(load))) / mean}
 }
 
-// jain is Jain's fairness index of the served share of what each workspace
-// offered.
-func jain(served map[string]int64, offered map[string]float64) float64 {
+// jainIndex returns Jain's fairness index over the workspaces that offered load,
+// each with the ratio of its served requests to its offered load.
+func jainIndex(served map[string]int64, offered map[string]float64) float64 {
 	if len(offered) == 0 {
 		return 1
 	}
@@ -231,18 +238,19 @@
 	return sum * sum / (float64(len(offered)) * squares)
 }
 
-// imbalance is the worst service's mean of max/mean after the warm-up.
+// imbalance returns the highest mean, by service, of the max/mean ratio after the
+// warm-up. Samples without open streams are left out.
 func imbalance(samples []Sample, warmup float64) float64 {
-	sum, n := map[string]float64{}, map[string]float64{}
+	sum, counts := map[string]float64{}, map[string]float64{}
 	for _, s := range samples {
 		if s.AtSeconds >= warmup && s.Open > 0 {
 			sum[s.Service] += s.MaxOverMean
-			n[s.Service]++
+			counts[s.Service]++
 		}
 	}
 	worst := 0.0
 	for service := range sum {
-		worst = max(worst, sum[service]/n[service])
+		worst = max(worst, sum[service]/counts[service])
 	}
 	return worst
 }
--- a/load/runner.go
+++ b/load/runner.go
@@ -22,12 +22,14 @@
 
 const (
 	samplePeriod = 250 * time.Millisecond
-	// eventGap is the interval of board events asked of targets.
-	eventGapMillis = 200
-	// quiet is how long a stream may stay silent before it counts as broken.
-	quiet = 15 * time.Second
-	// grace is how long unfinished requests may take after the plan's end.
-	grace              = 20 * time.Second
+	// eventIntervalMillis is the interval of events requested for board streams.
+	eventIntervalMillis = 200
+	// streamSilenceTimeout is how long a stream may send no event before it counts
+	// as broken.
+	streamSilenceTimeout = 15 * time.Second
+	// completionTimeout bounds the time that unfinished requests may take after
+	// the end of the plan.
+	completionTimeout  = 20 * time.Second
 	defaultConnections = 16
 	moveBody           = "e2e4"
 	headerTimeout      = "Poppywall-Timeout-Ms"
@@ -35,7 +37,7 @@
 	headerTarget       = "Target-Name"
 )
 
-// runner runs one plan.
+// runner executes one plan.
 type runner struct {
 	plan  Plan
 	site  Site
@@ -44,15 +46,16 @@
 	wg    conc.WaitGroup
 }
 
-// Run offers the plan's load to the site and returns what callers saw.
+// Run offers the plan's load to the site, injects its faults and returns the
+// results measured by the callers.
 func Run(ctx context.Context, plan Plan, site Site) (Summary, error) {
 	if err := plan.Check(); err != nil {
 		return Summary{}, err
 	}
 	r := &runner{plan: plan, site: site, rec: newRecorder(), start: time.Now()}
-	offering, stop := context.WithTimeout(ctx, seconds(plan.Seconds))
+	arrivalsCtx, stop := context.WithTimeout(ctx, seconds(plan.Seconds))
 	defer stop()
-	working, cancel := context.WithTimeout(ctx, seconds(plan.Seconds)+grace)
+	requestsCtx, cancel := context.WithTimeout(ctx, seconds(plan.Seconds)+completionTimeout)
 	defer cancel()
 	offered := map[string]float64{}
 	for i, f := range plan.Flows {
@@ -60,14 +63,16 @@
 			offered[workspaceOf(f)] += f.PerSecond
 		}
 		rnd := rand.New(rand.NewPCG(plan.Seed, uint64(i)))
-		r.wg.Go(func() { r.offer(offering, working, f, rnd) })
+		r.wg.Go(func() { r.runFlow(arrivalsCtx, requestsCtx, f, rnd) })
 	}
-	r.wg.Go(func() { r.sampleLoop(offering) })
-	r.wg.Go(func() { r.faultLoop(offering) })
+	r.wg.Go(func() { r.sampleStreams(arrivalsCtx) })
+	r.wg.Go(func() { r.injectFaults(arrivalsCtx) })
 	r.wg.Wait()
-	return r.rec.finish(plan.WarmupSeconds, offered), ctx.Err()
+	return r.rec.summarize(plan.WarmupSeconds, offered), ctx.Err()
 }
 
+// workspaceOf returns the workspace that the flow's requests count for; a flow
+// without one counts for its service.
 func workspaceOf(f Flow) string {
 	if f.Workspace != "" {
 		return f.Workspace
@@ -75,13 +80,15 @@
 	return f.Service
 }
 
-// offer makes arrivals at their intended times, however slow answers are.
-func (r *runner) offer(offering, working context.Context, f Flow, rnd *rand.Rand) {
+// runFlow starts requests or streams at their intended times, regardless of how
+// long earlier ones take, until arrivalsCtx ends. requestsCtx bounds their
+// completion.
+func (r *runner) runFlow(arrivalsCtx, requestsCtx context.Context, f Flow, rnd *rand.Rand) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	callers, err := r.callers(f)
+	callers, err := r.newCallers(f)
 	if err != nil {
-		r.rec.request(answer{class: string(f.Kind), err: err})
+		r.rec.recordRequest(requestResult{class: string(f.Kind), err: err})
 		return
 	}
 	defer closeAll(callers)
@@ -90,23 +97,25 @@
 		if n >= f.Burst {
 			next = next.Add(seconds(rnd.ExpFloat64() / f.PerSecond))
 		}
-		if !sleepUntil(offering, next) {
+		if !sleepUntil(arrivalsCtx, next) {
 			break
 		}
 		intended := next
 		length := seconds(rnd.ExpFloat64() * f.MeanSeconds)
 		wg.Go(func() {
 			if f.Kind == Board {
-				r.board(offering, working, f, length)
+				r.runBoard(arrivalsCtx, requestsCtx, f, length)
 				return
 			}
-			r.request(working, f, callers[n%len(callers)], intended)
+			r.sendRequest(requestsCtx, f, callers[n%len(callers)], intended)
 		})
 	}
 	wg.Wait()
 }
 
-func (r *runner) callers(f Flow) ([]*Caller, error) {
+// newCallers returns the callers whose connections the requests of a flow share.
+// A board flow has none, as each stream uses its own connection.
+func (r *runner) newCallers(f Flow) ([]*Caller, error) {
 	if f.Kind == Board {
 		return nil, nil
 	}
@@ -132,6 +141,7 @@
 	}
 }
 
+// sleepUntil waits until t and reports whether it came before ctx ended.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	timer := time.NewTimer(time.Until(t))
 	defer timer.Stop()
@@ -143,34 +153,36 @@
 	}
 }
 
-// request sends one short request and checks its answer.
-func (r *runner) request(ctx context.Context, f Flow, c *Caller, intended time.Time) {
-	a := answer{class: string(f.Kind), service: f.Service, workspace: workspaceOf(f)}
-	method, path, body := shape(f)
+// sendRequest sends one request and records its outcome. A move or a hold must be
+// answered with its own body.
+func (r *runner) sendRequest(ctx context.Context, f Flow, c *Caller, intended time.Time) {
+	result := requestResult{class: string(f.Kind), service: f.Service, workspace: workspaceOf(f)}
+	method, path, body := requestOf(f)
 	header := http.Header{headerRequestID: {uuid.NewString()}}
 	if f.TimeoutMillis > 0 {
 		header.Set(headerTimeout, strconv.Itoa(f.TimeoutMillis))
 	}
-	resp, err := c.Do(ctx, method, path, reader(body), header)
+	resp, err := c.Do(ctx, method, path, bodyReader(body), header)
 	if err != nil {
-		a.verdict, a.err = rejected(err)
-		r.rec.request(a)
+		result.verdict, result.err = classifyError(err)
+		r.rec.recordRequest(result)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	got, err := io.ReadAll(resp.Body)
-	a.status, a.took, a.err = resp.StatusCode, time.Since(intended), err
-	a.verdict = verdict.Parse(resp.Header.Get(verdict.HeaderVerdict))
-	a.target = resp.Header.Get(headerTarget)
-	if err == nil && a.status == http.StatusOK && (f.Kind == Move || f.Kind == Hold) && !bytes.Equal(got, body) {
-		a.err = errors.New("the answer is not the one to this request")
+	answer, err := io.ReadAll(resp.Body)
+	result.status, result.latency, result.err = resp.StatusCode, time.Since(intended), err
+	result.verdict = verdict.Parse(resp.Header.Get(verdict.HeaderVerdict))
+	result.target = resp.Header.Get(headerTarget)
+	if err == nil && result.status == http.StatusOK && (f.Kind == Move || f.Kind == Hold) && !bytes.Equal(answer, body) {
+		result.err = errors.New("answer does not match the request body")
 	}
-	r.rec.request(a)
+	r.rec.recordRequest(result)
 }
 
-// rejected tells a request that the server says it did not look at (RFC 9114
-// section 8.1, H3_REQUEST_REJECTED) from a failure.
-func rejected(err error) (verdict.Verdict, error) {
+// classifyError returns the verdict for a failed request. H3_REQUEST_REJECTED (RFC
+// 9114, section 8.1) means that the server did not process the request and is not
+// an error; any other failure leaves the outcome unknown.
+func classifyError(err error) (verdict.Verdict, error) {
 	var h3 *http3.Error
 	if errors.As(err, &h3) && h3.ErrorCode == http3.ErrCodeRequestRejected {
 		return verdict.NotRun, nil
@@ -178,14 +190,15 @@
 	return verdict.Unknown, err
 }
 
-func reader(body []byte) io.Reader {
+func bodyReader(body []byte) io.Reader {
 	if body == nil {
 		return nil
 	}
 	return bytes.NewReader(body)
 }
 
-func shape(f Flow) (method, path string, body []byte) {
+// requestOf returns the method, path and body of a request of the flow.
+func requestOf(f Flow) (method, path string, body []byte) {
 	switch f.Kind {
 	case Upload:
 		return http.MethodPost, "/upload", make([]byte, f.Bytes)
@@ -198,39 +211,39 @@
 	}
 }
 
-// board keeps one stream open for its length, or until the plan ends, and
-// checks that every event comes in order.
-func (r *runner) board(offering, working context.Context, f Flow, length time.Duration) {
+// runBoard keeps one stream open for the given length, or until the plan ends, and
+// checks that every event arrives in order.
+func (r *runner) runBoard(arrivalsCtx, requestsCtx context.Context, f Flow, length time.Duration) {
 	c, err := r.site.NewCaller(f.Service, f.Workspace)
 	if err != nil {
-		r.rec.stream(false, 0, err)
+		r.rec.recordStream(false, 0, err)
 		return
 	}
 	defer c.Close()
-	began := time.Now()
-	ctx, cancel := context.WithCancel(working)
+	requestedAt := time.Now()
+	ctx, cancel := context.WithCancel(requestsCtx)
 	defer cancel()
-	path := "/board?intervalMillis=" + strconv.Itoa(eventGapMillis)
+	path := "/board?intervalMillis=" + strconv.Itoa(eventIntervalMillis)
 	resp, err := c.Do(ctx, http.MethodGet, path, nil, http.Header{"Accept": {"text/event-stream"}})
 	if err != nil {
-		r.rec.stream(false, 0, errors.Wrap(err, "open"))
+		r.rec.recordStream(false, 0, errors.Wrap(err, "open stream"))
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		refused := verdict.Parse(resp.Header.Get(verdict.HeaderVerdict)) == verdict.NotRun
-		r.rec.stream(refused, 0, errors.Errorf("status %d", resp.StatusCode))
+		r.rec.recordStream(refused, 0, errors.Errorf("unexpected status %d", resp.StatusCode))
 		return
 	}
-	opened := time.Since(began)
-	ended := endOf(offering, length)
-	r.rec.stream(false, opened, follow(ctx, cancel, resp.Body, ended))
+	openTime := time.Since(requestedAt)
+	ended := afterLength(arrivalsCtx, length)
+	r.rec.recordStream(false, openTime, watchStream(ctx, cancel, resp.Body, ended))
 }
 
-// endOf returns a channel closed when the stream has lasted its length or the
-// plan ends.
-func endOf(offering context.Context, length time.Duration) <-chan struct{} {
-	ctx, cancel := context.WithTimeout(offering, length)
+// afterLength returns a channel that is closed after the given length or at the
+// end of the plan, whichever is earlier.
+func afterLength(arrivalsCtx context.Context, length time.Duration) <-chan struct{} {
+	ctx, cancel := context.WithTimeout(arrivalsCtx, length)
 	done := make(chan struct{})
 	context.AfterFunc(ctx, func() {
 		cancel()
@@ -239,39 +252,41 @@
 	return done
 }
 
-// follow reads events until ended and then one more: a stream that fell silent
-// shows. An early end, a gap or a long silence is an error.
-func follow(ctx context.Context, cancel context.CancelFunc, body io.Reader, ended <-chan struct{}) error {
+// watchStream reads events until ended is closed, and then one more, so that a
+// stream that fell silent before is detected. An early end, a gap in the events or
+// a silence of streamSilenceTimeout is an error.
+func watchStream(ctx context.Context, cancel context.CancelFunc, body io.Reader, ended <-chan struct{}) error {
 	result := make(chan error, 1)
-	beat := make(chan struct{})
-	go func() { result <- readEvents(ctx, body, beat) }()
-	silence := time.NewTimer(quiet)
+	received := make(chan struct{})
+	go func() { result <- readEvents(ctx, body, received) }()
+	silence := time.NewTimer(streamSilenceTimeout)
 	defer silence.Stop()
-	over := false
+	lengthReached := false
 	for {
 		select {
 		case <-ended:
-			over, ended = true, nil
+			lengthReached, ended = true, nil
 		case err := <-result:
 			return err
-		case <-beat:
-			if over {
+		case <-received:
+			if lengthReached {
 				cancel()
 				return nil
 			}
-			silence.Reset(quiet)
+			silence.Reset(streamSilenceTimeout)
 		case <-silence.C:
 			cancel()
-			return errors.New("stream went silent")
+			return errors.New("no event before the silence timeout")
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// readEvents checks that event IDs count up; the stand-in's streams never end
-// by themselves.
-func readEvents(ctx context.Context, body io.Reader, beat chan<- struct{}) error {
+// readEvents reads events, sends on received for each, and returns an error if an
+// event ID is not the next one or the stream ends. The stand-in target does not
+// end its streams by itself.
+func readEvents(ctx context.Context, body io.Reader, received chan<- struct{}) error {
 	lines := bufio.NewScanner(body)
 	want := 0
 	for lines.Scan() {
@@ -280,22 +295,24 @@
 			continue
 		}
 		if id != strconv.Itoa(want) {
-			return fmt.Errorf("event %s came, want %d", id, want)
+			return fmt.Errorf("out-of-order event: got ID %s, want %d", id, want)
 		}
 		want++
 		select {
-		case beat <- struct{}{}:
+		case received <- struct{}{}:
 		case <-ctx.Done():
 			return nil
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return errors.Wrapf(err, "after %d events", want)
+		return errors.Wrapf(err, "read stream after %d events", want)
 	}
-	return errors.Errorf("ended early after %d events", want)
+	return errors.Errorf("stream ended early after %d events", want)
 }
 
-func (r *runner) sampleLoop(ctx context.Context) {
+// sampleStreams samples the open streams of each service with a board flow every
+// samplePeriod.
+func (r *runner) sampleStreams(ctx context.Context) {
 	services := map[string]bool{}
 	for _, f := range r.plan.Flows {
 		if f.Kind == Board {
@@ -322,7 +339,7 @@
 	for _, n := range open {
 		total += n
 	}
-	r.rec.sample(Sample{
+	r.rec.addSample(Sample{
 		AtSeconds: time.Since(r.start).Seconds(),
 		Service:   service,
 		Open:      total,
@@ -330,13 +347,14 @@
 	})
 }
 
-func (r *runner) faultLoop(ctx context.Context) {
+// injectFaults applies the plan's faults in order, each at its time.
+func (r *runner) injectFaults(ctx context.Context) {
 	for _, f := range r.plan.Faults {
 		if !sleepUntil(ctx, r.start.Add(seconds(f.AtSeconds))) {
 			return
 		}
 		if err := r.site.Inject(f); err != nil {
-			r.rec.request(answer{class: "fault " + string(f.Kind), err: err})
+			r.rec.recordRequest(requestResult{class: "fault " + string(f.Kind), err: err})
 		}
 	}
 }
