--- a/balancer/api.go
+++ b/balancer/api.go
@@ -43,7 +43,7 @@
 		Update: b.view.catalog.Since(req.Revision, func(r *catalog.Record) bool { return r.ForHost(req.Host) }),
 	}
 	if req.Final {
-		b.view.dir.Release(req.Data)
+		b.view.dir.Deregister(req.Data)
 		return reply, nil
 	}
 	registrars := directory.Registrars(req.Data.String(), req.Zone, b.view.dir.Balancers(), control.RegistrarsPerHost)
@@ -54,18 +54,18 @@
 }
 
 func (b *Balancer) handleExchange(_ context.Context, req control.ExchangeRequest) (control.ExchangeReply, error) {
-	changed, _ := b.merge(req.Rumours, nil)
+	changed, _ := b.merge(req.GossipUpdates, nil)
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
 	// This balancer's own entry is always included, as a requester that joins
 	// through a seed may have only its address.
-	updates := append(b.view.dir.Rumours(req.Rumours), b.view.dir.Self())
+	updates := append(b.view.dir.PendingUpdates(req.GossipUpdates), b.view.dir.Self())
 	return control.ExchangeReply{
-		Rumours:  updates,
-		Root:     b.view.dir.Root(),
-		Revision: b.view.catalog.Revision(),
-		News:     changed,
-		Update:   b.view.catalog.Since(req.Revision, catalog.Everything),
+		GossipUpdates:   updates,
+		Root:            b.view.dir.Root(),
+		Revision:        b.view.catalog.Revision(),
+		AcceptedIndexes: changed,
+		Update:          b.view.catalog.Since(req.Revision, catalog.KeepAll),
 	}, nil
 }
 
@@ -86,14 +86,14 @@
 		return control.EntriesReply{}, errors.Errorf("more than %d entries", control.MaxEntriesPerCall)
 	}
 	b.view.mu.Lock()
-	reply := control.EntriesReply{Entries: b.view.dir.EntriesOf(req.Leaves, control.MaxEntriesPerCall)}
+	reply := control.EntriesReply{Entries: b.view.dir.EntriesInLeaves(req.Leaves, control.MaxEntriesPerCall)}
 	b.view.mu.Unlock()
 	b.merge(req.Entries, nil)
 	return reply, nil
 }
 
 func (b *Balancer) handleSync(_ context.Context, req control.SyncRequest) (control.SyncReply, error) {
-	return control.SyncReply{Update: b.updateSince(req.Revision, catalog.Everything)}, nil
+	return control.SyncReply{Update: b.updateSince(req.Revision, catalog.KeepAll)}, nil
 }
 
 func (b *Balancer) handleStatus(_ context.Context, req control.StatusRequest) (control.StatusReply, error) {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -239,7 +239,7 @@
 // applyDirectory passes changed host lists to the forwarding table. The caller
 // holds view.mu.
 func (b *Balancer) applyDirectory(now time.Time) {
-	for _, id := range b.view.dir.Dirty() {
+	for _, id := range b.view.dir.TakeDirtyServices() {
 		b.table.SetHosts(now, id, b.candidates(id))
 	}
 }
--- a/balancer/feedloop.go
+++ b/balancer/feedloop.go
@@ -26,7 +26,7 @@
 func (b *Balancer) feedLoop(ctx context.Context) error {
 	b.joinByPublishedSeeds(ctx)
 	nextSeedRenewal := time.Now()
-	return worker.Every(ctx, b.cfg.PullEvery.D(), func() {
+	return worker.Every(ctx, b.cfg.PullInterval.D(), func() {
 		if !b.updateFeeder() {
 			return
 		}
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -33,7 +33,7 @@
 	b.join(ctx)
 	for ctx.Err() == nil {
 		b.exchangeWithRandomPeer(ctx)
-		worker.Sleep(ctx, worker.Jitter(b.cfg.GossipEvery.D()))
+		worker.Sleep(ctx, worker.Jitter(b.cfg.GossipInterval.D()))
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 // if that fails.
 func (b *Balancer) exchangeWithRandomPeer(ctx context.Context) {
 	b.view.mu.Lock()
-	peer, ok := b.view.dir.Peer(b.view.rnd)
+	peer, ok := b.view.dir.RandomPeer(b.view.rnd)
 	b.view.mu.Unlock()
 	if !ok {
 		return
@@ -90,9 +90,9 @@
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
 	return control.ExchangeRequest{
-		Rumours:  b.view.dir.Rumours(nil),
-		Root:     b.view.dir.Root(),
-		Revision: b.view.catalog.Revision(),
+		GossipUpdates: b.view.dir.PendingUpdates(nil),
+		Root:          b.view.dir.Root(),
+		Revision:      b.view.catalog.Revision(),
 	}
 }
 
@@ -105,8 +105,8 @@
 	if err := b.client.Call(ctx, address, control.MethodExchange, req, &reply); err != nil {
 		return err
 	}
-	b.recordFeedback(req.Rumours, reply.News)
-	_, root := b.merge(reply.Rumours, reply.Update)
+	b.recordFeedback(req.GossipUpdates, reply.AcceptedIndexes)
+	_, root := b.merge(reply.GossipUpdates, reply.Update)
 	if err := b.pullUpdates(ctx, address, reply); err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 func (b *Balancer) recordFeedback(sent []directory.Entry, changed []int) {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
-	b.view.dir.Feedback(sent, changed)
+	b.view.dir.AcknowledgeUpdates(sent, changed)
 }
 
 // merge merges directory entries and a configuration update received from a peer
@@ -197,7 +197,7 @@
 // pushUpdates sends the configuration pages that the peer lacks.
 func (b *Balancer) pushUpdates(ctx context.Context, address string, peerRevision catalog.Revision) error {
 	for range maxPushPages {
-		update := b.updateSince(peerRevision, catalog.Everything)
+		update := b.updateSince(peerRevision, catalog.KeepAll)
 		if update == nil {
 			return nil
 		}
@@ -234,7 +234,7 @@
 	}
 	b.view.mu.Lock()
 	leaves := b.view.dir.DiffLeaves(digest.Of, digest.Leaves)
-	localEntries := b.view.dir.EntriesOf(leaves, control.MaxEntriesPerCall)
+	localEntries := b.view.dir.EntriesInLeaves(leaves, control.MaxEntriesPerCall)
 	b.view.mu.Unlock()
 	if len(leaves) == 0 {
 		return 0, nil
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -34,10 +34,10 @@
 	// NewFlowsPerSecond limits the rate of new flows of each service; zero means
 	// no limit.
 	NewFlowsPerSecond float64 `json:"newFlowsPerSecond,omitempty" validate:"gte=0"`
-	// GossipEvery is the interval between exchanges with a random balancer.
-	GossipEvery settings.Duration `json:"gossipEvery,omitempty" validate:"gte=20000000,lte=60000000000"`
-	// PullEvery is the interval at which a feeder reads the platform.
-	PullEvery settings.Duration `json:"pullEvery,omitempty" validate:"gte=20000000,lte=60000000000"`
+	// GossipInterval is the interval between exchanges with a random balancer.
+	GossipInterval settings.Duration `json:"gossipEvery,omitempty" validate:"gte=20000000,lte=60000000000"`
+	// PullInterval is the interval at which a feeder reads the platform.
+	PullInterval settings.Duration `json:"pullEvery,omitempty" validate:"gte=20000000,lte=60000000000"`
 	// LeaveDelay is how long a stopping balancer continues to forward while the
 	// network fabric stops routing to it.
 	LeaveDelay settings.Duration `json:"leaveDelay,omitempty" validate:"gte=0,lte=600000000000"`
@@ -47,9 +47,9 @@
 // Defaults returns the defaults of optional settings.
 func Defaults() Settings {
 	return Settings{
-		GossipEvery: settings.Duration(time.Second),
-		PullEvery:   settings.Duration(time.Second),
-		LeaveDelay:  settings.Duration(5 * time.Second),
+		GossipInterval: settings.Duration(time.Second),
+		PullInterval:   settings.Duration(time.Second),
+		LeaveDelay:     settings.Duration(5 * time.Second),
 	}
 }
 
--- a/binaries/poppywallctl/changes.go
+++ b/binaries/poppywallctl/changes.go
@@ -105,7 +105,7 @@
 		process.Fail(process.ExitFailure, err)
 	}
 	out := stored{Items: []change.Item{}}
-	for _, r := range state.Records(catalog.Everything) {
+	for _, r := range state.Records(catalog.KeepAll) {
 		rev := r.Revision
 		out.Items = append(out.Items, change.Item{Service: r.Service, Target: r.Target, Revision: &rev})
 	}
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -63,7 +63,7 @@
 			"sync": func(t *rapid.T) {
 				from := rapid.SampledFrom(append(nodes, store)).Draw(t, "from")
 				to := pick(t)
-				if u := from.Since(to.Revision(), Everything); u != nil {
+				if u := from.Since(to.Revision(), KeepAll); u != nil {
 					delayed = append(delayed, *u)
 					if rapid.Bool().Draw(t, "arrives") {
 						apply(to, *u)
@@ -82,7 +82,7 @@
 			},
 		})
 		for _, n := range nodes {
-			for u := store.Since(n.Revision(), Everything); u != nil; u = store.Since(n.Revision(), Everything) {
+			for u := store.Since(n.Revision(), KeepAll); u != nil; u = store.Since(n.Revision(), KeepAll) {
 				apply(n, *u)
 			}
 			require.Equal(t, store.InForce(), n.InForce())
@@ -185,7 +185,7 @@
 			require.NoError(t, err)
 		}
 		for from := Revision(0); from < state.Revision(); {
-			u := state.Since(from, Everything)
+			u := state.Since(from, KeepAll)
 			raw, err := json.Marshal(u)
 			require.NoError(t, err)
 			require.LessOrEqual(t, len(raw), MaxPageBytes+largest+recordOverhead)
--- a/catalog/state.go
+++ b/catalog/state.go
@@ -140,8 +140,8 @@
 	return u
 }
 
-// Everything is a filter that keeps all records.
-func Everything(*Record) bool { return true }
+// KeepAll is a filter that keeps all records.
+func KeepAll(*Record) bool { return true }
 
 // Records returns the records for which keep returns true, oldest change first,
 // without tombstones.
--- a/change/change_test.go
+++ b/change/change_test.go
@@ -77,7 +77,7 @@
 	state, err := Current(context.Background(), env.store)
 	require.NoError(t, err)
 	out := map[string]catalog.Record{}
-	for _, r := range state.Records(catalog.Everything) {
+	for _, r := range state.Records(catalog.KeepAll) {
 		out[r.Key] = r
 	}
 	return out
--- a/control/messages.go
+++ b/control/messages.go
@@ -68,7 +68,7 @@
 
 // ExchangeRequest starts one gossip round between two balancers.
 type ExchangeRequest struct {
-	Rumours []directory.Entry `json:"e,omitempty"`
+	GossipUpdates []directory.Entry `json:"e,omitempty"`
 	// Root is the digest of the sender's whole directory.
 	Root     uint64           `json:"x"`
 	Revision catalog.Revision `json:"r"`
@@ -76,13 +76,13 @@
 
 // ExchangeReply is the reply to an ExchangeRequest.
 type ExchangeReply struct {
-	Rumours []directory.Entry `json:"e,omitempty"`
+	GossipUpdates []directory.Entry `json:"e,omitempty"`
 	// Root is the digest of the replier's whole directory.
 	Root     uint64           `json:"x"`
 	Revision catalog.Revision `json:"r"`
-	// News lists the requester's gossip updates that were new to the replier,
+	// AcceptedIndexes lists the requester's gossip updates that were new to the replier,
 	// by index.
-	News []int `json:"n,omitempty"`
+	AcceptedIndexes []int `json:"n,omitempty"`
 	// Update holds the configuration changes that the requester lacks.
 	Update *catalog.Update `json:"u,omitempty"`
 }
--- a/control/pages_test.go
+++ b/control/pages_test.go
@@ -45,7 +45,7 @@
 	s, err := Listen("127.0.0.1:0", []route.Secret{oldSecret}, &Traffic{}, zap.NewNop())
 	require.NoError(t, err)
 	s.Register(MethodSync, Handle(func(_ context.Context, r SyncRequest) (SyncReply, error) {
-		return SyncReply{Update: full.Since(r.Revision, catalog.Everything)}, nil
+		return SyncReply{Update: full.Since(r.Revision, catalog.KeepAll)}, nil
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/directory/digest.go
+++ b/directory/digest.go
@@ -110,8 +110,8 @@
 	return out
 }
 
-// EntriesOf returns the entries in the given leaves, at most limit of them.
-func (d *Directory) EntriesOf(leaves []int, limit int) []Entry {
+// EntriesInLeaves returns the entries in the given leaves, at most limit of them.
+func (d *Directory) EntriesInLeaves(leaves []int, limit int) []Entry {
 	var out []Entry
 	for _, l := range leaves {
 		if l < 0 || l >= digestLeaves {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -259,9 +259,9 @@
 	d.dirty[o.Service] = struct{}{}
 }
 
-// Dirty returns the services whose hosts changed since the last call, in order
+// TakeDirtyServices returns the services whose hosts changed since the last call, in order
 // of their IDs.
-func (d *Directory) Dirty() []route.ServiceID {
+func (d *Directory) TakeDirtyServices() []route.ServiceID {
 	out := make([]route.ServiceID, 0, len(d.dirty))
 	for id := range d.dirty {
 		out = append(out, id)
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -90,7 +90,7 @@
 
 // gossip runs one exchange, as balancer.exchange does.
 func (f *fleet) gossip(i int) {
-	peer, ok := f.dirs[i].Peer(f.rnd)
+	peer, ok := f.dirs[i].RandomPeer(f.rnd)
 	if !ok {
 		return
 	}
@@ -107,16 +107,16 @@
 }
 
 func (f *fleet) exchange(a, b *Directory) {
-	sent := a.Rumours(nil)
-	a.Feedback(sent, b.Merge(f.now, sent))
-	a.Merge(f.now, append(b.Rumours(sent), b.Self()))
+	sent := a.PendingUpdates(nil)
+	a.AcknowledgeUpdates(sent, b.Merge(f.now, sent))
+	a.Merge(f.now, append(b.PendingUpdates(sent), b.Self()))
 	if a.Root() == b.Root() {
 		return
 	}
 	branches := b.DiffBranches(a.Branches(), 8)
 	leaves := a.DiffLeaves(branches, b.Leaves(branches))
-	entriesOfA := a.EntriesOf(leaves, 512)
-	a.Merge(f.now, b.EntriesOf(leaves, 512))
+	entriesOfA := a.EntriesInLeaves(leaves, 512)
+	a.Merge(f.now, b.EntriesInLeaves(leaves, 512))
 	b.Merge(f.now, entriesOfA)
 }
 
--- a/directory/gossip.go
+++ b/directory/gossip.go
@@ -12,9 +12,9 @@
 // gone.
 const gonePeerOdds = 8
 
-// Peer returns a random other balancer to exchange with. It may be suspect, as the
+// RandomPeer returns a random other balancer to exchange with. It may be suspect, as the
 // exchange may bring its refutation.
-func (d *Directory) Peer(rnd *rand.Rand) (Entry, bool) {
+func (d *Directory) RandomPeer(rnd *rand.Rand) (Entry, bool) {
 	maxStatus := Suspect
 	if rnd.IntN(gonePeerOdds) == 0 {
 		maxStatus = Gone
@@ -34,9 +34,9 @@
 	return Entry{}, false
 }
 
-// Rumours returns the gossip updates for one message and counts them as sent.
+// PendingUpdates returns the gossip updates for one message and counts them as sent.
 // Entries that were just received from the same peer are left out.
-func (d *Directory) Rumours(received []Entry) []Entry {
+func (d *Directory) PendingUpdates(received []Entry) []Entry {
 	maxTransmissions := d.opts.TransmitFactor * bits.Len(uint(len(d.Balancers())))
 	known := make(map[netip.AddrPort]struct{}, len(received))
 	for i := range received {
@@ -69,10 +69,10 @@
 	return out
 }
 
-// Feedback records the receiver's reply to sent gossip updates; accepted holds the
+// AcknowledgeUpdates records the receiver's reply to sent gossip updates; accepted holds the
 // indices of those that were new to it. A change that Options.MaxRedundant
 // receivers already had is no longer sent.
-func (d *Directory) Feedback(sent []Entry, accepted []int) {
+func (d *Directory) AcknowledgeUpdates(sent []Entry, accepted []int) {
 	for i := range sent {
 		r, ok := d.entries[sent[i].Key()]
 		if !ok || r.Sequence != sent[i].Sequence || slices.Contains(accepted, i) {
--- a/directory/registrar.go
+++ b/directory/registrar.go
@@ -71,8 +71,8 @@
 	return min(max(need, d.opts.MinPeriod), d.opts.MaxPeriod)
 }
 
-// Release ends the registration of a host that chose other registrars.
-func (d *Directory) Release(key netip.AddrPort) {
+// Deregister ends the registration of a host that chose other registrars.
+func (d *Directory) Deregister(key netip.AddrPort) {
 	if r, ok := d.entries[key]; ok {
 		d.deregister(r)
 	}
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -18,9 +18,9 @@
 	Catalogue Kind = "catalogue" // an idempotent request
 )
 
-// Flow describes one type of load offered to a service. It is open-loop: arrivals
+// Workload describes one type of load offered to a service. It is open-loop: arrivals
 // do not wait for answers.
-type Flow struct {
+type Workload struct {
 	Service string `json:"service" validate:"required"`
 	Kind    Kind   `json:"kind" validate:"oneof=board move hold upload catalogue"`
 	// PerSecond is the mean rate of Poisson arrivals.
@@ -75,10 +75,10 @@
 type Plan struct {
 	Seconds float64 `json:"seconds" validate:"gt=0,lte=3600"`
 	// WarmupSeconds is the initial time that Summary.Imbalance leaves out.
-	WarmupSeconds float64 `json:"warmupSeconds,omitempty" validate:"gte=0"`
-	Seed          uint64  `json:"seed,omitempty"`
-	Flows         []Flow  `json:"flows" validate:"required,min=1,max=64,dive"`
-	Faults        []Fault `json:"faults,omitempty" validate:"max=64,dive"`
+	WarmupSeconds float64    `json:"warmupSeconds,omitempty" validate:"gte=0"`
+	Seed          uint64     `json:"seed,omitempty"`
+	Workloads     []Workload `json:"flows" validate:"required,min=1,max=64,dive"`
+	Faults        []Fault    `json:"faults,omitempty" validate:"max=64,dive"`
 }
 
 // Site is the environment in which a plan runs.
@@ -95,7 +95,7 @@
 
 // Check validates what the struct tags cannot express.
 func (p *Plan) Check() error {
-	for i, f := range p.Flows {
+	for i, f := range p.Workloads {
 		if f.Kind == Board && f.MeanSeconds == 0 {
 			return errors.Errorf("field \"flows[%d].meanSeconds\": required for a board flow", i)
 		}
--- a/load/runner.go
+++ b/load/runner.go
@@ -58,7 +58,7 @@
 	requestsCtx, cancel := context.WithTimeout(ctx, seconds(plan.Seconds)+completionTimeout)
 	defer cancel()
 	offered := map[string]float64{}
-	for i, f := range plan.Flows {
+	for i, f := range plan.Workloads {
 		if f.Kind != Board {
 			offered[workspaceOf(f)] += f.PerSecond
 		}
@@ -73,7 +73,7 @@
 
 // workspaceOf returns the workspace that the flow's requests count for; a flow
 // without one counts for its service.
-func workspaceOf(f Flow) string {
+func workspaceOf(f Workload) string {
 	if f.Workspace != "" {
 		return f.Workspace
 	}
@@ -83,7 +83,7 @@
 // runFlow starts requests or streams at their intended times, regardless of how
 // long earlier ones take, until arrivalsCtx ends. requestsCtx bounds their
 // completion.
-func (r *runner) runFlow(arrivalsCtx, requestsCtx context.Context, f Flow, rnd *rand.Rand) {
+func (r *runner) runFlow(arrivalsCtx, requestsCtx context.Context, f Workload, rnd *rand.Rand) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	callers, err := r.newCallers(f)
@@ -115,7 +115,7 @@
 
 // newCallers returns the callers whose connections the requests of a flow share.
 // A board flow has none, as each stream uses its own connection.
-func (r *runner) newCallers(f Flow) ([]*Caller, error) {
+func (r *runner) newCallers(f Workload) ([]*Caller, error) {
 	if f.Kind == Board {
 		return nil, nil
 	}
@@ -155,7 +155,7 @@
 
 // sendRequest sends one request and records its outcome. A move or a hold must be
 // answered with its own body.
-func (r *runner) sendRequest(ctx context.Context, f Flow, c *Caller, intended time.Time) {
+func (r *runner) sendRequest(ctx context.Context, f Workload, c *Caller, intended time.Time) {
 	result := requestResult{class: string(f.Kind), service: f.Service, workspace: workspaceOf(f)}
 	method, path, body := requestOf(f)
 	header := http.Header{headerRequestID: {uuid.NewString()}}
@@ -198,7 +198,7 @@
 }
 
 // requestOf returns the method, path and body of a request of the flow.
-func requestOf(f Flow) (method, path string, body []byte) {
+func requestOf(f Workload) (method, path string, body []byte) {
 	switch f.Kind {
 	case Upload:
 		return http.MethodPost, "/upload", make([]byte, f.Bytes)
@@ -213,7 +213,7 @@
 
 // runBoard keeps one stream open for the given length, or until the plan ends, and
 // checks that every event arrives in order.
-func (r *runner) runBoard(arrivalsCtx, requestsCtx context.Context, f Flow, length time.Duration) {
+func (r *runner) runBoard(arrivalsCtx, requestsCtx context.Context, f Workload, length time.Duration) {
 	c, err := r.site.NewCaller(f.Service, f.Workspace)
 	if err != nil {
 		r.rec.recordStream(false, 0, err)
@@ -314,7 +314,7 @@
 // samplePeriod.
 func (r *runner) sampleStreams(ctx context.Context) {
 	services := map[string]bool{}
-	for _, f := range r.plan.Flows {
+	for _, f := range r.plan.Workloads {
 		if f.Kind == Board {
 			services[f.Service] = true
 		}
--- a/measure/costs.go
+++ b/measure/costs.go
@@ -56,10 +56,10 @@
 	for i := range hosts {
 		d.Merge(choiceStart, []directory.Entry{hostEntry(i, 1)})
 	}
-	for len(d.Rumours(nil)) > 0 {
+	for len(d.PendingUpdates(nil)) > 0 {
 		continue
 	}
-	d.Dirty()
+	d.TakeDirtyServices()
 	return d
 }
 
@@ -195,8 +195,8 @@
 			directory.Registrars(dataAddr(directory.KindHost, i%hosts).String(), zone, d.Balancers(), control.RegistrarsPerHost)
 		})},
 		{"peer, rumours and root of an exchange", loop(func(int) {
-			d.Peer(rnd)
-			d.Rumours(nil)
+			d.RandomPeer(rnd)
+			d.PendingUpdates(nil)
 			d.Root()
 		})},
 		{"tick", loop(func(int) { d.Tick(now) })},
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -255,8 +255,8 @@
 	cfg.Seeds = c.controlAddrs()
 	cfg.Secrets = c.Secrets
 	cfg.SprayMembers = c.Site.Balancers
-	cfg.GossipEvery = c.period
-	cfg.PullEvery = c.period
+	cfg.GossipInterval = c.period
+	cfg.PullInterval = c.period
 	cfg.LeaveDelay = settings.Duration(trialLeave)
 	b, err := balancer.New(cfg, c.log.Named(cfg.Name))
 	if err != nil {
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -104,7 +104,7 @@
 	summary, err := load.Run(t.Context(), load.Plan{
 		Seconds: 6,
 		Seed:    1,
-		Flows: []load.Flow{
+		Workloads: []load.Workload{
 			{Service: "tables", Kind: load.Board, PerSecond: 5, Burst: 40, MeanSeconds: 60},
 			{Service: "tables", Kind: load.Move, PerSecond: 60, Connections: 20},
 			{Service: "tables", Kind: load.Upload, PerSecond: 5, Bytes: 100 << 10},
@@ -241,7 +241,7 @@
 	}
 	done := make(chan load.Summary, 1)
 	go func() {
-		summary, err := load.Run(t.Context(), load.Plan{Seconds: 8, Flows: []load.Flow{
+		summary, err := load.Run(t.Context(), load.Plan{Seconds: 8, Workloads: []load.Workload{
 			{Service: "tables", Kind: load.Board, PerSecond: 0.001, Burst: 20, MeanSeconds: 1e6},
 		}}, c)
 		if err == nil {
--- a/trial/workload.go
+++ b/trial/workload.go
@@ -30,7 +30,7 @@
 		Seconds:       s,
 		WarmupSeconds: s / 4,
 		Seed:          1,
-		Flows: []load.Flow{
+		Workloads: []load.Workload{
 			{Service: "tables", Kind: load.Board, PerSecond: 10, Burst: 60, MeanSeconds: 4 * s},
 			{Service: "tables", Kind: load.Move, PerSecond: 100},
 			{Service: "intake", Kind: load.Upload, PerSecond: 5, Bytes: 256 << 10},
