--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,7 @@
 # Commands of the project; `make trial` runs it, `make test` passes the tests.
 STATICCHECK := honnef.co/go/tools/cmd/staticcheck@v0.8.2
+# Language server; `make tools` installs it. `gopls rename -w FILE:LINE:COLUMN NEW` renames through all modules.
+GOPLS := golang.org/x/tools/gopls@v0.22.0
 BINARIES := poppywall-balancer poppywall-agent poppywallctl poppywall-load poppywall-trial poppywall-standin poppywall-measure poppywall-soak
 VERSION := $(shell git describe --always --dirty 2>/dev/null || echo dev)
 LDFLAGS := -X github.com/poppywall/poppywall/telemetry.Version=$(VERSION)
@@ -9,7 +11,7 @@
 
 export CGO_ENABLED = 1
 
-.PHONY: trial soak test fuzz build lint model ablation capacity ejection choice overload costs fleet mesh relay packets startup bench experiments modules mutants
+.PHONY: trial soak test fuzz build lint tools model ablation capacity ejection choice overload costs fleet mesh relay packets startup bench experiments modules mutants
 
 # The QUIC front in one process, then the packet front as processes under a few faults.
 trial: build
@@ -28,6 +30,10 @@
 	go vet work
 	go run $(STATICCHECK) $(MODULES)
 
+# Installs the rename tool where go install puts binaries.
+tools:
+	go install $(GOPLS)
+
 modules:
 	tools/modules.sh
 
