--- a/balancer/packetfront/bench_test.go
+++ b/balancer/packetfront/bench_test.go
@@ -12,13 +12,13 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// discard sends nothing.
+// discard is a Port that drops all packets.
 type discard struct{}
 
 func (discard) ToNode(flow.IPv4, []byte, []byte) {}
 func (discard) Reset(flow.Key, uint32)           {}
 
-// benchCore is a balancer before a service of 40 targets.
+// benchCore returns a balancer with a service of 40 targets.
 func benchCore(b *testing.B) *fixture {
 	f := newFixture()
 	for i := range flow.IPv4(38) {
@@ -29,7 +29,7 @@
 	return f
 }
 
-// BenchmarkForward is a packet of a flow that is remembered.
+// BenchmarkForward measures a packet of a flow that is in the table.
 func BenchmarkForward(b *testing.B) {
 	f := benchCore(b)
 	f.client(packet(true, 0))
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkOpen is a SYN: the choice among 40 targets.
+// BenchmarkOpen measures a SYN: the choice among 40 targets.
 func BenchmarkOpen(b *testing.B) {
 	f := benchCore(b)
 	p := packet(true, 0)
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkSearch is the first packet of an unknown flow.
+// BenchmarkSearch measures the first packet of an unknown flow.
 func BenchmarkSearch(b *testing.B) {
 	f := benchCore(b)
 	p := packet(false, 9)
@@ -64,8 +64,8 @@
 	}
 }
 
-// BenchmarkGzipConfig is what the first balancer that asks for a configuration of
-// 4,200 routes costs the one that is asked; ratio is compressed by plain bytes.
+// BenchmarkGzipConfig measures the cost of the first request for a configuration of 4,200 routes to
+// the balancer that serves it; ratio is compressed bytes per plain byte.
 func BenchmarkGzipConfig(b *testing.B) {
 	var raw bytes.Buffer
 	for i := range 4200 {
@@ -81,8 +81,8 @@
 	b.ReportMetric(float64(packed)/float64(raw.Len()), "ratio")
 }
 
-// BenchmarkSendBeacon is a beacon of a balancer that knows 230 targets: it must not cost
-// more with their number.
+// BenchmarkSendBeacon measures a beacon of a balancer that knows 230 targets: its cost must not grow
+// with their number.
 func BenchmarkSendBeacon(b *testing.B) {
 	f := newFixture()
 	for i := range flow.IPv4(230) {
--- a/balancer/packetfront/cold.go
+++ b/balancer/packetfront/cold.go
@@ -6,14 +6,14 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// coldLimitReached tells whether a cold target bears no new flow of this balancer at the moment:
-// its agent would pass it on. What the target bears is what it announced and what it
-// bears anew since; each balancer sends its share of that.
-func (c *Core) coldLimitReached(now time.Time, h *fleet.Target) bool {
-	if !h.Cold {
+// coldLimitReached reports whether a cold target has no headroom left for new flows of this
+// balancer; its agent would pass them on to another target. The headroom is the announced one
+// and what the cold rate has added since; each balancer may use an equal share of it.
+func (c *Core) coldLimitReached(now time.Time, t *fleet.Target) bool {
+	if !t.Cold {
 		return false
 	}
-	anew := c.operator.Config().ColdRates[h.Service] * now.Sub(h.LastSeen).Seconds()
-	share := (float64(h.Headroom) + anew) / float64(c.view.BalancerCount()+1)
-	return float64(h.FlowsSent) >= share
+	replenished := c.operator.Config().ColdRates[t.Service] * now.Sub(t.LastSeen).Seconds()
+	share := (float64(t.Headroom) + replenished) / float64(c.view.BalancerCount()+1)
+	return float64(t.FlowsSent) >= share
 }
--- a/balancer/packetfront/core.go
+++ b/balancer/packetfront/core.go
@@ -13,64 +13,63 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// Port is how the core sends; it must not keep the slices.
+// Port is how a core sends packets; it must not retain the slices.
 type Port interface {
-	// ToNode sends a datagram to a node: a head and what follows it.
+	// ToNode sends a datagram to a node: a header followed by a packet.
 	ToNode(node flow.IPv4, head, packet []byte)
-	// Reset ends a flow at its client.
+	// Reset resets a flow at its client.
 	Reset(key flow.Key, seq uint32)
 }
 
 // Options are the core's parameters.
 type Options struct {
-	// Self is this node's address between nodes.
+	// Self is this balancer's address on the network between nodes, Zone its zone.
 	Self flow.IPv4
 	Zone flow.Tag
-	// Seeds are addresses of balancers to join by.
+	// Seeds are the addresses of the balancers to join through.
 	Seeds []flow.IPv4
-	// Incarnation is random for each start.
+	// Incarnation identifies this incarnation of the process; it is random for each start.
 	Incarnation uint64
 	Weights     choose.Weights
-	// LinkMbps is the width of this VM's link, Mbit/s, zero when it is not known.
+	// LinkMbps is the capacity of this VM's link, in Mbit/s; zero if it is not known.
 	LinkMbps float64
-	// FollowTime is how long after an answer of the store a balancer counts as fed:
-	// a watch's waiting time and its time-out.
+	// FollowTime is how long after an answer of the store a balancer counts as following it:
+	// a watch's waiting time and its timeout.
 	FollowTime time.Duration
-	// RelayFrom is the number of a zone's balancers from which on the nodes of other
-	// zones reach it through relays; zonecast.From unless it is set.
+	// RelayFrom is the number of balancers in a zone at and above which nodes of other zones
+	// reach the zone through relays; zonecast.RelayThreshold if zero.
 	RelayFrom int
 }
 
-// Times of the core, chosen with the bounds of the platform's routers and
-// clients in mind.
+// Timing of the core.
 const (
-	// tickPeriod drives the core.
+	// tickPeriod is the time between ticks once the balancer has settled.
 	tickPeriod = 100 * time.Millisecond
-	// joinPeriod is the pause between tries to join by the seeds.
+	// joinPeriod is the time between attempts to join through the seeds.
 	joinPeriod = 200 * time.Millisecond
-	// bootstrapQueries is how many balancers beside the seeds a fresh one asks each
-	// joinPeriod for the nodes that they know.
+	// bootstrapQueries is how many balancers, in addition to the seeds, a balancer that has
+	// just started asks in each joinPeriod for the nodes that they know.
 	bootstrapQueries = 2
-	// rejoinPeriod is the same for seeds still unknown once others are known.
+	// rejoinPeriod replaces joinPeriod once the balancer has settled and knows other
+	// balancers; it serves seeds that are still unknown.
 	rejoinPeriod = 3 * time.Second
-	// refuseWithin is how long after the first copy of a SYN a flow may be
-	// reset: the client sends the next copy after 200 ms, and another target may
-	// take that one.
+	// refuseWithin is how long after its first SYN a refused flow may be reset: the client
+	// retransmits the SYN after 200 ms, and another target may accept that one.
 	refuseWithin = 150 * time.Millisecond
-	// nodeRequestPause is the least pause between requests for another balancer's
-	// nodes after views were found to differ.
+	// nodeRequestPause is the minimum time between requests for the nodes that another
+	// balancer knows, which are sent when its view differs from this one's.
 	nodeRequestPause = 500 * time.Millisecond
-	// expirePeriod is how often what is too old is forgotten.
+	// expirePeriod is how often idle flows and nodes that are not seen are removed.
 	expirePeriod = time.Second
-	// minIdle is the least time for which an idle flow is remembered, whatever
-	// the configuration says.
+	// minIdle is the minimum time for which an idle flow stays in the table, even if the
+	// configured idle timeout is shorter.
 	minIdle = 20 * time.Second
-	// agentBeacons is how many beacon periods pass between beacons to agents.
+	// agentBeacons is the number of beacon periods from one beacon to agents to the next.
 	agentBeacons = 2
 )
 
-// Core decides what happens to each packet. It is not safe for concurrent use;
-// its owner holds a lock.
+// Core decides where each packet is sent. It is not safe for concurrent use; its owner holds
+// a lock.
 type Core struct {
 	opts   Options
 	port   Port
@@ -84,46 +83,48 @@
 	proof     *search.Proof
 	finder    *search.Finder
 	startedAt time.Time
-	// wasFresh is what the proof said at the last tick.
+	// wasFresh is whether the view still counted as incomplete at the last tick.
 	wasFresh bool
 
+	// seq is the sequence number of the last beacon.
 	seq     uint32
 	leaving bool
-	// rotation tells whether the balancer takes part.
+	// rotation decides whether the balancer is in the routers' rotation.
 	rotation rotation
-	// nextSameZone and nextCrossZone are when nodes of the own and of other zones are told
-	// again, farPeriod is the pause for the latter.
+	// nextSameZone and nextCrossZone are when the next beacons to nodes of the local zone and
+	// of other zones are due; crossZonePeriod is the period of the latter.
 	nextSameZone, nextCrossZone time.Time
 	crossZonePeriod             time.Duration
 	nextExpire                  time.Time
 	nextJoin                    time.Time
 	nextNodeRequest             time.Time
-	// registeredBalancers is the last reading of the balancers' registry.
+	// registeredBalancers is the last snapshot of the balancers' registry.
 	registeredBalancers fleet.UnseenTracker
 	nextAudit           time.Time
-	// deadNodes are dead nodes that are still in the registry, nextDepart is when they
-	// may be taken out.
+	// deadNodes are dead nodes that are still in the registry; nextRemoval is when they may
+	// be removed from it.
 	deadNodes    []DeadNode
 	nextRemoval  time.Time
 	relays       crossZone
 	snapshots    snapshotSources
 	loads        serviceLoads
 	beaconRounds int
-	// lastDigest is the view's digest at a moment, zero time when it has changed.
+	// lastDigest is the view's digest as of digestAt, which is zero if nodes have joined or
+	// changed since.
 	lastDigest uint32
 	digestAt   time.Time
 
 	// Scratch space, so that a packet costs no allocation.
-	env     envelope.Envelope
-	buf     []byte
-	plan    candidatePlan
-	offers  []choose.Offer
-	offerOf []*fleet.Target
-	// expected is the delay that the first of the last candidates was chosen by.
-	expected time.Duration
+	env          envelope.Envelope
+	buf          []byte
+	plan         candidatePlan
+	offers       []choose.Offer
+	offerTargets []*fleet.Target
+	// expectedDelay is the expected delay at the cheapest target of the last choice.
+	expectedDelay time.Duration
 }
 
-// New returns a core that knows nothing yet.
+// New returns the core of a balancer that has just started, with an empty view.
 func New(now time.Time, opts Options, port Port, codec flow.Codec, events Events, rnd *rand.Rand) *Core {
 	if opts.RelayFrom == 0 {
 		opts.RelayFrom = zonecast.RelayThreshold
@@ -136,22 +137,22 @@
 	}
 	c.operator = operator.New(now, operator.Options{Self: opts.Self, Zone: opts.Zone, FollowTime: opts.FollowTime}, c.view, listener{c}, rnd)
 	c.proof = search.NewProof(now, opts.Self, opts.Seeds, c.view)
-	found := search.Options{Self: opts.Self, Zone: opts.Zone, Incarnation: opts.Incarnation, First: searchFirstTargets}
-	c.finder = search.New(found, c.operator.Config, c.view, c.table, c.proof, codec, finderPort{c}, events)
+	finderOpts := search.Options{Self: opts.Self, Zone: opts.Zone, Incarnation: opts.Incarnation, First: searchFirstTargets}
+	c.finder = search.New(finderOpts, c.operator.Config, c.view, c.table, c.proof, codec, finderPort{c}, events)
 	return c
 }
 
-// SetSeeds replaces the balancers to join by.
+// SetSeeds replaces the seeds, the balancers to join through.
 func (c *Core) SetSeeds(seeds []flow.IPv4) {
 	c.opts.Seeds = seeds
 	c.proof.SetSeeds(seeds)
 }
 
-// View returns what is known of the fleet.
+// View returns the balancer's view of the fleet.
 func (c *Core) View() *fleet.View { return c.view }
 
-// TickPeriod is how long after a tick the next one is due: soon while packets
-// may wait for what a balancer learns first.
+// TickPeriod returns the time until the next tick. It is shorter until the balancer has
+// settled, because packets may be buffered until its first targets are known.
 func (c *Core) TickPeriod(now time.Time) time.Duration {
 	if c.proof.Settled(now) {
 		return tickPeriod
@@ -159,8 +160,9 @@
 	return search.BufferRetryInterval
 }
 
-// Ready tells whether clients' packets may come: a configuration is in force and
-// the targets had the time to announce themselves.
+// Ready reports whether the routers may send clients' packets: a configuration is in force,
+// the targets have had time to announce themselves, and the balancer is neither leaving nor
+// out of rotation.
 func (c *Core) Ready(now time.Time) bool {
 	if c.operator.Config() == nil || c.leaving || c.rotation.standby {
 		return false
@@ -168,14 +170,14 @@
 	return c.view.TargetCount() > 0 || now.Sub(c.startedAt) > search.SettleTime
 }
 
-// Leave makes the balancer unready and tells the others.
+// Leave makes the balancer unready and announces that at once.
 func (c *Core) Leave(now time.Time) {
 	c.leaving = true
 	c.sendBeacons(now, c.view.Balancers())
 	c.sendBeacons(now, c.directAgents())
 }
 
-// idle is how long an idle flow is remembered.
+// idle returns how long an idle flow stays in the table.
 func (c *Core) idle() time.Duration {
 	if c.operator.Config() == nil {
 		return minIdle
@@ -183,12 +185,12 @@
 	return max(c.operator.Config().IdleTimeout, minIdle)
 }
 
-// HandleClient takes a packet that a client sent.
+// HandleClient handles a packet from a client.
 func (c *Core) HandleClient(now time.Time, h *flow.Header, packet []byte) {
 	c.route(now, h.KeyFromClient(), h, packet)
 }
 
-// route sends a client's packet on its way, or keeps it while that is not known.
+// route forwards a client's packet, or buffers it until it can be routed.
 func (c *Core) route(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	if c.operator.Config() == nil {
 		c.finder.Buffer(now, key, h, packet, search.BufferNoConfig)
@@ -206,51 +208,53 @@
 	c.finder.Search(now, key, h, packet)
 }
 
-// forward sends a packet to the target that is remembered for its flow.
+// forward sends a packet to the target that is recorded for its flow.
 func (c *Core) forward(key flow.Key, target flow.IPv4, packet []byte) {
 	c.events.Forwarded()
 	c.env = envelope.Envelope{Kind: envelope.Deliver, Balancer: c.opts.Self}
 	c.send(target, packet)
 }
 
-func (c *Core) send(target flow.IPv4, packet []byte) { c.sendIn(&c.env, target, packet) }
+// send sends a packet to a target in the scratch envelope.
+func (c *Core) send(target flow.IPv4, packet []byte) { c.sendEnvelope(&c.env, target, packet) }
 
-func (c *Core) sendIn(env *envelope.Envelope, target flow.IPv4, packet []byte) {
+func (c *Core) sendEnvelope(env *envelope.Envelope, target flow.IPv4, packet []byte) {
 	c.buf = env.Append(c.buf[:0])
-	c.rotation.count(len(c.buf) + len(packet))
+	c.rotation.recordSent(len(c.buf) + len(packet))
 	c.port.ToNode(target, c.buf, packet)
 }
 
-// openFlow sends a client's SYN to a target. A copy goes where the first one went; the
-// candidates behind it are for the case that the target refuses.
+// openFlow sends a client's SYN to a target. A retransmission goes to the target of the first
+// SYN, if that is still a candidate. The envelope names further candidates, in case the target
+// refuses.
 func (c *Core) openFlow(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	route, ok := c.operator.Config().Routes[key.Front()]
 	if !ok {
 		c.finder.Discard(key)
-		// Silence, not a reset: this balancer may be the one that has not heard
-		// of a new route yet, and a copy may reach another one.
+		// No reset: the route may be new and not in force here yet, and a retransmission
+		// may reach another balancer.
 		c.events.Dropped(search.DropNoRoute)
 		return
 	}
 	hash := key.Hash()
 	backend := route.Pick(hash)
-	service := c.serviceLoad(now, backend)
+	load := c.serviceLoad(now, backend)
 	candidates := c.openCandidates(now, hash, backend.Tag)
 	if len(candidates) == 0 {
-		c.noTarget(now, key, h, route, backend, packet)
+		c.handleNoTarget(now, key, h, route, backend, packet)
 		return
 	}
-	if service.Overloaded {
+	if load.Overloaded {
 		c.preferFreeSlots(now, candidates)
 	}
 	c.finder.Discard(key)
-	remembered, known := c.table.Get(now, key)
-	repeated := known && h.Ack > 0
-	if repeated {
-		candidates = toFront(candidates, remembered)
+	recorded, known := c.table.Get(now, key)
+	retransmitted := known && h.Ack > 0
+	if retransmitted {
+		candidates = moveToFront(candidates, recorded)
 	}
-	candidates = candidates[:min(len(candidates), service.openTries())]
-	if service.Overloaded {
+	candidates = candidates[:min(len(candidates), load.maxOpenAttempts())]
+	if load.Overloaded {
 		candidates = c.dropRefusing(now, candidates, route.Objective)
 	}
 	chosen := candidates[0]
@@ -262,21 +266,22 @@
 	target, _ := c.view.Target(chosen.Target)
 	target.FlowsSent++
 	c.events.Opened(Decision{Key: key, Route: route.Name, Service: backend.Name, Target: target, Config: c.operator.Config().Version, Evacuations: c.operator.Evacuations().Revision,
-		Age: now.Sub(target.LastSeen), Expected: c.expected, OtherZone: target.Zone != c.opts.Zone, Candidates: len(candidates), Copy: h.Ack})
+		Age: now.Sub(target.LastSeen), Expected: c.expectedDelay, OtherZone: target.Zone != c.opts.Zone, Candidates: len(candidates), Copy: h.Ack})
 	c.env = envelope.Envelope{
 		Kind: envelope.Deliver, Balancer: c.opts.Self, Service: chosen.Service, Priority: route.Priority,
 		Objective: route.Objective, Deadline: route.Deadline, ColdRate: c.operator.Config().ColdRates[backend.Tag],
 	}
-	if repeated {
+	if retransmitted {
 		c.env.Flags |= envelope.Retransmitted
 	}
 	c.env.SetCandidates(candidates[1:])
 	c.send(chosen.Target, packet)
 }
 
-// noTarget answers a SYN for which no target is known, or none that may get it.
-func (c *Core) noTarget(now time.Time, key flow.Key, h *flow.Header, route *flow.Route, backend flow.Backend, packet []byte) {
-	reason := c.refusal(backend.Tag)
+// handleNoTarget handles a SYN for which there is no target: none is known, or none of them may
+// get new flows. The SYN is buffered while targets may still be unknown, otherwise refused.
+func (c *Core) handleNoTarget(now time.Time, key flow.Key, h *flow.Header, route *flow.Route, backend flow.Backend, packet []byte) {
+	reason := c.refusalReason(backend.Tag)
 	if c.proof.Fresh(now) || (!c.proof.Settled(now) && reason == "") {
 		c.finder.Buffer(now, key, h, packet, search.BufferNoTarget)
 		return
@@ -288,9 +293,9 @@
 	c.refuse(key, h, reason, route.Name)
 }
 
-// refuse resets a flow that cannot be opened; nothing of it has run. Only the
-// first copy is answered: a later one may cross the answer to an earlier one,
-// whose flow is open by then.
+// refuse resets a flow that cannot be opened; no target has worked on it. Only the first SYN is
+// answered with a reset: when a retransmission is refused, the flow may already be open at the
+// target that accepted an earlier SYN.
 func (c *Core) refuse(key flow.Key, h *flow.Header, reason, route string) {
 	if h.Ack > 0 {
 		c.events.Dropped(DropCopyRefused)
--- a/balancer/packetfront/core_test.go
+++ b/balancer/packetfront/core_test.go
@@ -12,10 +12,10 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-func TestCopiesOfASYNFollowTheFirst(t *testing.T) {
+func TestSYNRetransmissionsGoToTheFirstTarget(t *testing.T) {
 	f := newFixture()
-	for copies := range byte(3) {
-		f.client(packet(true, copies))
+	for retransmissions := range byte(3) {
+		f.client(packet(true, retransmissions))
 	}
 	sent := f.port.Delivered()
 	require.Len(t, sent, 3)
@@ -28,10 +28,10 @@
 
 	lone := newFixture()
 	lone.client(packet(true, 2))
-	require.Zero(t, lone.port.Delivered()[0].Env.Flags, "nobody has seen the copies before")
+	require.Zero(t, lone.port.Delivered()[0].Env.Flags, "this balancer has not handled an earlier SYN")
 }
 
-func TestNewFlowsAvoidTargetsThatTakeNone(t *testing.T) {
+func TestNewFlowsAvoidDrainingAndGoneTargets(t *testing.T) {
 	f := newFixture()
 	f.announce(targetA, fleet.Draining)
 	f.client(packet(true, 0))
@@ -42,16 +42,17 @@
 	require.Len(t, f.port.Resets, 1, "no target of the service")
 }
 
-// TestEjectedTargetsGetNoNewFlowsWhileTheOthersCanCarryThem.
+// TestEjectedTargetsGetNoNewFlowsWhileTheOthersCanCarryThem: ejections are ignored if more than
+// a third of the ready targets are ejected.
 func TestEjectedTargetsGetNoNewFlowsWhileTheOthersCanCarryThem(t *testing.T) {
 	for name, c := range map[string]struct {
 		ejected []flow.IPv4
 		avoided bool
 	}{
-		"one of four":   {[]flow.IPv4{targetA}, true},
-		"two of four":   {[]flow.IPv4{targetA, targetB}, false},
-		"all":           {[]flow.IPv4{targetA, targetB, other, other + 1}, false},
-		"none is taken": {nil, false},
+		"one of four": {[]flow.IPv4{targetA}, true},
+		"two of four": {[]flow.IPv4{targetA, targetB}, false},
+		"all":         {[]flow.IPv4{targetA, targetB, other, other + 1}, false},
+		"none":        {nil, false},
 	} {
 		f := newFixture()
 		f.announce(other, fleet.Ready)
@@ -76,18 +77,18 @@
 	}
 }
 
-func TestRefusalsAreToldToFirstCopiesAtOnce(t *testing.T) {
+func TestOnlyAFirstSYNRefusedInTimeIsReset(t *testing.T) {
 	for name, c := range map[string]struct {
-		copies byte
-		after  time.Duration
-		resets int
+		retransmissions byte
+		after           time.Duration
+		resets          int
 	}{
-		"first copy":        {0, 10 * time.Millisecond, 1},
-		"a later copy":      {1, 10 * time.Millisecond, 0},
-		"after a long trip": {0, refuseWithin + time.Millisecond, 0},
+		"first SYN":         {0, 10 * time.Millisecond, 1},
+		"retransmission":    {1, 10 * time.Millisecond, 0},
+		"returned too late": {0, refuseWithin + time.Millisecond, 0},
 	} {
 		f := newFixture()
-		p := packet(true, c.copies)
+		p := packet(true, c.retransmissions)
 		f.client(p)
 		f.now = f.now.Add(c.after)
 		f.answer(targetB, 0, p)
@@ -95,7 +96,8 @@
 	}
 }
 
-func TestUnknownRoutesAndMissingConfigurationStaySilent(t *testing.T) {
+// TestUnknownRoutesAndMissingConfigurationCauseNoReset: another balancer may have the route.
+func TestUnknownRoutesAndMissingConfigurationCauseNoReset(t *testing.T) {
 	f := newFixture()
 	f.SetConfig(f.now, &flow.Config{Version: 6})
 	f.client(packet(true, 0))
@@ -107,7 +109,7 @@
 	require.Empty(t, append(f.port.Delivered(), fresh.port.Delivered()...))
 }
 
-func TestConfigurationsOnlyRise(t *testing.T) {
+func TestOlderConfigurationsAreIgnored(t *testing.T) {
 	f := newFixture()
 	require.False(t, f.SetConfig(f.now, config(5)))
 	require.False(t, f.SetConfig(f.now, config(4)))
@@ -115,7 +117,7 @@
 	require.EqualValues(t, 6, f.ConfigVersion())
 }
 
-func TestANewConfigurationIsToldAtOnce(t *testing.T) {
+func TestANewConfigurationIsAnnouncedAtOnce(t *testing.T) {
 	f := newFixture()
 	f.HandleNode(f.now, peer, (&fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 1}}).Append(nil))
 	f.port.Nodes = nil
@@ -139,15 +141,16 @@
 	require.Equal(t, other, second.To)
 	require.Zero(t, second.Env.Count)
 	f.answer(other, 0, packet(false, 9))
-	require.Len(t, f.port.Delivered(), 3, "it does not hold the flow: searched for again")
+	require.Len(t, f.port.Delivered(), 3, "the target does not hold the flow: it is searched for again")
 	require.Equal(t, 2, f.port.Delivered()[2].Env.Count)
 }
 
-// TestARememberedTargetThatIsNotHeardIsSearchedFor: its SYN may have been lost there,
-// and a copy that another balancer sent may have opened the flow elsewhere.
-func TestARememberedTargetThatIsNotHeardIsSearchedFor(t *testing.T) {
+// TestFlowsOfAnOverdueTargetAreSearchedFor: the flow's SYN may have been lost on the way to the
+// recorded target, and a retransmission through another balancer may have opened the flow at
+// another target.
+func TestFlowsOfAnOverdueTargetAreSearchedFor(t *testing.T) {
 	for name, after := range map[string]time.Duration{
-		"heard lately": fleet.OverdueAfter / 2, "silent": fleet.OverdueAfter + time.Millisecond, "forgotten": fleet.ExpireAfter + time.Second,
+		"seen recently": fleet.OverdueAfter / 2, "overdue": fleet.OverdueAfter + time.Millisecond, "expired": fleet.ExpireAfter + time.Second,
 	} {
 		f := newFixture()
 		f.client(packet(true, 0))
@@ -170,9 +173,9 @@
 	}
 }
 
-// TestSearchesAskThoseThatAFlowWasChosenAmongFirst: with many targets in the own
-// zone, one that was chosen elsewhere is found in the first round.
-func TestSearchesAskThoseThatAFlowWasChosenAmongFirst(t *testing.T) {
+// TestSearchesProbeTheCandidatesOfTheSYNFirst: a flow that was opened in another zone is found in
+// the first search round, even if there are many targets in the local zone.
+func TestSearchesProbeTheCandidatesOfTheSYNFirst(t *testing.T) {
 	f := newFixture()
 	for i := range flow.IPv4(40) {
 		f.announce(0x0a020000+i, fleet.Ready)
@@ -184,31 +187,31 @@
 	}
 	f.client(packet(true, 0))
 	chosen := f.port.Delivered()[0]
-	among := map[flow.IPv4]bool{chosen.To: true}
+	candidates := map[flow.IPv4]bool{chosen.To: true}
 	for _, c := range chosen.Env.Candidates[:chosen.Env.Count] {
-		among[c.Target] = true
+		candidates[c.Target] = true
 	}
 	f.table.Drop(key, chosen.To)
 	f.client(packet(false, 9))
 	sent := f.port.Delivered()[1]
-	asked := []flow.IPv4{sent.To}
+	probed := []flow.IPv4{sent.To}
 	for _, c := range sent.Env.Candidates[:2*searchFirstTargets-1] {
-		asked = append(asked, c.Target)
+		probed = append(probed, c.Target)
 	}
-	for ip := range among {
-		require.Contains(t, asked, ip)
+	for ip := range candidates {
+		require.Contains(t, probed, ip)
 	}
 }
 
-// TestTargetsThatAreGoneAreGreetedAndNotWaitedFor: an agent whose target has not
-// started yet has to be known to everybody before it does, and who has not heard
-// of one that was taken away never will.
-func TestTargetsThatAreGoneAreGreetedAndNotWaitedFor(t *testing.T) {
-	names := func(f *fixture) (n fleet.NodeList) {
+// TestIdleAgentsAreContactedAndCauseNoUncertainty: balancers name agents without a running target
+// to each other, so that all know an agent before its target starts. But a balancer does not wait
+// for one that it has not seen: its VM may have been removed.
+func TestIdleAgentsAreContactedAndCauseNoUncertainty(t *testing.T) {
+	nodeListOf := func(f *fixture) (n fleet.NodeList) {
 		f.port.Nodes = nil
 		f.seq++
-		ask := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: f.seq}, WantPeers: true}
-		f.HandleNode(f.now, peer, ask.Append(nil))
+		request := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: f.seq}, WantPeers: true}
+		f.HandleNode(f.now, peer, request.Append(nil))
 		for _, s := range f.port.Nodes {
 			if s.Kind == envelope.Peers {
 				var err error
@@ -219,19 +222,19 @@
 		return n
 	}
 	f := newFixture()
-	require.Empty(t, names(f).IdleAgents)
+	require.Empty(t, nodeListOf(f).IdleAgents)
 	digest := f.View().Digest(f.now, self)
 	f.announce(other, fleet.Gone)
-	require.Equal(t, []flow.IPv4{other}, names(f).IdleAgents)
-	require.ElementsMatch(t, []flow.IPv4{targetA, targetB}, names(f).ActiveAgents)
-	require.NotEqual(t, digest, f.View().Digest(f.now, self), "others are to hear of it")
+	require.Equal(t, []flow.IPv4{other}, nodeListOf(f).IdleAgents)
+	require.ElementsMatch(t, []flow.IPv4{targetA, targetB}, nodeListOf(f).ActiveAgents)
+	require.NotEqual(t, digest, f.View().Digest(f.now, self), "balancers that do not know the agent must notice")
 	f.wait(fleet.OverdueAfter + time.Second)
-	require.Empty(t, names(f).IdleAgents)
+	require.Empty(t, nodeListOf(f).IdleAgents)
 	f.View().Expire(f.now)
 
 	fresh := newFixture()
 	fleet.NodeList{IdleAgents: []flow.IPv4{other}}.Append(nil, func(msg []byte) { fresh.HandleNode(fresh.now, peer, msg) })
-	require.Equal(t, other, fresh.port.Nodes[0].To, "greeted")
+	require.Equal(t, other, fresh.port.Nodes[0].To, "contacted")
 	fresh.client(packet(false, 9))
 	fresh.answer(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Len(t, fresh.port.Resets, 1)
@@ -247,8 +250,8 @@
 	require.False(t, f.Ready(f.now), "no configuration")
 }
 
-// FuzzHandleNode: whatever arrives between nodes, it neither panics nor resets a
-// flow.
+// FuzzHandleNode: arbitrary datagrams between nodes cause no panic, and no reset unless they
+// decode as an envelope.
 func FuzzHandleNode(f *testing.F) {
 	f.Add([]byte("nonsense"))
 	e := envelope.Envelope{Kind: envelope.Returned, Flags: envelope.SearchExhausted}
--- a/balancer/packetfront/evacuations.go
+++ b/balancer/packetfront/evacuations.go
@@ -8,12 +8,12 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// mergeEvacuations takes over what another node acts on.
+// mergeEvacuations puts the evacuations of another node in force if they are newer.
 func (c *Core) mergeEvacuations(now time.Time, next flow.Evacuations, from flow.IPv4) {
 	c.operator.SetEvacuations(now, next, operator.Origin(from))
 }
 
-// handleEvacuated takes the message of an agent that knows of later evacuations.
+// handleEvacuated handles the message of an agent that has newer evacuations.
 func (c *Core) handleEvacuated(now time.Time, from flow.IPv4, datagram []byte) error {
 	next, err := fleet.DecodeEvacuations(datagram)
 	if err == nil {
@@ -22,21 +22,21 @@
 	return err
 }
 
-// acceptsFlows tells whether a target may get new flows: it is ready, and its zone is not
-// emptied.
-func (c *Core) acceptsFlows(h *fleet.Target) bool {
-	return h.State == fleet.Ready && !c.operator.Evacuated(h.Zone)
+// acceptsFlows reports whether a target may get new flows: it is ready, and its zone is not
+// evacuated.
+func (c *Core) acceptsFlows(t *fleet.Target) bool {
+	return t.State == fleet.Ready && !c.operator.Evacuated(t.Zone)
 }
 
-// refusal tells why no target of a service may get a new flow, empty where none is known
-// that is ready.
-func (c *Core) refusal(service flow.Tag) string {
+// refusalReason returns why no target of a service may get a new flow, or an empty string if no
+// target is ready.
+func (c *Core) refusalReason(service flow.Tag) string {
 	reason := ""
-	for _, h := range c.view.TargetsOf(service) {
+	for _, t := range c.view.TargetsOf(service) {
 		switch {
-		case c.acceptsFlows(h):
+		case c.acceptsFlows(t):
 			return "targets of the service cold"
-		case h.State == fleet.Ready:
+		case t.State == fleet.Ready:
 			reason = "zones of the service emptied"
 		}
 	}
--- a/balancer/packetfront/evacuations_test.go
+++ b/balancer/packetfront/evacuations_test.go
@@ -14,14 +14,14 @@
 	"github.com/poppywall/poppywall/platform/platformtest"
 )
 
-// evacuations are those of a revision.
+// evacuations returns evacuations with the given revision and zones.
 func evacuations(revision int64, zones ...string) flow.Evacuations {
 	e, _ := flow.NewEvacuations(revision, zones)
 	return e
 }
 
-// zoned is a settled balancer of zone "a" with targetA there and targetB in zone "b".
-func zoned() *fixture {
+// newZonedFixture returns a settled balancer of zone "a" with targetA there and targetB in zone "b".
+func newZonedFixture() *fixture {
 	f := fixtureIn(flow.TagOf("a"))
 	f.announceIn(targetA, "a", false)
 	f.announceIn(targetB, "b", false)
@@ -29,7 +29,7 @@
 	return f
 }
 
-// announceIn announces a ready target of a zone.
+// announceIn delivers the announcement of a ready target in a zone.
 func (f *fixture) announceIn(ip flow.IPv4, zone string, ejected bool) {
 	f.seq++
 	a := fleet.Announcement{
@@ -39,14 +39,14 @@
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
-// opens lets clients open flows and returns how many went to each target at first;
-// no emptied target may be named behind it either.
-func (f *fixture) opens(t *testing.T, emptied ...flow.IPv4) map[flow.IPv4]int {
+// openFlowsAvoiding sends the SYNs of 50 flows and returns how many went to each target. Targets of
+// evacuated zones must not be among the further candidates either.
+func (f *fixture) openFlowsAvoiding(t *testing.T, evacuated ...flow.IPv4) map[flow.IPv4]int {
 	t.Helper()
 	out := map[flow.IPv4]int{}
 	for _, ip := range f.View().Targets() {
-		h, _ := f.View().Target(ip)
-		h.FlowsSent = 0
+		target, _ := f.View().Target(ip)
+		target.FlowsSent = 0
 	}
 	for port := range uint16(50) {
 		k := key
@@ -56,51 +56,51 @@
 		for _, sent := range f.port.Delivered() {
 			out[sent.To]++
 			for _, c := range sent.Env.Candidates[:sent.Env.Count] {
-				require.NotContains(t, emptied, c.Target)
+				require.NotContains(t, evacuated, c.Target)
 			}
 		}
 	}
 	return out
 }
 
-// TestAnEmptiedZoneGetsNoNewFlows, from the moment when the balancer hears of it until
-// the zone is taken back, whoever tells.
-func TestAnEmptiedZoneGetsNoNewFlows(t *testing.T) {
-	tell := map[string]func(*fixture, flow.Evacuations){
+// TestAnEvacuatedZoneGetsNoNewFlows: from the moment the balancer receives the evacuation until it
+// receives its end, from any source.
+func TestAnEvacuatedZoneGetsNoNewFlows(t *testing.T) {
+	sources := map[string]func(*fixture, flow.Evacuations){
 		"the store":        func(f *fixture, e flow.Evacuations) { f.SetEvacuations(f.now, e) },
-		"another balancer": func(f *fixture, e flow.Evacuations) { f.beaconOf(peer, e) },
+		"another balancer": func(f *fixture, e flow.Evacuations) { f.receiveEvacuations(peer, e) },
 		"an agent":         func(f *fixture, e flow.Evacuations) { f.HandleNode(f.now, targetA, fleet.AppendEvacuations(nil, e)) },
 	}
-	for name, say := range tell {
-		f := zoned()
-		require.Len(t, f.opens(t), 2, name)
-		say(f, evacuations(9, "a", "unknown"))
-		require.Equal(t, map[flow.IPv4]int{targetB: 50}, f.opens(t, targetA), name)
-		say(f, evacuations(10, "b"))
-		require.Equal(t, map[flow.IPv4]int{targetA: 50}, f.opens(t, targetB), name)
-		say(f, evacuations(9, "a"))
-		require.Equal(t, map[flow.IPv4]int{targetA: 50}, f.opens(t, targetB), "%s: one that is behind", name)
-		say(f, evacuations(11))
-		require.Len(t, f.opens(t), 2, "%s: taken back", name)
-		say(f, evacuations(12, "a"))
-		require.Equal(t, map[flow.IPv4]int{targetB: 50}, f.opens(t, targetA), "%s: again", name)
+	for name, receive := range sources {
+		f := newZonedFixture()
+		require.Len(t, f.openFlowsAvoiding(t), 2, name)
+		receive(f, evacuations(9, "a", "unknown"))
+		require.Equal(t, map[flow.IPv4]int{targetB: 50}, f.openFlowsAvoiding(t, targetA), name)
+		receive(f, evacuations(10, "b"))
+		require.Equal(t, map[flow.IPv4]int{targetA: 50}, f.openFlowsAvoiding(t, targetB), name)
+		receive(f, evacuations(9, "a"))
+		require.Equal(t, map[flow.IPv4]int{targetA: 50}, f.openFlowsAvoiding(t, targetB), "%s: an older revision is ignored", name)
+		receive(f, evacuations(11))
+		require.Len(t, f.openFlowsAvoiding(t), 2, "%s: evacuation ended", name)
+		receive(f, evacuations(12, "a"))
+		require.Equal(t, map[flow.IPv4]int{targetB: 50}, f.openFlowsAvoiding(t, targetA), "%s: evacuated again", name)
 	}
 }
 
-// beaconOf lets another balancer say which zones are emptied.
-func (f *fixture) beaconOf(ip flow.IPv4, e flow.Evacuations) {
+// receiveEvacuations delivers a beacon of another balancer with evacuations.
+func (f *fixture) receiveEvacuations(ip flow.IPv4, e flow.Evacuations) {
 	f.seq++
 	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Evacuations: e, Period: time.Hour}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
-// TestAServiceWhoseZonesAreAllEmptiedIsRefusedAtOnce: nothing waits for the zones to
-// be taken back, at a balancer that has just started neither once its view is whole.
-func TestAServiceWhoseZonesAreAllEmptiedIsRefusedAtOnce(t *testing.T) {
+// TestAServiceWhoseZonesAreAllEvacuatedIsRefusedAtOnce: its SYNs are not buffered until an
+// evacuation ends, not even by a balancer that has just started, once its view is complete.
+func TestAServiceWhoseZonesAreAllEvacuatedIsRefusedAtOnce(t *testing.T) {
 	for name, age := range map[string]time.Duration{"settled": search.SettleTime + time.Second, "started a moment ago": search.FreshTime + time.Millisecond} {
-		f := zoned()
+		f := newZonedFixture()
 		f.started(f.now.Add(-age))
-		f.beaconOf(peer, evacuations(9, "b", "a"))
+		f.receiveEvacuations(peer, evacuations(9, "b", "a"))
 		f.client(packet(true, 0))
 		require.Len(t, f.port.Resets, 1, name)
 		require.Zero(t, f.kept, name)
@@ -108,12 +108,12 @@
 	}
 }
 
-// TestABalancerThatKnowsOnlyEmptiedTargetsYetWaitsForTheOthers: the agents of the
-// other zones greet it within its first moments.
-func TestABalancerThatKnowsOnlyEmptiedTargetsYetWaitsForTheOthers(t *testing.T) {
-	f := zoned()
+// TestSYNsAreBufferedWhileOnlyEvacuatedTargetsAreKnown: the agents of other zones announce
+// themselves to a balancer shortly after its start.
+func TestSYNsAreBufferedWhileOnlyEvacuatedTargetsAreKnown(t *testing.T) {
+	f := newZonedFixture()
 	f.started(f.now)
-	f.beaconOf(peer, evacuations(9, "a", "b"))
+	f.receiveEvacuations(peer, evacuations(9, "a", "b"))
 	f.client(packet(true, 0))
 	require.Empty(t, f.port.Resets)
 	f.announceIn(other, "c", false)
@@ -123,10 +123,10 @@
 	require.Equal(t, other, sent[len(sent)-1].To)
 }
 
-// TestOpenFlowsOfAnEmptiedZoneGoOn: their packets are neither moved nor reset, and a
-// balancer that does not know them looks for them there too.
-func TestOpenFlowsOfAnEmptiedZoneGoOn(t *testing.T) {
-	f := zoned()
+// TestOpenFlowsOfAnEvacuatedZoneContinue: their packets are neither sent to another target nor
+// answered with a reset, and searches for unknown flows probe the zone's targets.
+func TestOpenFlowsOfAnEvacuatedZoneContinue(t *testing.T) {
+	f := newZonedFixture()
 	f.table.Put(f.now, key, targetA)
 	f.SetEvacuations(f.now, evacuations(9, "a"))
 	f.port.Nodes = nil
@@ -135,53 +135,54 @@
 	f.table.Drop(key, targetA)
 	f.port.Nodes = nil
 	f.client(packet(false, 7))
-	asked := []flow.IPv4{}
+	probed := []flow.IPv4{}
 	for _, sent := range f.port.Delivered() {
-		asked = append(asked, sent.To)
+		probed = append(probed, sent.To)
 		for _, c := range sent.Env.Candidates[:sent.Env.Count] {
-			asked = append(asked, c.Target)
+			probed = append(probed, c.Target)
 		}
 	}
-	require.Contains(t, asked, targetA)
+	require.Contains(t, probed, targetA)
 	require.Empty(t, f.port.Resets)
 }
 
-// TestACopyOfAnOpeningPacketLeavesAnEmptiedZone: the first one went there before the
-// balancer heard.
-func TestACopyOfAnOpeningPacketLeavesAnEmptiedZone(t *testing.T) {
-	f := zoned()
+// TestASYNRetransmissionLeavesAnEvacuatedZone: the first SYN was sent there before the balancer
+// received the evacuation.
+func TestASYNRetransmissionLeavesAnEvacuatedZone(t *testing.T) {
+	f := newZonedFixture()
 	f.client(packet(true, 0))
 	first := f.port.Delivered()[0].To
-	zone, rest := "a", targetB
+	zone, remaining := "a", targetB
 	if first == targetB {
-		zone, rest = "b", targetA
+		zone, remaining = "b", targetA
 	}
 	f.SetEvacuations(f.now, evacuations(9, zone))
 	f.port.Nodes = nil
 	f.client(packet(true, 1))
-	require.Equal(t, rest, f.port.Delivered()[0].To)
+	require.Equal(t, remaining, f.port.Delivered()[0].To)
 }
 
-// TestEjectionsAreWeighedAmongTheZonesThatServe: of four targets one is ejected, but
-// of the two that are left after an evacuation that is half.
-func TestEjectionsAreWeighedAmongTheZonesThatServe(t *testing.T) {
-	f := zoned()
+// TestTheEjectedShareExcludesEvacuatedZones: one of the five targets is ejected and gets no new flows.
+// After an evacuation it is the only target left, and the ejection is ignored.
+func TestTheEjectedShareExcludesEvacuatedZones(t *testing.T) {
+	f := newZonedFixture()
 	f.announceIn(targetB, "b", true)
 	for i := range flow.IPv4(3) {
 		f.announceIn(other+i, "a", false)
 	}
-	require.NotContains(t, f.opens(t), targetB)
+	require.NotContains(t, f.openFlowsAvoiding(t), targetB)
 	f.SetEvacuations(f.now, evacuations(9, "a"))
-	require.Equal(t, map[flow.IPv4]int{targetB: 50}, f.opens(t), "the only one that may serve")
+	require.Equal(t, map[flow.IPv4]int{targetB: 50}, f.openFlowsAvoiding(t), "the only target that accepts flows")
 }
 
-// TestNewsOfAnEvacuationTravelsAtOnce: other balancers hear it from each that has it,
-// agents of the zones that have changed from those that have it from the store, so that
-// it costs a message a balancer pair and a few an agent. What changes nothing is not passed on.
-func TestNewsOfAnEvacuationTravelsAtOnce(t *testing.T) {
-	f := zoned()
+// TestEvacuationsAreAnnouncedAtOnce: every balancer that applies a change sends it to the other
+// balancers; those that have it from the store also send it to the agents of the zones that have
+// changed. So a change costs a message per pair of balancers and a few per agent. A revision that
+// changes no zone is not sent on.
+func TestEvacuationsAreAnnouncedAtOnce(t *testing.T) {
+	f := newZonedFixture()
 	f.hears(peer)
-	told := func(do func()) (out []flow.IPv4) {
+	notified := func(do func()) (out []flow.IPv4) {
 		f.port.Nodes = nil
 		do()
 		for _, sent := range f.port.Nodes {
@@ -191,25 +192,25 @@
 		}
 		return out
 	}
-	require.ElementsMatch(t, []flow.IPv4{peer, targetA}, told(func() { f.SetEvacuations(f.now, evacuations(8, "a")) }))
-	require.ElementsMatch(t, []flow.IPv4{peer, targetB}, told(func() { f.SetEvacuations(f.now, evacuations(9, "a", "b")) }))
-	require.Empty(t, told(func() { f.SetEvacuations(f.now, evacuations(10, "a", "b")) }))
+	require.ElementsMatch(t, []flow.IPv4{peer, targetA}, notified(func() { f.SetEvacuations(f.now, evacuations(8, "a")) }))
+	require.ElementsMatch(t, []flow.IPv4{peer, targetB}, notified(func() { f.SetEvacuations(f.now, evacuations(9, "a", "b")) }))
+	require.Empty(t, notified(func() { f.SetEvacuations(f.now, evacuations(10, "a", "b")) }))
 	require.EqualValues(t, 10, f.Evacuations().Revision)
-	require.Equal(t, []flow.IPv4{peer}, told(func() { f.HandleNode(f.now, targetB, fleet.AppendEvacuations(nil, evacuations(11))) }))
+	require.Equal(t, []flow.IPv4{peer}, notified(func() { f.HandleNode(f.now, targetB, fleet.AppendEvacuations(nil, evacuations(11))) }))
 }
 
-// TestForeignEvacuationMessagesChangeNothing.
-func TestForeignEvacuationMessagesChangeNothing(t *testing.T) {
-	f := zoned()
+// TestInvalidEvacuationMessagesChangeNothing: truncated messages and outdated beacons.
+func TestInvalidEvacuationMessagesChangeNothing(t *testing.T) {
+	f := newZonedFixture()
 	f.SetEvacuations(f.now, evacuations(9, "a"))
 	good := fleet.AppendEvacuations(nil, evacuations(12, "b"))
 	f.HandleNode(f.now, targetA, good[:len(good)-1])
 	f.HandleNode(f.now, targetA, envelope.AppendPrefix(nil, envelope.Evacuated))
 	require.Equal(t, evacuations(9, "a"), f.Evacuations())
-	// A message of a former process of the other balancer comes late.
-	f.beaconOf(peer, evacuations(10))
-	late := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(peer), Seq: f.seq - 1}, Evacuations: evacuations(11, "a")}
-	f.HandleNode(f.now, peer, late.Append(nil))
+	// An earlier message of the other balancer arrives late.
+	f.receiveEvacuations(peer, evacuations(10))
+	outdated := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(peer), Seq: f.seq - 1}, Evacuations: evacuations(11, "a")}
+	f.HandleNode(f.now, peer, outdated.Append(nil))
 	require.Equal(t, evacuations(10), f.Evacuations())
 	require.Equal(t, "op/evacuate/a", platform.EvacuateKey("a"))
 }
--- a/balancer/packetfront/events.go
+++ b/balancer/packetfront/events.go
@@ -8,74 +8,88 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// The reasons of a search are those of the front too.
+// Types of package search that the front's own events use as well.
 type (
-	// DropReason is why a packet went nowhere.
+	// DropReason is why a packet was dropped.
 	DropReason = search.DropReason
-	// BufferReason is why a packet is kept to be tried again.
+	// BufferReason is why a packet is buffered and tried again.
 	BufferReason = search.BufferReason
-	// Uncertainty is why a flow that no target holds may live all the same.
+	// Uncertainty is why a flow that no candidate holds may still be alive.
 	Uncertainty = search.Uncertainty
 )
 
-// Reasons besides those of a search.
+// Reasons for dropping a packet, in addition to those of package search.
 const (
-	DropMalformed   DropReason = "malformed"
+	DropMalformed DropReason = "malformed"
+	// DropCopyRefused is a refused SYN that is not answered with a reset, because the flow may
+	// be open by an earlier or later SYN.
 	DropCopyRefused DropReason = "copy-refused"
-	// DropNotRelayed is what a node of another zone said and this one did not relay
-	// in time.
+	// DropNotRelayed is a message of another zone's node that this balancer should have relayed,
+	// but could not buffer or did not send in time.
 	DropNotRelayed DropReason = "not relayed"
 )
 
-// DropReasons lists all reasons.
+// DropReasons lists all reasons for dropping a packet.
 var DropReasons = []DropReason{DropMalformed, search.DropNoRoute, search.DropNoCandidate, search.DropExpired, DropCopyRefused, search.DropLateAnswer, DropNotRelayed}
 
-// Decision is where a SYN went and what that was decided by.
+// Decision is the choice of a target for a SYN, with the data it was based on.
 type Decision struct {
 	Key            flow.Key
 	Route, Service string
 	Target         *fleet.Target
-	// Config is the version of the configuration, Evacuations the revision of the
-	// emptied zones, Age that of the reading.
+	// Config is the version of the configuration, Evacuations the revision of the evacuated
+	// zones, Age the age of the target's load report.
 	Config      int64
 	Evacuations int64
 	Age         time.Duration
-	// Expected is the delay at the cheapest candidate, the price of crossing zones
-	// included; a copy may go elsewhere.
-	Expected   time.Duration
+	// Expected is the expected delay at the cheapest target, including the cost of crossing
+	// zones; the SYN may have been sent to another target.
+	Expected time.Duration
+	// Candidates is the number of targets that the SYN may be offered to.
 	Candidates int
-	// OtherZone tells that the flow has left its zone.
+	// OtherZone is set if the target is in another zone.
 	OtherZone bool
-	// Copy counts the copies of the SYN sent before.
+	// Copy is how many times the client had sent the SYN before.
 	Copy uint32
 }
 
-// Events hears of what the core decides; the shell logs and counts.
+// Events receives the decisions of a core.
 type Events interface {
+	// Forwarded reports a packet that was sent to the recorded target of its flow.
 	Forwarded()
+	// Opened reports a SYN that was sent to a target.
 	Opened(d Decision)
+	// Refused reports a flow that was reset because no target accepts it.
 	Refused(key flow.Key, reason, route string)
-	// OverloadChanged tells that a service is overloaded from now on, or no longer.
+	// OverloadChanged reports that a service has become overloaded, or no longer is.
 	OverloadChanged(o Overload)
 	search.Events
+	// OwnerFound reports that a search has found the target of a flow.
 	OwnerFound(key flow.Key, target flow.IPv4, hops int)
-	TargetChanged(h *fleet.Target, change fleet.Change)
+	// TargetChanged reports that a target has joined, or that its service, incarnation or
+	// state has changed.
+	TargetChanged(t *fleet.Target, change fleet.Change)
+	// TargetForgotten reports that a target was removed from the view because it was not seen
+	// for fleet.ExpireAfter.
 	TargetForgotten(ip flow.IPv4)
-	// ZoneSilenceChanged tells that a zone has fallen silent, or that it was heard again.
+	// ZoneSilenceChanged reports that a zone has become silent, or no longer is.
 	ZoneSilenceChanged(s fleet.ZoneSilence)
-	PeerChanged(ip flow.IPv4, what string)
-	// ZoneRelayed tells that another zone is told through relays from now on, or
-	// directly again, and how many of its balancers were heard lately.
+	// PeerChanged reports that another balancer has joined or was removed from the view.
+	PeerChanged(ip flow.IPv4, change string)
+	// ZoneRelayed reports whether beacons to another zone go through relays from now on, or
+	// directly, and how many of its balancers were seen recently.
 	ZoneRelayed(zone flow.Tag, balancers int, relayed bool)
-	// Relayed is a batch of so many messages of other zones' nodes for the own zone.
+	// Relayed reports a batch of messages of other zones' nodes that was relayed in the local
+	// zone.
 	Relayed(messages int)
-	// Probed is a node of another zone whose messages are not relayed any more.
-	Probed(ip flow.IPv4, silent time.Duration)
-	// RotationChanged tells that the balancer leaves the rotation because its link is full, or
-	// comes back: what it and the zone's balancers send, Mbit/s, and how many others
-	// are in rotation.
-	RotationChanged(out bool, own, zone float64, taking int)
-	// EvacuationsChanged tells that other zones than formerly are emptied; from is who
-	// told it.
-	EvacuationsChanged(now, former flow.Evacuations, from string)
+	// Probed reports that a node of another zone is probed because no relay passes its messages
+	// on any more; unseenFor is the time since it was last seen.
+	Probed(ip flow.IPv4, unseenFor time.Duration)
+	// RotationChanged reports that the balancer leaves the rotation because its link is full, or
+	// returns to it: the rates at which it and all balancers of the zone send, and how many
+	// others are in rotation.
+	RotationChanged(out bool, ownMbps, zoneMbps float64, othersInRotation int)
+	// EvacuationsChanged reports that the set of evacuated zones has changed; from is the node
+	// that the change came from, or the store.
+	EvacuationsChanged(now, previous flow.Evacuations, from string)
 }
--- a/balancer/packetfront/finder.go
+++ b/balancer/packetfront/finder.go
@@ -7,12 +7,12 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// finderPort is a core as its finder acts through it.
+// finderPort implements search.Port for a core.
 type finderPort struct{ *Core }
 
 // Send implements search.Port.
 func (c finderPort) Send(target flow.IPv4, env *envelope.Envelope, packet []byte) {
-	c.sendIn(env, target, packet)
+	c.sendEnvelope(env, target, packet)
 }
 
 // Forward implements search.Port.
@@ -28,7 +28,8 @@
 // Reset implements search.Port.
 func (c finderPort) Reset(key flow.Key, seq uint32) { c.port.Reset(key, seq) }
 
-// handleReturned takes a packet back that nobody took.
+// handleReturned handles a packet that an agent returned: a SYN that every candidate refused, or a
+// packet whose flow no probed target holds.
 func (c *Core) handleReturned(now time.Time, from flow.IPv4, datagram []byte) error {
 	packet, err := c.env.Decode(datagram)
 	if err != nil {
--- a/balancer/packetfront/finder_test.go
+++ b/balancer/packetfront/finder_test.go
@@ -15,69 +15,70 @@
 	"github.com/poppywall/poppywall/platform"
 )
 
-// searchPause is the pause between searches for a flow.
-const searchPause = 150 * time.Millisecond
+// searchRetryPause is the time between search rounds for a flow.
+const searchRetryPause = 150 * time.Millisecond
 
-// newStarted returns a balancer that knows nothing yet.
-func newStarted() *fixture {
+// newUnconfigured returns a balancer that has just started: it has no configuration and an empty
+// view.
+func newUnconfigured() *fixture {
 	f := &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)}
 	f.Core = New(f.now, Options{Self: self, Incarnation: 1}, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, rand.New(rand.NewPCG(1, 1)))
 	return f
 }
 
-// pass lets time go by, tick by tick.
-func (f *fixture) pass(d time.Duration) {
+// runTicks advances the time, tick by tick.
+func (f *fixture) runTicks(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.Tick(f.now) {
 		f.now = f.now.Add(f.TickPeriod(f.now))
 	}
 }
 
-// TestPacketsBeforeTheBalancerKnowsTheirWayAreKept: their clients would repeat
+// TestPacketsAreBufferedUntilTheyCanBeRouted: if they were dropped, their clients would retransmit
 // them up to 1.6 s later.
-func TestPacketsBeforeTheBalancerKnowsTheirWayAreKept(t *testing.T) {
+func TestPacketsAreBufferedUntilTheyCanBeRouted(t *testing.T) {
 	for name, p := range map[string][]byte{"a new flow": packet(true, 0), "an open flow": packet(false, 9)} {
-		f := newStarted()
+		f := newUnconfigured()
 		f.client(p)
-		f.pass(2 * search.BufferRetryInterval)
+		f.runTicks(2 * search.BufferRetryInterval)
 		require.Empty(t, f.port.Delivered(), name)
 		f.SetConfig(f.now, config(5))
-		f.pass(2 * search.BufferRetryInterval)
+		f.runTicks(2 * search.BufferRetryInterval)
 		require.Empty(t, f.port.Delivered(), "%s: no target yet", name)
 		f.announce(targetA, fleet.Ready)
-		f.pass(search.BufferRetryInterval)
+		f.runTicks(search.BufferRetryInterval)
 		require.Len(t, f.port.Delivered(), 1, name)
-		f.pass(searchPause / 2)
-		require.Len(t, f.port.Delivered(), 1, "%s: the target was asked", name)
+		f.runTicks(searchRetryPause / 2)
+		require.Len(t, f.port.Delivered(), 1, "%s: no further probe while one is under way", name)
 	}
 }
 
-// TestWhatTheFrontHearsDecidesOnAnUnknownFlow: messages of other nodes, readings of the
-// registry and reloaded settings reach the search.
-func TestWhatTheFrontHearsDecidesOnAnUnknownFlow(t *testing.T) {
+// TestUncertaintyAboutAnUnknownFlow: the core passes messages of other nodes, snapshots of the
+// registry and reloaded seeds on to the search, which decides by them whether a flow has ended.
+func TestUncertaintyAboutAnUnknownFlow(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare func(f *fixture)
 		flags   envelope.Flags
 		want    Uncertainty
 	}{
-		"all said no":                {want: ""},
-		"one was unsure":             {flags: envelope.Uncertain, want: search.UncertainTarget},
-		"an agent is missing":        {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other))) }, want: search.UncertainMissing},
-		"an agent is not registered": {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA))) }, want: search.UncertainRegistry},
-		"the registry was not read":  {prepare: func(f *fixture) { f.started(f.now.Add(-time.Minute)) }, want: search.UncertainSnapshot},
+		"all have denied":             {want: ""},
+		"one is uncertain":            {flags: envelope.Uncertain, want: search.UncertainTarget},
+		"an agent was not seen":       {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other))) }, want: search.UncertainMissing},
+		"an agent is not registered":  {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA))) }, want: search.UncertainRegistry},
+		"no snapshot of the registry": {prepare: func(f *fixture) { f.started(f.now.Add(-time.Minute)) }, want: search.UncertainSnapshot},
 		"another balancer names an agent": {
 			prepare: func(f *fixture) {
 				fleet.NodeList{ActiveAgents: []flow.IPv4{other}}.Append(nil, func(msg []byte) { f.HandleNode(f.now, peer, msg) })
 			},
 			want: search.UncertainMissing,
 		},
-		"alone among its seeds": {
+		"no seed was seen": {
 			prepare: func(f *fixture) {
 				f.started(f.now.Add(-search.FreshTime))
 				f.SetSeeds([]flow.IPv4{self, peer})
 			},
 			want: search.UncertainFresh,
 		},
-		"a seed was heard a moment ago": {
+		"a seed joined a moment ago": {
 			prepare: func(f *fixture) {
 				f.started(f.now.Add(-search.FreshTime))
 				f.SetSeeds([]flow.IPv4{self, peer})
@@ -86,7 +87,7 @@
 			},
 			want: search.UncertainFresh,
 		},
-		"a seed was heard before": {
+		"a seed joined earlier": {
 			prepare: func(f *fixture) {
 				f.started(f.now.Add(-search.FreshTime))
 				f.SetSeeds([]flow.IPv4{self, peer})
@@ -108,14 +109,14 @@
 	}
 }
 
-// TestTicksRepeatASearch whose message was lost; packets that came meanwhile follow once the
-// target is known.
+// TestTicksRepeatASearch: a lost probe is sent again. Packets that came meanwhile are forwarded once
+// the target is found.
 func TestTicksRepeatASearch(t *testing.T) {
 	f := newFixture()
 	f.client(packet(false, 9))
 	f.client(packet(false, 10))
 	require.Len(t, f.port.Delivered(), 1)
-	f.pass(searchPause + tickPeriod)
+	f.runTicks(searchRetryPause + tickPeriod)
 	require.Len(t, f.port.Delivered(), 2, "searched for again")
 	owner := envelope.Envelope{Kind: envelope.Owner, Balancer: self}
 	f.HandleNode(f.now, targetB, envelope.AppendKey(owner.Append(nil), key))
--- a/balancer/packetfront/fixture_test.go
+++ b/balancer/packetfront/fixture_test.go
@@ -28,7 +28,8 @@
 	front = flow.Front{IP: 7, Port: 80}
 )
 
-// quiet hears nothing but the last doubt and how many packets were kept.
+// quiet implements Events. It records the uncertainty of the last lost packet and counts buffered
+// packets.
 type quiet struct {
 	doubt *Uncertainty
 	kept  *int
@@ -53,7 +54,8 @@
 func (quiet) RotationChanged(bool, float64, float64, int)          {}
 func (quiet) EvacuationsChanged(_, _ flow.Evacuations, _ string)   {}
 
-// fixture is a settled balancer with two targets of a service.
+// fixture is a balancer, usually settled and with two targets of a service. doubt is the uncertainty
+// of the last lost packet, kept the number of buffered packets.
 type fixture struct {
 	*Core
 	port  *envelopetest.Recorder
@@ -65,7 +67,7 @@
 
 func newFixture() *fixture { return fixtureIn(0) }
 
-// fixtureIn is newFixture in a zone; its targets are in zone zero.
+// fixtureIn returns a settled balancer of a zone with two targets in zone zero.
 func fixtureIn(zone flow.Tag) *fixture {
 	f := &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)}
 	opts := Options{Self: self, Zone: zone, Incarnation: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}}
@@ -79,18 +81,18 @@
 	return f
 }
 
-// forgetConfig makes the balancer one that knows nothing of the operator's state.
+// forgetConfig resets the operator's state: no configuration and no evacuations are in force.
 func (c *Core) forgetConfig(now time.Time) {
 	*c.operator = *operator.New(now, operator.Options{Self: c.opts.Self, Zone: c.opts.Zone, FollowTime: c.opts.FollowTime}, c.view, listener{c}, c.rnd)
 }
 
-// started makes the balancer one that started at a time and has not read the registry.
+// started makes the balancer one that started at the given time and has no registry snapshot.
 func (f *fixture) started(at time.Time) {
 	f.startedAt = at
 	*f.proof = *search.NewProof(at, self, nil, f.view)
 }
 
-// registered are entries of the registry.
+// registered returns the registry entries of agents.
 func registered(ips ...flow.IPv4) []fleet.Entry {
 	var out []fleet.Entry
 	for _, ip := range ips {
@@ -99,19 +101,21 @@
 	return out
 }
 
+// config returns a configuration with one route to the service alpha.
 func config(version int64) *flow.Config {
 	return &flow.Config{Version: version, Routes: map[flow.Front]*flow.Route{
 		front: {Name: "r", Backends: []flow.Backend{{Name: "alpha", Tag: alpha, Weight: 1}}},
 	}}
 }
 
+// announce delivers the announcement of a target with the given state.
 func (f *fixture) announce(ip flow.IPv4, state fleet.State) {
 	f.seq++
 	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: state, Slots: 4}
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
-// hears lets another balancer say for the first time that it is there.
+// hears delivers the first beacon of another balancer.
 func (f *fixture) hears(ip flow.IPv4) {
 	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}, Digest: f.View().Digest(f.now, self)}
 	f.HandleNode(f.now, ip, m.Append(nil))
@@ -119,10 +123,11 @@
 
 var key = flow.Key{ClientIP: 0x64400001, ClientPort: 1024, FrontIP: front.IP, FrontPort: front.Port}
 
-// packet writes a client's packet.
+// packet returns a client's packet of the flow key. In a SYN, ack is the number of times that the
+// client has sent it before.
 func packet(syn bool, ack byte) []byte { return packetOf(key, syn, ack) }
 
-// packetOf writes a packet of a flow.
+// packetOf returns a client's packet of a flow.
 func packetOf(key flow.Key, syn bool, ack byte) []byte {
 	flags := flow.ACK
 	if syn {
@@ -131,6 +136,7 @@
 	return platformtest.FromClient(key, flags, 0, uint32(ack), nil)
 }
 
+// client delivers a packet from a client.
 func (f *fixture) client(p []byte) {
 	h, err := platform.DecodePacket(p)
 	if err != nil {
@@ -139,7 +145,8 @@
 	f.HandleClient(f.now, &h, p)
 }
 
-// answer returns the last packet sent to a target as an agent would.
+// answer returns a packet to the balancer in the envelope of the last delivered one, as an agent
+// does.
 func (f *fixture) answer(from flow.IPv4, flags envelope.Flags, p []byte) {
 	sent := f.port.Delivered()
 	e := sent[len(sent)-1].Env
@@ -148,7 +155,7 @@
 	f.HandleNode(f.now, from, append(e.Append(nil), p...))
 }
 
-// wait lets time go by while the two targets are heard.
+// wait advances the time and delivers announcements of the two targets.
 func (f *fixture) wait(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.announce(targetA, fleet.Ready)
--- a/balancer/packetfront/overload.go
+++ b/balancer/packetfront/overload.go
@@ -8,55 +8,60 @@
 )
 
 const (
-	// overloadedSlots is the share of the slots of a service's targets above which those
-	// that are overloaded make the service so: the others cannot carry their load as well.
-	overloadedSlots = 0.5
-	// recoveredSlots is the share at which they make it so no longer: agents tell the end of
-	// their overload one after the other.
-	recoveredSlots = 0.1
-	// freeSlots is the share of slots that are free at targets that are not overloaded at
-	// which it ends too, whatever the others say.
-	freeSlots = 0.5
-	// overloadTries is how many targets a new flow of an overloaded service may be offered
-	// to: the others are most likely as full, and each visit costs those that are served.
-	overloadTries = 2
-	// overloadTTL is how long a judgement stands while no target of the service is heard.
-	overloadTTL = tickPeriod
+	// overloadStartShare is the share of a service's slots above which slots of overloaded
+	// targets make the service overloaded: the other targets cannot take over their load.
+	overloadStartShare = 0.5
+	// overloadEndShare is the share at or below which the overload ends. It is lower than
+	// overloadStartShare because the agents announce the end of their overload one after the
+	// other.
+	overloadEndShare = 0.1
+	// overloadEndFreeShare is the share of slots that are free, at targets that are not
+	// overloaded, at which the overload ends even if other targets are still overloaded.
+	overloadEndFreeShare = 0.5
+	// overloadMaxOpenAttempts replaces maxOpenAttempts for an overloaded service: further targets
+	// are most likely full as well, and each attempt takes capacity from the requests in service.
+	overloadMaxOpenAttempts = 2
+	// overloadMaxAge is how long an evaluation is valid if no target of the service sends an
+	// announcement meanwhile.
+	overloadMaxAge = tickPeriod
 )
 
-// Overload is what the targets of a service announce of their load.
+// Overload is the load of a service as its targets last announced it.
 type Overload struct {
 	Service    string
 	Overloaded bool
-	// Slots are those of the targets that are ready and heard, OverloadedSlots those of
-	// targets among them that are overloaded, FreeSlots those that are free at the others.
-	// Age is that of the oldest announcement among them.
+	// Slots is the number of slots of the targets that accept flows and are not overdue,
+	// OverloadedSlots that of the overloaded ones among them, FreeSlots the number of free
+	// slots at the others. Age is the age of the oldest of these targets' announcements.
 	Slots, OverloadedSlots, FreeSlots int
 	Age                               time.Duration
 }
 
-// begins tells whether the targets' announcements make a service overloaded.
-func (o *Overload) begins() bool {
-	return float64(o.OverloadedSlots) > overloadedSlots*float64(o.Slots)
+// aboveStart reports whether enough slots are overloaded for an overload to begin.
+func (o *Overload) aboveStart() bool {
+	return float64(o.OverloadedSlots) > overloadStartShare*float64(o.Slots)
 }
 
-// ends tells whether they make an overloaded service so no longer.
-func (o *Overload) ends() bool {
-	return float64(o.OverloadedSlots) <= recoveredSlots*float64(o.Slots) || float64(o.FreeSlots) >= freeSlots*float64(o.Slots)
+// belowEnd reports whether few enough slots are overloaded, or enough are free, for an active
+// overload to end.
+func (o *Overload) belowEnd() bool {
+	return float64(o.OverloadedSlots) <= overloadEndShare*float64(o.Slots) || float64(o.FreeSlots) >= overloadEndFreeShare*float64(o.Slots)
 }
 
-// serviceLoad is what the balancer knows of the load of one service.
+// serviceLoad is the load of one service and when it was last evaluated and used.
 type serviceLoad struct {
 	Overload
-	// updatedAt is when the overload was worked out, zero once a target was heard since.
+	// updatedAt is when the overload was last evaluated; zero if a target of the service has
+	// sent an announcement since.
 	updatedAt time.Time
-	usedAt    time.Time
+	// usedAt is when a SYN to the service last came.
+	usedAt time.Time
 }
 
-// serviceLoads are those of the services that were asked for lately.
+// serviceLoads are the loads of the services that were used recently or are overloaded.
 type serviceLoads map[flow.Tag]*serviceLoad
 
-// serviceLoad returns what is known of the load of a flow's service.
+// serviceLoad returns the current load of a flow's service.
 func (c *Core) serviceLoad(now time.Time, backend flow.Backend) *serviceLoad {
 	l, known := c.loads[backend.Tag]
 	if !known {
@@ -68,49 +73,51 @@
 	return l
 }
 
-// updateOverload works out whether a service is overloaded unless that stands already.
+// updateOverload evaluates whether a service is overloaded, unless the last evaluation is still
+// valid.
 func (c *Core) updateOverload(now time.Time, service flow.Tag, l *serviceLoad) {
-	if !l.updatedAt.IsZero() && now.Sub(l.updatedAt) < overloadTTL {
+	if !l.updatedAt.IsZero() && now.Sub(l.updatedAt) < overloadMaxAge {
 		return
 	}
 	l.updatedAt = now
-	former := l.Overloaded
-	l.sum(now, c, service)
-	if l.Overloaded == former {
+	wasOverloaded := l.Overloaded
+	l.aggregate(now, c, service)
+	if l.Overloaded == wasOverloaded {
 		return
 	}
 	c.events.OverloadChanged(l.Overload)
 }
 
-// sum sums up what the targets that may take new flows announced last.
-func (l *serviceLoad) sum(now time.Time, c *Core, service flow.Tag) {
+// aggregate evaluates the last announcements of the targets that accept flows and are not overdue.
+func (l *serviceLoad) aggregate(now time.Time, c *Core, service flow.Tag) {
 	o := Overload{Service: l.Service}
-	for _, h := range c.view.TargetsOf(service) {
-		if !c.acceptsFlows(h) || h.Overdue(now) {
+	for _, t := range c.view.TargetsOf(service) {
+		if !c.acceptsFlows(t) || t.Overdue(now) {
 			continue
 		}
-		o.Slots += int(h.Slots)
-		if h.Overloaded {
-			o.OverloadedSlots += int(h.Slots)
+		o.Slots += int(t.Slots)
+		if t.Overloaded {
+			o.OverloadedSlots += int(t.Slots)
 		}
-		if !h.Overloaded && h.Outstanding < h.Slots {
-			o.FreeSlots += int(h.Slots - h.Outstanding)
+		if !t.Overloaded && t.Outstanding < t.Slots {
+			o.FreeSlots += int(t.Slots - t.Outstanding)
 		}
-		o.Age = max(o.Age, now.Sub(h.LastSeen))
+		o.Age = max(o.Age, now.Sub(t.LastSeen))
 	}
-	o.Overloaded = o.begins() || (l.Overloaded && !o.ends())
+	o.Overloaded = o.aboveStart() || (l.Overloaded && !o.belowEnd())
 	l.Overload = o
 }
 
-// invalidateLoad notes that a target of a service was heard.
+// invalidateLoad makes the next use of a service's load evaluate it again, because one of its
+// targets has sent an announcement.
 func (c *Core) invalidateLoad(service flow.Tag) {
 	if l, known := c.loads[service]; known {
 		l.updatedAt = time.Time{}
 	}
 }
 
-// updateOverloads lets an overload end, or begin, also while no flow comes, and forgets services
-// that nobody asks for.
+// updateOverloads evaluates all services, so that overloads begin and end even if no flow comes,
+// and removes those that are no longer used.
 func (c *Core) updateOverloads(now time.Time) {
 	for tag, l := range c.loads {
 		c.updateOverload(now, tag, l)
@@ -120,36 +127,36 @@
 	}
 }
 
-// preferFreeSlots puts the first of the candidates that has announced a free slot, which was not
-// filled from here since, before the others.
+// preferFreeSlots moves the first candidate that has a free slot to the front. Flows that this
+// balancer has sent since the target's last announcement count as using slots.
 func (c *Core) preferFreeSlots(now time.Time, candidates []flow.Candidate) {
 	for _, item := range candidates {
-		h, known := c.view.Target(item.Target)
-		if known && !h.Overloaded && !h.Overdue(now) && int(h.Outstanding)+h.FlowsSent < int(h.Slots) {
-			toFront(candidates, item.Target)
+		t, known := c.view.Target(item.Target)
+		if known && !t.Overloaded && !t.Overdue(now) && int(t.Outstanding)+t.FlowsSent < int(t.Slots) {
+			moveToFront(candidates, item.Target)
 			return
 		}
 	}
 }
 
-// dropRefusing leaves out those behind the first that would refuse a flow, by what they
-// announced last.
+// dropRefusing removes the candidates that would refuse the flow, according to their last load
+// report: they are overloaded and would not meet its objective. The first candidate stays.
 func (c *Core) dropRefusing(now time.Time, candidates []flow.Candidate, objective time.Duration) []flow.Candidate {
-	kept := candidates[:1]
+	remaining := candidates[:1]
 	for _, item := range candidates[1:] {
-		h, known := c.view.Target(item.Target)
-		refuses := known && h.Overloaded && !h.Overdue(now) && objective > 0 && !h.MeetsObjective(0, objective)
+		t, known := c.view.Target(item.Target)
+		refuses := known && t.Overloaded && !t.Overdue(now) && objective > 0 && !t.MeetsObjective(0, objective)
 		if !refuses {
-			kept = append(kept, item)
+			remaining = append(remaining, item)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// openTries is how many targets a new flow may be offered to.
-func (l *serviceLoad) openTries() int {
+// maxOpenAttempts returns how many targets a new flow may be offered to.
+func (l *serviceLoad) maxOpenAttempts() int {
 	if l.Overloaded {
-		return overloadTries
+		return overloadMaxOpenAttempts
 	}
-	return openTries
+	return maxOpenAttempts
 }
--- a/balancer/packetfront/overload_test.go
+++ b/balancer/packetfront/overload_test.go
@@ -17,23 +17,23 @@
 	"github.com/poppywall/poppywall/platform/platformtest"
 )
 
-// overloadHeard keeps what a core tells of overload.
-type overloadHeard struct {
+// overloadRecorder records the changes of overload, and counts dropped packets by reason.
+type overloadRecorder struct {
 	quiet
 	changes []Overload
 	drops   map[DropReason]int
 }
 
-func (h *overloadHeard) OverloadChanged(o Overload) { h.changes = append(h.changes, o) }
-func (h *overloadHeard) Dropped(d DropReason)       { h.drops[d]++ }
+func (r *overloadRecorder) OverloadChanged(o Overload) { r.changes = append(r.changes, o) }
+func (r *overloadRecorder) Dropped(d DropReason)       { r.drops[d]++ }
 
-// overloadFixture is a balancer before eight targets of a service and two routes to it.
+// overloadFixture is a balancer with eight targets of a service and two routes to it.
 type overloadFixture struct {
 	*fixture
-	heard   *overloadHeard
-	clients uint32
-	// each is the time between two answers that targets announce.
-	each time.Duration
+	recorder *overloadRecorder
+	clients  uint32
+	// answerInterval is the answer interval that targets announce.
+	answerInterval time.Duration
 }
 
 const (
@@ -44,25 +44,25 @@
 
 func newOverloadFixture() *overloadFixture {
 	f := &overloadFixture{
-		fixture: &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)},
-		heard:   &overloadHeard{drops: map[DropReason]int{}},
+		fixture:  &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)},
+		recorder: &overloadRecorder{drops: map[DropReason]int{}},
 	}
-	f.heard.quiet = quiet{&f.doubt, &f.kept}
+	f.recorder.quiet = quiet{&f.doubt, &f.kept}
 	f.Core = New(f.now, Options{Self: self, Zone: 1, Incarnation: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}},
-		f.port, platform.Codec{}, f.heard, rand.New(rand.NewPCG(1, 1)))
+		f.port, platform.Codec{}, f.recorder, rand.New(rand.NewPCG(1, 1)))
 	backends := []flow.Backend{{Name: "alpha", Tag: alpha, Weight: 1}}
 	f.SetConfig(f.now, &flow.Config{Version: 5, Routes: map[flow.Front]*flow.Route{
 		front:                           {Name: "read", Priority: 2, Deadline: 1200 * time.Millisecond, Backends: backends},
 		{IP: front.IP, Port: writePort}: {Name: "write", Priority: 1, Deadline: 1200 * time.Millisecond, Backends: backends},
 	}})
 	f.now = f.now.Add(search.SettleTime + time.Second)
-	f.overload(0)
+	f.announceOverloaded(0)
 	f.port.Nodes = nil
 	return f
 }
 
-// tell lets the agent of a target announce.
-func (f *overloadFixture) tell(i int, a fleet.Announcement) {
+// announceLoadOf delivers an announcement of the target with the given index.
+func (f *overloadFixture) announceLoadOf(i int, a fleet.Announcement) {
 	f.seq++
 	ip := firstOverloaded + flow.IPv4(i)
 	a.MessageID = fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}
@@ -70,27 +70,28 @@
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
-// overload lets all targets announce, the first n of them that they are overloaded.
-func (f *overloadFixture) overload(n int) {
+// announceOverloaded delivers an announcement of each target; the first n are overloaded.
+func (f *overloadFixture) announceOverloaded(n int) {
 	for i := range overloadTargets {
-		f.tell(i, fleet.Announcement{State: fleet.Ready, LoadReport: fleet.LoadReport{Overloaded: i < n, AnswerInterval: f.each}})
+		f.announceLoadOf(i, fleet.Announcement{State: fleet.Ready, LoadReport: fleet.LoadReport{Overloaded: i < n, AnswerInterval: f.answerInterval}})
 	}
 }
 
-// open sends a first copy from a fresh client and returns its flow.
+// open sends the first SYN of a new client and returns its flow.
 func (f *overloadFixture) open(port uint16) flow.Key {
 	f.clients++
 	k := flow.Key{ClientIP: 0x64400000 + flow.IPv4(f.clients), ClientPort: 4000, FrontIP: front.IP, FrontPort: port}
-	f.copyOf(k, 0)
+	f.sendSYN(k, 0)
 	return k
 }
 
-func (f *overloadFixture) copyOf(k flow.Key, copies uint32) {
-	f.client(platformtest.FromClient(k, flow.SYN, 0, copies, nil))
+// sendSYN sends a SYN that its client has sent the given number of times before.
+func (f *overloadFixture) sendSYN(k flow.Key, retransmissions uint32) {
+	f.client(platformtest.FromClient(k, flow.SYN, 0, retransmissions, nil))
 }
 
-// returnLast gives the last packet back as refused by all.
-func (f *overloadFixture) returnLast() {
+// returnLastSYN returns the last SYN to the balancer as refused by all candidates.
+func (f *overloadFixture) returnLastSYN() {
 	sent := f.port.Delivered()
 	last := sent[len(sent)-1]
 	e := last.Env
@@ -99,145 +100,149 @@
 	f.HandleNode(f.now, last.To, append(e.Append(nil), packet...))
 }
 
-// offerFlows lets flows come for a while, perTick in each tickPeriod, of which the targets take
-// so many. It returns how many were offered to targets.
-func (f *overloadFixture) offerFlows(d time.Duration, port uint16, perTick, taken, overloaded int) (offered int) {
+// offerFlows opens flows for a time, perTick in each tickPeriod, of which the targets accept the
+// given number and refuse the others. It returns how many were offered to targets.
+func (f *overloadFixture) offerFlows(d time.Duration, port uint16, perTick, accepted, overloaded int) (offered int) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tickPeriod) {
-		f.overload(overloaded)
+		f.announceOverloaded(overloaded)
 		f.Tick(f.now)
-		left := taken
+		remaining := accepted
 		for range perTick {
-			former := len(f.port.Delivered())
+			before := len(f.port.Delivered())
 			f.open(port)
-			if len(f.port.Delivered()) == former {
+			if len(f.port.Delivered()) == before {
 				continue
 			}
 			offered++
-			if left == 0 {
-				f.returnLast()
+			if remaining == 0 {
+				f.returnLastSYN()
 				continue
 			}
-			left--
+			remaining--
 		}
 		f.port.Nodes = nil
 	}
 	return offered
 }
 
-// TestAServiceIsOverloadedByMostOfItsSlots: by what its targets announced last.
-func TestAServiceIsOverloadedByMostOfItsSlots(t *testing.T) {
+// TestAServiceIsOverloadedWhenMostOfItsSlotsAre: only the last announcements of targets that
+// accept flows and are not overdue count.
+func TestAServiceIsOverloadedWhenMostOfItsSlotsAre(t *testing.T) {
 	for name, c := range map[string]struct {
-		does func(f *overloadFixture)
-		want bool
+		prepare func(f *overloadFixture)
+		want    bool
 	}{
-		"none":      {func(f *overloadFixture) { f.overload(0) }, false},
-		"half":      {func(f *overloadFixture) { f.overload(4) }, false},
-		"most":      {func(f *overloadFixture) { f.overload(5) }, true},
-		"all":       {func(f *overloadFixture) { f.overload(8) }, true},
+		"none":      {func(f *overloadFixture) { f.announceOverloaded(0) }, false},
+		"half":      {func(f *overloadFixture) { f.announceOverloaded(4) }, false},
+		"most":      {func(f *overloadFixture) { f.announceOverloaded(5) }, true},
+		"all":       {func(f *overloadFixture) { f.announceOverloaded(8) }, true},
 		"no target": {func(f *overloadFixture) { f.now = f.now.Add(fleet.ExpireAfter); f.Tick(f.now) }, false},
-		"most, but these are quiet": {func(f *overloadFixture) {
-			f.overload(5)
+		"most, but these are overdue": {func(f *overloadFixture) {
+			f.announceOverloaded(5)
 			f.now = f.now.Add(fleet.OverdueAfter + time.Millisecond)
 			for i := 5; i < overloadTargets; i++ {
-				f.tell(i, fleet.Announcement{State: fleet.Ready})
+				f.announceLoadOf(i, fleet.Announcement{State: fleet.Ready})
 			}
 		}, false},
-		"half, and the others drain": {func(f *overloadFixture) {
-			f.overload(4)
+		"half, and the others are draining": {func(f *overloadFixture) {
+			f.announceOverloaded(4)
 			for i := 4; i < overloadTargets; i++ {
-				f.tell(i, fleet.Announcement{State: fleet.Draining})
+				f.announceLoadOf(i, fleet.Announcement{State: fleet.Draining})
 			}
 		}, true},
-		"a message of a former process does not count": {func(f *overloadFixture) {
-			f.overload(4)
+		"an outdated message does not count": {func(f *overloadFixture) {
+			f.announceOverloaded(4)
 			ip := firstOverloaded + 7
-			late := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 400, LoadReport: fleet.LoadReport{Overloaded: true}}
-			f.HandleNode(f.now, ip, late.Append(nil))
+			outdated := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 400, LoadReport: fleet.LoadReport{Overloaded: true}}
+			f.HandleNode(f.now, ip, outdated.Append(nil))
 		}, false},
-		"told twice is told once": {func(f *overloadFixture) { f.overload(5); f.overload(5) }, true},
+		"announced twice": {func(f *overloadFixture) { f.announceOverloaded(5); f.announceOverloaded(5) }, true},
 	} {
 		f := newOverloadFixture()
-		c.does(f)
-		d := f.serviceLoad(f.now, flow.Backend{Name: "alpha", Tag: alpha})
-		require.Equal(t, c.want, d.Overloaded, name)
+		c.prepare(f)
+		load := f.serviceLoad(f.now, flow.Backend{Name: "alpha", Tag: alpha})
+		require.Equal(t, c.want, load.Overloaded, name)
 	}
 }
 
-// TestFlowsOfAnOverloadedServiceVisitFewTargets, all others as many as there are.
-func TestFlowsOfAnOverloadedServiceVisitFewTargets(t *testing.T) {
+// TestFlowsOfAnOverloadedServiceGetFewCandidates: without an overload, they get as many as
+// there are, up to sameZoneCandidates in one zone.
+func TestFlowsOfAnOverloadedServiceGetFewCandidates(t *testing.T) {
 	f := newOverloadFixture()
 	f.open(front.Port)
-	require.Equal(t, openSameZone-1, f.port.Last().Env.Count)
-	f.overload(overloadTargets)
+	require.Equal(t, sameZoneCandidates-1, f.port.Last().Env.Count)
+	f.announceOverloaded(overloadTargets)
 	f.open(front.Port)
-	require.Equal(t, overloadTries-1, f.port.Last().Env.Count)
-	require.Empty(t, f.port.Resets, "what agents refuse is theirs to decide")
+	require.Equal(t, overloadMaxOpenAttempts-1, f.port.Last().Env.Count)
+	require.Empty(t, f.port.Resets, "only agents refuse flows of an overloaded service")
 }
 
-// TestNoSecondTargetThatWouldRefuse: an objective of 200 ms, two times 24 ms of work; the
-// first one is asked in any case, for it may have room by now.
-func TestNoSecondTargetThatWouldRefuse(t *testing.T) {
-	for wait, others := range map[time.Duration]int{140 * time.Millisecond: 1, 160 * time.Millisecond: 0} {
+// TestCandidatesThatWouldRefuseAreDropped: with an objective of 200 ms and a response time of 24 ms,
+// counted twice, a queue delay of up to 152 ms is acceptable. The first candidate is kept in any
+// case: it may have free slots by now.
+func TestCandidatesThatWouldRefuseAreDropped(t *testing.T) {
+	for wait, candidates := range map[time.Duration]int{140 * time.Millisecond: 1, 160 * time.Millisecond: 0} {
 		f := newOverloadFixture()
 		f.operator.Config().Routes[front].Objective = 200 * time.Millisecond
 		for i := range overloadTargets {
-			f.tell(i, fleet.Announcement{State: fleet.Ready, LoadReport: fleet.LoadReport{Overloaded: true, QueueDelay: wait, ResponseTime: 24 * time.Millisecond}})
+			f.announceLoadOf(i, fleet.Announcement{State: fleet.Ready, LoadReport: fleet.LoadReport{Overloaded: true, QueueDelay: wait, ResponseTime: 24 * time.Millisecond}})
 		}
 		f.open(front.Port)
-		require.Equal(t, others, f.port.Last().Env.Count, wait)
+		require.Equal(t, candidates, f.port.Last().Env.Count, wait)
 		require.Empty(t, f.port.Resets)
 	}
 }
 
-// TestAFalseOverloadEndsWithOneAnnouncement.
-func TestAFalseOverloadEndsWithOneAnnouncement(t *testing.T) {
+// TestAnOverloadEndsWhenHalfOfTheSlotsAreFree: one announcement ends it at once, even if half of
+// the targets are still overloaded.
+func TestAnOverloadEndsWhenHalfOfTheSlotsAreFree(t *testing.T) {
 	f := newOverloadFixture()
 	f.offerFlows(2*time.Second, front.Port, 20, 2, 5)
-	require.Len(t, f.heard.changes, 1)
-	require.True(t, f.heard.changes[0].Overloaded)
+	require.Len(t, f.recorder.changes, 1)
+	require.True(t, f.recorder.changes[0].Overloaded)
 	f.open(front.Port)
-	require.Len(t, f.heard.changes, 1)
-	f.tell(0, fleet.Announcement{State: fleet.Ready})
+	require.Len(t, f.recorder.changes, 1)
+	f.announceLoadOf(0, fleet.Announcement{State: fleet.Ready})
 	resets := len(f.port.Resets)
 	for range 50 {
 		f.open(front.Port)
 	}
 	require.Len(t, f.port.Resets, resets)
-	require.Len(t, f.heard.changes, 2)
-	require.False(t, f.heard.changes[1].Overloaded)
+	require.Len(t, f.recorder.changes, 2)
+	require.False(t, f.recorder.changes[1].Overloaded)
 }
 
-// TestAFlowForWhichATargetHasRoomIsOffered, to that target first: three of eight have four
-// free slots each.
-func TestAFlowForWhichATargetHasRoomIsOffered(t *testing.T) {
+// TestFlowsOfAnOverloadedServicePreferFreeSlots: flows go to the targets with free slots first,
+// three of eight with four slots each.
+func TestFlowsOfAnOverloadedServicePreferFreeSlots(t *testing.T) {
 	f := newOverloadFixture()
 	f.offerFlows(2*time.Second, front.Port, 20, 0, overloadTargets)
 	for i := range 3 {
-		f.tell(i, fleet.Announcement{State: fleet.Ready})
+		f.announceLoadOf(i, fleet.Announcement{State: fleet.Ready})
 	}
-	free := 0
+	atFreeSlots := 0
 	for range 60 {
-		former := len(f.port.Delivered())
+		before := len(f.port.Delivered())
 		f.open(front.Port)
-		if len(f.port.Delivered()) > former && f.port.Last().To < firstOverloaded+3 {
-			free++
+		if len(f.port.Delivered()) > before && f.port.Last().To < firstOverloaded+3 {
+			atFreeSlots++
 		}
 	}
 	require.True(t, f.serviceLoad(f.now, flow.Backend{Name: "alpha", Tag: alpha}).Overloaded)
-	require.GreaterOrEqual(t, free, 12, "each slot that was announced as free")
+	require.GreaterOrEqual(t, atFreeSlots, 12, "all slots that were announced as free")
 }
 
-// TestAnOverloadEndsWhenItsAgentsFallSilent: agents that are frozen tell nothing new.
-func TestAnOverloadEndsWhenItsAgentsFallSilent(t *testing.T) {
+// TestAnOverloadEndsWhenItsAgentsAreOverdue: frozen agents never announce the end of an overload.
+func TestAnOverloadEndsWhenItsAgentsAreOverdue(t *testing.T) {
 	f := newOverloadFixture()
 	f.offerFlows(time.Second, front.Port, 20, 2, overloadTargets)
 	f.now = f.now.Add(fleet.OverdueAfter + tickPeriod)
 	f.Tick(f.now)
-	require.False(t, f.heard.changes[len(f.heard.changes)-1].Overloaded)
+	require.False(t, f.recorder.changes[len(f.recorder.changes)-1].Overloaded)
 }
 
-// TestServicesThatNobodyAsksForAreForgotten.
-func TestServicesThatNobodyAsksForAreForgotten(t *testing.T) {
+// TestLoadsOfUnusedServicesAreRemoved: the state of a service without new flows is not kept.
+func TestLoadsOfUnusedServicesAreRemoved(t *testing.T) {
 	f := newOverloadFixture()
 	f.open(front.Port)
 	require.Len(t, f.loads, 1)
--- a/balancer/packetfront/plan.go
+++ b/balancer/packetfront/plan.go
@@ -9,112 +9,112 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Sizes of the choice.
+// Numbers of targets considered for a new flow.
 const (
-	// openSameZone and openFar are how many targets of a flow's ranking in the own
-	// zone and in other zones are compared for a new flow. They bound the search
-	// for it later.
-	openSameZone  = 4
-	openCrossZone = 4
-	// openTries is how many targets a SYN may be offered to, one after another.
-	openTries = 8
+	// sameZoneCandidates and crossZoneCandidates are how many targets, the highest in the
+	// flow's ranking, are compared for a new flow in the local zone and in other zones. A later
+	// search for the flow probes these first.
+	sameZoneCandidates  = 4
+	crossZoneCandidates = 4
+	// maxOpenAttempts is how many targets a SYN may be offered to, one after the other.
+	maxOpenAttempts = 8
 )
 
-// candidatePlan is scratch space for candidates.
+// candidatePlan is scratch space for the choice of candidates.
 type candidatePlan struct {
-	// sameZone and crossZone rank the targets for a new flow.
+	// sameZone and crossZone rank the targets of the local zone and of other zones.
 	sameZone, crossZone *flow.Ranking
-	out                 []flow.Candidate
+	candidates          []flow.Candidate
 }
 
 func newCandidatePlan() candidatePlan {
 	return candidatePlan{
-		sameZone: flow.NewRanking(openSameZone), crossZone: flow.NewRanking(openCrossZone),
+		sameZone: flow.NewRanking(sameZoneCandidates), crossZone: flow.NewRanking(crossZoneCandidates),
 	}
 }
 
 func (p *candidatePlan) reset() {
 	p.sameZone.Reset()
 	p.crossZone.Reset()
-	p.out = p.out[:0]
+	p.candidates = p.candidates[:0]
 }
 
-// openCandidates returns the targets for a new flow, the chosen one first, then
-// those to try when it refuses, cheapest first.
+// openCandidates returns the candidates for a new flow: the chosen target, then the targets to
+// try if it refuses. Each is the cheapest of a random sample of the targets that are left.
 func (c *Core) openCandidates(now time.Time, hash uint64, service flow.Tag) []flow.Candidate {
 	p := &c.plan
 	p.reset()
 	targets := c.view.TargetsOf(service)
-	ejectable, heard := c.ejectable(targets), c.anyZoneReachable(targets)
-	for _, h := range targets {
-		if !c.acceptsFlows(h) || (ejectable && h.Ejected) || c.coldLimitReached(now, h) || (heard && c.view.IsZoneSilent(h.Zone)) {
+	honorEjections, anyReachable := c.honorsEjections(targets), c.anyZoneReachable(targets)
+	for _, t := range targets {
+		if !c.acceptsFlows(t) || (honorEjections && t.Ejected) || c.coldLimitReached(now, t) || (anyReachable && c.view.IsZoneSilent(t.Zone)) {
 			continue
 		}
 		ranking := p.crossZone
-		if h.Zone == c.opts.Zone {
+		if t.Zone == c.opts.Zone {
 			ranking = p.sameZone
 		}
-		ranking.Add(flow.Score(hash, h.IP), flow.Candidate{Target: h.IP, Service: service})
+		ranking.Add(flow.Score(hash, t.IP), flow.Candidate{Target: t.IP, Service: service})
 	}
-	c.offers, c.offerOf = c.offers[:0], c.offerOf[:0]
+	c.offers, c.offerTargets = c.offers[:0], c.offerTargets[:0]
 	c.addOffers(now, p.sameZone.Candidates())
 	c.addOffers(now, p.crossZone.Candidates())
 	typical := choose.TypicalServiceTime(c.offers)
-	for len(c.offers) > 0 && len(p.out) < openTries {
+	for len(c.offers) > 0 && len(p.candidates) < maxOpenAttempts {
 		i := c.opts.Weights.Cheapest(c.offers, typical, c.rnd)
-		if len(p.out) == 0 {
-			c.expected = c.opts.Weights.Delay(c.offers[i], typical)
+		if len(p.candidates) == 0 {
+			c.expectedDelay = c.opts.Weights.Delay(c.offers[i], typical)
 		}
-		p.out = append(p.out, flow.Candidate{Target: c.offerOf[i].IP, Service: service})
+		p.candidates = append(p.candidates, flow.Candidate{Target: c.offerTargets[i].IP, Service: service})
 		last := len(c.offers) - 1
-		c.offers[i], c.offerOf[i] = c.offers[last], c.offerOf[last]
-		c.offers, c.offerOf = c.offers[:last], c.offerOf[:last]
+		c.offers[i], c.offerTargets[i] = c.offers[last], c.offerTargets[last]
+		c.offers, c.offerTargets = c.offers[:last], c.offerTargets[:last]
 	}
-	return p.out
+	return p.candidates
 }
 
-// maxEjectedShare is the share of a service's targets beyond which ejections are not
-// heeded: when most fail alike the cause is not a target, and the others could not
-// carry their load.
+// maxEjectedShare is the share of ejected targets of a service above which ejections are
+// ignored: if many targets fail alike, the cause is not a single target, and the remaining ones
+// could not carry the load.
 const maxEjectedShare = 1.0 / 3
 
-// ejectable tells whether ejections among the targets of a service are heeded.
-func (c *Core) ejectable(targets []*fleet.Target) bool {
+// honorsEjections reports whether ejected targets of a service get no new flows.
+func (c *Core) honorsEjections(targets []*fleet.Target) bool {
 	ready, ejected := 0, 0
-	for _, h := range targets {
-		if !c.acceptsFlows(h) {
+	for _, t := range targets {
+		if !c.acceptsFlows(t) {
 			continue
 		}
 		ready++
-		if h.Ejected {
+		if t.Ejected {
 			ejected++
 		}
 	}
 	return float64(ejected) <= maxEjectedShare*float64(ready)
 }
 
-// anyZoneReachable tells whether some targets of a service are in zones that are not silent.
-// Where all are it may be this balancer that is cut off.
+// anyZoneReachable reports whether a target of a service that accepts flows is in a zone that is
+// not silent. If all of these zones are silent, this balancer itself may be cut off.
 func (c *Core) anyZoneReachable(targets []*fleet.Target) bool {
-	return slices.ContainsFunc(targets, func(h *fleet.Target) bool { return c.acceptsFlows(h) && !c.view.IsZoneSilent(h.Zone) })
+	return slices.ContainsFunc(targets, func(t *fleet.Target) bool { return c.acceptsFlows(t) && !c.view.IsZoneSilent(t.Zone) })
 }
 
-// addOffers adds targets to the offers of a choice.
+// addOffers adds the candidates' targets to the offers to choose from.
 func (c *Core) addOffers(now time.Time, list []flow.Candidate) {
 	for _, item := range list {
-		h, _ := c.view.Target(item.Target)
+		t, _ := c.view.Target(item.Target)
 		c.offers = append(c.offers, choose.Offer{
-			Busy: int(h.Outstanding), Sent: h.FlowsSent, Slots: int(h.Slots), AnswerInterval: h.AnswerInterval,
-			CrossZone: h.Zone != c.opts.Zone,
-			Warming:   h.WarmupMillis > 0 && now.Sub(h.LastSeen) < time.Duration(h.WarmupMillis)*time.Millisecond,
-			Avoid:     h.Overdue(now),
+			Busy: int(t.Outstanding), Sent: t.FlowsSent, Slots: int(t.Slots), AnswerInterval: t.AnswerInterval,
+			CrossZone: t.Zone != c.opts.Zone,
+			Warming:   t.WarmupMillis > 0 && now.Sub(t.LastSeen) < time.Duration(t.WarmupMillis)*time.Millisecond,
+			Avoid:     t.Overdue(now),
 		})
-		c.offerOf = append(c.offerOf, h)
+		c.offerTargets = append(c.offerTargets, t)
 	}
 }
 
-// toFront moves a target to the front of the candidates.
-func toFront(list []flow.Candidate, target flow.IPv4) []flow.Candidate {
+// moveToFront moves a target, if it is among the candidates, to their front.
+func moveToFront(list []flow.Candidate, target flow.IPv4) []flow.Candidate {
 	for i, item := range list {
 		if item.Target == target {
 			copy(list[1:i+1], list[:i])
@@ -125,7 +125,7 @@
 	return list
 }
 
-// searchFirstTargets is how many targets of a flow's ranking, in the own zone and
-// elsewhere, are asked before all others: those that it was chosen among, and as
-// many again for targets that came or went since.
-const searchFirstTargets = 2 * openSameZone
+// searchFirstTargets is how many targets of a flow's ranking, in the local zone and in other
+// zones each, a search probes before all others: as many as the flow was chosen among, and the
+// same number again for targets that have joined or left since.
+const searchFirstTargets = 2 * sameZoneCandidates
--- a/balancer/packetfront/rotation.go
+++ b/balancer/packetfront/rotation.go
@@ -2,138 +2,146 @@
 
 import "time"
 
-// The routers give every balancer of a zone the same share of its packets, whatever its
-// link. Where a small VM's link is full, packets are lost there, clients send them again,
-// and what they send again fills the link: uploads that take 40 ms take seconds, for as
-// long as traffic goes on. So a balancer whose link is full leaves the rotation while
-// those with much larger links can carry the zone without it.
+// The routers give every balancer in rotation in a zone the same share of the packets, whatever
+// the capacity of its link. If the link of a small VM is saturated, packets are lost,
+// clients retransmit them, and the retransmissions keep the link saturated: uploads of 40 ms
+// take seconds for as long as traffic lasts. Therefore a balancer whose link is full leaves the
+// rotation while balancers with much larger links can carry the zone without it.
 
 // Limits of leaving the rotation.
 const (
-	// fullLink is the part of its link that a balancer sends over, in the mean of
-	// meterSpan, at which packets are lost and sent again: crests of four fifths pass, and
-	// where clients send again what was lost it is nine tenths.
-	fullLink = 0.88
-	// largerLink is how many times the link of a balancer is larger than that of one it
-	// may stand in for.
-	largerLink = 2
-	// spareLink is the part of their links that those who stand in may use after it,
-	// and the part of its own that a balancer expects to use when it comes back.
-	spareLink = 0.5
-	// minRotationPause is how long a balancer stays out, and in, unless it is needed: each change
-	// of the rotation moves nearly all flows of the zone to other balancers, which have to
-	// search for them, some 50 requests late in a zone of 400 a second.
+	// fullLinkShare is the utilization of a balancer's link, averaged over meterIntervals, at
+	// which packets are lost and retransmitted. Peaks of 0.8 subside by themselves; while
+	// clients retransmit lost packets, the utilization is 0.9.
+	fullLinkShare = 0.88
+	// minLinkRatio is the minimum ratio of a balancer's link to that of a balancer that it may
+	// stand in for.
+	minLinkRatio = 2
+	// maxPlannedLinkShare is the utilization up to which a change of the rotation may load a link:
+	// those of the balancers that stand in after this one has left, and its own after it has
+	// returned.
+	maxPlannedLinkShare = 0.5
+	// minRotationPause is the minimum time between changes, except that a balancer that is needed
+	// returns at once. Each change of the rotation moves nearly all flows of the zone to other
+	// balancers, which have to search for them: in a zone with 400 requests per second, it
+	// delays some 50 requests.
 	minRotationPause = 10 * time.Second
-	// meterSpan is how long the link has to be full, in spans of tickPeriod: two seconds.
-	meterSpan = 20
-	// frameBytes is what a datagram takes on the link beside its data.
-	frameBytes = 28
+	// meterIntervals is the number of intervals of tickPeriod over which the rate is averaged:
+	// two seconds.
+	meterIntervals = 20
+	// headerBytes is the size of a datagram's IPv4 and UDP headers.
+	headerBytes = 28
 )
 
-// rotation decides whether the balancer takes part.
+// rotation decides whether the balancer is in the routers' rotation, by the rate at which it
+// sends.
 type rotation struct {
-	// sent are the bytes of the last meterSpan spans of tickPeriod, and at next those of the
-	// present one, which do not count yet.
-	sent [meterSpan + 1]int
-	next int
-	// nextSpanAt is when the next span begins.
-	nextSpanAt time.Time
-	// standby is set while the balancer is out; since is when that changed last.
-	standby bool
-	since   time.Time
+	// bytesSent is a ring of the bytes sent in the last meterIntervals intervals, and in the
+	// current one, which is not part of the average yet.
+	bytesSent       [meterIntervals + 1]int
+	currentInterval int
+	// nextIntervalAt is when the next interval begins.
+	nextIntervalAt time.Time
+	// standby is set while the balancer is out of rotation; changedAt is when that last
+	// changed.
+	standby   bool
+	changedAt time.Time
 }
 
-// count notes a datagram.
-func (r *rotation) count(bytes int) { r.sent[r.next] += bytes + frameBytes }
+// recordSent adds a datagram of the given size to the current interval.
+func (r *rotation) recordSent(bytes int) { r.bytesSent[r.currentInterval] += bytes + headerBytes }
 
-// advance begins another span when the present one is over, and tells whether it did.
+// advance begins the next interval if the current one has ended, and reports whether it did.
 func (r *rotation) advance(now time.Time) bool {
-	if now.Before(r.nextSpanAt) {
+	if now.Before(r.nextIntervalAt) {
 		return false
 	}
-	r.nextSpanAt = now.Add(tickPeriod)
-	r.next = (r.next + 1) % len(r.sent)
-	r.sent[r.next] = 0
+	r.nextIntervalAt = now.Add(tickPeriod)
+	r.currentInterval = (r.currentInterval + 1) % len(r.bytesSent)
+	r.bytesSent[r.currentInterval] = 0
 	return true
 }
 
-// mbps is what was sent in the mean of meterSpan, in Mbit/s.
+// mbps returns the rate at which the balancer sent over the last meterIntervals intervals, in
+// Mbit/s.
 func (r *rotation) mbps() float64 {
 	sum := 0
-	for i, bytes := range r.sent {
-		if i != r.next {
+	for i, bytes := range r.bytesSent {
+		if i != r.currentInterval {
 			sum += bytes
 		}
 	}
-	return float64(sum) * 8 / 1e6 / (meterSpan * tickPeriod).Seconds()
+	return float64(sum) * 8 / 1e6 / (meterIntervals * tickPeriod).Seconds()
 }
 
-// zoneLinks is what a balancer knows of those of its zone.
+// zoneLinks summarizes the links of the balancers of the local zone.
 type zoneLinks struct {
-	// nodes counts them, itself included, inRotation the others in rotation.
-	nodes, inRotation int
-	// larger are the links of those in rotation that may stand in, Mbit/s; least is the
-	// smallest of them.
-	larger int
-	least  float64
-	// mbps is what all in the zone send.
-	mbps float64
-	// mayLeave tells that the balancer is one of the weaker half.
+	// balancers is the number of balancers, this one included; othersInRotation is the number
+	// of other balancers in rotation.
+	balancers, othersInRotation int
+	// largerCount is the number of balancers in rotation whose links are large enough to stand
+	// in for this one; smallestLargerMbps is the smallest of these links.
+	largerCount        int
+	smallestLargerMbps float64
+	// sentMbps is the total rate at which the zone's balancers send.
+	sentMbps float64
+	// mayLeave is set if this balancer's link is in the weaker half of the zone.
 	mayLeave bool
 }
 
-// sumZoneLinks looks at the balancers of the own zone.
+// sumZoneLinks summarizes the links of the eligible balancers of the local zone.
 func (c *Core) sumZoneLinks(now time.Time) zoneLinks {
-	own := c.opts.LinkMbps
-	z := zoneLinks{nodes: 1, mbps: c.rotation.mbps()}
+	ownLink := c.opts.LinkMbps
+	z := zoneLinks{balancers: 1, sentMbps: c.rotation.mbps()}
 	weaker := 0
 	for _, p := range c.view.EligiblePeers(now, c.opts.Zone) {
-		z.nodes++
-		z.mbps += float64(p.SentMbps)
+		z.balancers++
+		z.sentMbps += float64(p.SentMbps)
 		link := float64(p.LinkMbps)
-		if link < own || (link == own && p.IP < c.opts.Self) {
+		if link < ownLink || (link == ownLink && p.IP < c.opts.Self) {
 			weaker++
 		}
 		if !p.InRotation {
 			continue
 		}
-		z.inRotation++
-		if link >= largerLink*own {
-			if z.larger++; z.larger == 1 || link < z.least {
-				z.least = link
+		z.othersInRotation++
+		if link >= minLinkRatio*ownLink {
+			if z.largerCount++; z.largerCount == 1 || link < z.smallestLargerMbps {
+				z.smallestLargerMbps = link
 			}
 		}
 	}
-	z.mayLeave = weaker < z.nodes/2
+	z.mayLeave = weaker < z.balancers/2
 	return z
 }
 
-// largerCanCarry tells whether the larger ones alone can carry the zone, and the routers would
-// leave it to them: with fewer than half of a zone's balancers they use all.
+// largerCanCarry reports whether the balancers with larger links can carry the zone without
+// this one. At least half of the zone's balancers must stay in rotation: with fewer, the
+// routers use all.
 func (z *zoneLinks) largerCanCarry() bool {
-	return z.larger > 0 && 2*z.inRotation >= z.nodes && z.mbps/float64(z.larger) <= spareLink*z.least
+	return z.largerCount > 0 && 2*z.othersInRotation >= z.balancers && z.sentMbps/float64(z.largerCount) <= maxPlannedLinkShare*z.smallestLargerMbps
 }
 
-// updateRotation decides at each tick whether the balancer stays in rotation.
+// updateRotation decides, once per tickPeriod, whether the balancer is in rotation.
 func (c *Core) updateRotation(now time.Time) {
 	r := &c.rotation
 	if !r.advance(now) || c.opts.LinkMbps <= 0 {
 		return
 	}
 	mbps := r.mbps()
-	if !r.standby && (mbps < fullLink*c.opts.LinkMbps || now.Sub(r.since) < minRotationPause) {
+	if !r.standby && (mbps < fullLinkShare*c.opts.LinkMbps || now.Sub(r.changedAt) < minRotationPause) {
 		return
 	}
 	z := c.sumZoneLinks(now)
-	standsBy := z.mayLeave && z.largerCanCarry()
-	if r.standby && now.Sub(r.since) >= minRotationPause {
-		share := z.mbps / float64(z.inRotation+1)
-		standsBy = standsBy && share > spareLink*c.opts.LinkMbps
+	standby := z.mayLeave && z.largerCanCarry()
+	if r.standby && now.Sub(r.changedAt) >= minRotationPause {
+		share := z.sentMbps / float64(z.othersInRotation+1)
+		standby = standby && share > maxPlannedLinkShare*c.opts.LinkMbps
 	}
-	if standsBy == r.standby {
+	if standby == r.standby {
 		return
 	}
-	r.standby, r.since = standsBy, now
-	c.events.RotationChanged(standsBy, mbps, z.mbps, z.inRotation)
+	r.standby, r.changedAt = standby, now
+	c.events.RotationChanged(standby, mbps, z.sentMbps, z.othersInRotation)
 	c.sendBeacons(now, c.view.Balancers())
 }
