--- a/balancer/packetfront/doc.go
+++ b/balancer/packetfront/doc.go
@@ -1,16 +1,16 @@
-// Package packetfront is a balancer's front for opaque flows: it takes clients'
-// packets from the platform's routers and hands each to the agent whose target
-// serves its flow. Answers go from the agent to the client directly.
+// Package packetfront is a balancer's forwarding path for opaque flows: it receives clients'
+// packets from the platform's routers and forwards each to the agent whose target
+// serves its flow. Answers go directly from the agent to the client.
 //
-// A new flow is sent to a target chosen by load among the first of the flow's
-// rendezvous ranking. The balancer remembers the choice in a soft table. A
-// packet of a flow that it does not know travels along the ranking from agent to
-// agent until the one that holds the flow delivers it and tells the balancer.
-// Nothing about a flow is stored or agreed on.
+// A new flow goes to a target chosen by load among the highest ranked targets of the flow's
+// rendezvous ranking. The balancer remembers the choice as soft state in a table. A
+// packet of a flow that is not in the table travels along the ranking from agent to
+// agent until the one that holds the flow delivers it and notifies the balancer.
+// Flows are neither stored nor agreed on between balancers.
 //
-// What is told of the operator's state lives in package operator, finding the targets of
-// unknown flows in package search.
+// Package operator holds the operator's state: configuration and evacuations. Package search
+// finds the targets of unknown flows.
 //
-// Core is pure: it takes packets, messages and the time, and sends through a
-// Port. The shell around it owns sockets, the store and the lock.
+// Core does no I/O: it is given packets, messages and the time, and sends through a
+// Port. Front owns the sockets, the store client and the lock.
 package packetfront
--- a/balancer/packetfront/followregistry.go
+++ b/balancer/packetfront/followregistry.go
@@ -17,9 +17,9 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// followRegistry reads the registry when the core wants to know the agents, and
-// when the balancer is alone. It has a loop of its own, for a store that does
-// not answer holds it up.
+// followRegistry reads the registry when the core needs the agents, and when the balancer
+// knows no other node. It runs in a loop of its own because a store that does not answer
+// blocks it.
 func (f *Front) followRegistry(ctx context.Context) error {
 	worker.Sleep(ctx, search.BufferRetryInterval)
 	f.findTargets(ctx)
@@ -33,7 +33,7 @@
 	})
 }
 
-// register has the balancer named in the registry where that is needed.
+// register adds the balancer to the registry if that is needed.
 func (f *Front) register() {
 	wanted := false
 	f.locked(func(now time.Time) { wanted = f.core.MustRegister(now) })
@@ -42,7 +42,7 @@
 	}
 }
 
-// isolated tells that no other node has been known for a while.
+// isolated reports whether the balancer has known no other node for some time.
 func (f *Front) isolated() (due bool) {
 	f.locked(func(now time.Time) {
 		due = f.isolation.Due(now, f.core.view.BalancerCount()+f.core.view.TargetCount() == 0)
@@ -58,13 +58,13 @@
 	f.locked(func(now time.Time) { f.core.Contact(now, fleet.Addresses(balancers.Entries), nil) })
 }
 
-// findTargets reads the first targets of a balancer that has started: all where one call
-// names them, otherwise those that come first and those around its own address, whose
-// VMs are likely those of its zone.
+// findTargets reads the first targets after the start from the registry: all if they fit in
+// one page, otherwise the first page and the page after the balancer's own address, whose VMs
+// are likely in the same zone.
 func (f *Front) findTargets(ctx context.Context) {
-	wanted, began := false, time.Time{}
-	f.locked(func(now time.Time) { wanted, began = f.core.NeedsTargets(now), now })
-	if !wanted {
+	needed, start := false, time.Time{}
+	f.locked(func(now time.Time) { needed, start = f.core.NeedsTargets(now), now })
+	if !needed {
 		return
 	}
 	page, err := f.page(ctx, 0)
@@ -72,7 +72,7 @@
 		return
 	}
 	if !page.More {
-		f.locked(func(now time.Time) { f.core.TakeSnapshot(now, snapshotOf(began, now, page)) })
+		f.locked(func(now time.Time) { f.core.TakeSnapshot(now, snapshotOf(start, now, page)) })
 		return
 	}
 	f.locked(func(now time.Time) { f.core.Contact(now, nil, fleet.Addresses(page.Entries)) })
@@ -81,49 +81,49 @@
 	}
 }
 
-// page reads the agents of one call, those behind an address.
-func (f *Front) page(ctx context.Context, behind flow.IPv4) (registry.EntryList, error) {
-	page, err := registry.Page(ctx, f.registry, fleet.RoleAgent, behind)
-	f.logListing(fleet.RoleAgent, page, err)
+// page reads one page of the agents' registry, which starts after the given address.
+func (f *Front) page(ctx context.Context, after flow.IPv4) (registry.EntryList, error) {
+	page, err := registry.Page(ctx, f.registry, fleet.RoleAgent, after)
+	f.logRegistryRead(fleet.RoleAgent, page, err)
 	return page, err
 }
 
-func snapshotOf(began, ended time.Time, l registry.EntryList) fleet.Snapshot {
-	return fleet.Snapshot{Earliest: began, Latest: ended, Revision: l.Revision, Agents: l.Entries}
+func snapshotOf(start, end time.Time, l registry.EntryList) fleet.Snapshot {
+	return fleet.Snapshot{Earliest: start, Latest: end, Revision: l.Revision, Agents: l.Entries}
 }
 
-// refreshSnapshot reads which agents are registered when the core wants to know, or has
-// another balancer do it.
+// refreshSnapshot gets a snapshot of the agents' registry if one is due, from another balancer
+// or else from the store.
 func (f *Front) refreshSnapshot(ctx context.Context) {
-	var ask []flow.IPv4
-	wanted := false
-	f.locked(func(now time.Time) { ask, wanted = f.core.SnapshotSources(now) })
-	if !wanted {
+	var sources []flow.IPv4
+	due := false
+	f.locked(func(now time.Time) { sources, due = f.core.SnapshotSources(now) })
+	if !due {
 		return
 	}
-	for _, ip := range ask {
-		survey, err := f.snapshotClient.Fetch(ctx, netip.AddrPortFrom(ip.Addr(), f.port))
+	for _, ip := range sources {
+		snapshot, err := f.snapshotClient.Fetch(ctx, netip.AddrPortFrom(ip.Addr(), f.port))
 		switch {
 		case err == nil:
-			f.recordSnapshot(survey, ip.String())
+			f.recordSnapshot(snapshot, ip.String())
 			return
 		case errors.Is(err, surveycopy.ErrPending):
-			// It will have read when the core wants to know again.
-			f.log.Debug("registry is being read", zap.Stringer(telemetry.FieldPeer, ip))
+			// Its read will have ended when the core asks for a snapshot again.
+			f.log.Debug("balancer is still reading the registry", zap.Stringer(telemetry.FieldPeer, ip))
 			f.locked(func(time.Time) { f.core.SnapshotPending() })
 			return
 		}
-		f.log.Info("no reading of the registry from a balancer", zap.Stringer(telemetry.FieldPeer, ip), zap.Error(err))
+		f.log.Info("fetching the registry snapshot from a balancer failed", zap.Stringer(telemetry.FieldPeer, ip), zap.Error(err))
 		f.locked(func(now time.Time) { f.core.SnapshotFailed(now, ip) })
 	}
-	if survey, err := f.snapshotReader.Get(ctx); err == nil {
-		f.recordSnapshot(survey, "store")
+	if snapshot, err := f.snapshotReader.Get(ctx); err == nil {
+		f.recordSnapshot(snapshot, "store")
 	}
 }
 
 func (f *Front) recordSnapshot(s fleet.Snapshot, from string) {
 	f.locked(func(now time.Time) {
-		f.log.Debug("registry read", zap.Int("agents", len(s.Agents)), zap.Int64(telemetry.FieldRevision, s.Revision),
+		f.log.Debug("registry snapshot received", zap.Int("agents", len(s.Agents)), zap.Int64(telemetry.FieldRevision, s.Revision),
 			zap.Duration("age", now.Sub(s.Earliest)), zap.String("from", from))
 		f.core.TakeSnapshot(now, s)
 	})
@@ -131,58 +131,58 @@
 
 // readAgents implements surveycopy.Read.
 func (f *Front) readAgents(ctx context.Context) ([]fleet.Entry, int64, error) {
-	listed, err := f.list(ctx, fleet.RoleAgent)
-	return listed.Entries, listed.Revision, err
+	agents, err := f.list(ctx, fleet.RoleAgent)
+	return agents.Entries, agents.Revision, err
 }
 
-// list reads the entries of a role.
+// list reads all entries of a role.
 func (f *Front) list(ctx context.Context, role fleet.Role) (registry.EntryList, error) {
-	listed, err := registry.List(ctx, f.registry, role)
-	f.logListing(role, listed, err)
-	return listed, err
+	entries, err := registry.List(ctx, f.registry, role)
+	f.logRegistryRead(role, entries, err)
+	return entries, err
 }
 
-// logListing logs what is wrong with a reading.
-func (f *Front) logListing(role fleet.Role, listed registry.EntryList, err error) {
+// logRegistryRead logs the error and the invalid entries of a read, if any.
+func (f *Front) logRegistryRead(role fleet.Role, entries registry.EntryList, err error) {
 	if err != nil {
-		f.log.Warn("registry not read", zap.String("role", string(role)), zap.Error(err))
+		f.log.Warn("reading the registry failed", zap.String("role", string(role)), zap.Error(err))
 	}
-	if listed.Skipped > 0 {
-		f.invalidEntries.Add(float64(listed.Skipped))
-		f.log.Warn("invalid registry entries", zap.String("role", string(role)), zap.Int("entries", listed.Skipped))
+	if entries.Skipped > 0 {
+		f.invalidEntries.Add(float64(entries.Skipped))
+		f.log.Warn("invalid registry entries", zap.String("role", string(role)), zap.Int("entries", entries.Skipped))
 	}
 }
 
-// removeDeadNodes takes dead nodes out of the registry; what is left when the store fails
-// waits for it.
-func (f *Front) removeDeadNodes(ctx context.Context, departed []DeadNode) {
-	for i, d := range departed {
+// removeDeadNodes removes dead nodes from the registry. If the store fails, the remaining ones
+// are queued for another try.
+func (f *Front) removeDeadNodes(ctx context.Context, deadNodes []DeadNode) {
+	for i, d := range deadNodes {
 		err := registry.Remove(ctx, f.registry, d.Role, d.Entry)
-		f.log.Info("dead node taken out of the registry", zap.String("role", string(d.Role)),
+		f.log.Info("removing a dead node from the registry", zap.String("role", string(d.Role)),
 			zap.Stringer(telemetry.FieldPeer, d.IP), zap.Error(err))
 		if err != nil {
-			f.locked(func(now time.Time) { f.core.RemovalFailed(now, departed[i:]) })
+			f.locked(func(now time.Time) { f.core.RemovalFailed(now, deadNodes[i:]) })
 			return
 		}
 	}
 }
 
-// cleanRegistry takes dead nodes out of the registry where that is this
-// balancer's duty.
+// cleanRegistry removes dead nodes from the registry and audits it, if this balancer is the
+// registry reaper.
 func (f *Front) cleanRegistry(ctx context.Context) {
-	var departed []DeadNode
-	wanted, began := false, time.Time{}
+	var deadNodes []DeadNode
+	auditDue, start := false, time.Time{}
 	f.locked(func(now time.Time) {
-		departed = f.core.DeadNodes(now)
-		wanted, began = f.core.AuditDue(now), now
+		deadNodes = f.core.DeadNodes(now)
+		auditDue, start = f.core.AuditDue(now), now
 	})
-	f.removeDeadNodes(ctx, departed)
-	if !wanted {
+	f.removeDeadNodes(ctx, deadNodes)
+	if !auditDue {
 		return
 	}
 	balancers, err := f.list(ctx, fleet.RoleBalancer)
 	agents, err2 := f.list(ctx, fleet.RoleAgent)
 	if err == nil && err2 == nil {
-		f.locked(func(now time.Time) { f.core.Audited(now, began, balancers.Entries, snapshotOf(began, now, agents)) })
+		f.locked(func(now time.Time) { f.core.ApplyAudit(now, start, balancers.Entries, snapshotOf(start, now, agents)) })
 	}
 }
--- a/balancer/packetfront/front.go
+++ b/balancer/packetfront/front.go
@@ -27,23 +27,24 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// warmingFactor weighs the load of a target that is slow after its start.
-const warmingFactor = 1.6
+// warmupLoadFactor multiplies the load of a target that is still slow after its start.
+const warmupLoadFactor = 1.6
 
-// Front is a balancer's packet front: sockets, the store and the lock around a
-// Core.
+// Front is a balancer's packet front. It runs a Core with its sockets, the store and a
+// lock.
 type Front struct {
 	cfg Settings
 	log *zap.Logger
-	// registry is the store as far as it lists the nodes.
+	// registry is the store client for reads of the node registry.
 	registry store.Store
 	// source keeps the operator's state up to date.
 	source *operator.Source
-	entry  *registry.Registration
-	reg    *prometheus.Registry
-	// sent counts what goes to other nodes.
+	// entry is this balancer's own entry in the registry.
+	entry *registry.Registration
+	reg   *prometheus.Registry
+	// sent counts the messages and bytes sent to other nodes.
 	sent *telemetry.SentTraffic
-	// invalidEntries counts invalid entries of the registry.
+	// invalidEntries counts invalid registry entries.
 	invalidEntries prometheus.Counter
 
 	data, internal *relay.DatagramSocket
@@ -51,17 +52,17 @@
 	clientPort     uint16
 	self           flow.IPv4
 
-	// mu guards core; nothing else is locked under it.
+	// mu guards core and isolation; no other lock is taken while it is held.
 	mu        sync.Mutex
 	core      *Core
 	isolation fleet.IsolationTimer
 	// snapshotReader reads the agents' registry for this balancer and others of its zone,
-	// surveyClient asks others for their readings.
+	// snapshotClient fetches the snapshots of other balancers.
 	snapshotReader *surveycopy.Reader
 	snapshotClient *surveycopy.Client
 }
 
-// NewFront opens the sockets of a front.
+// NewFront returns a front with open sockets.
 func NewFront(cfg Settings, log *zap.Logger) (*Front, error) {
 	f := &Front{cfg: cfg, log: log, reg: prometheus.NewRegistry()}
 	stored := platform.NewStore(cfg.Store, operator.StoreTimeout)
@@ -81,7 +82,7 @@
 	}
 	opts := Options{
 		Self: f.self, Zone: flow.TagOf(cfg.Zone), Seeds: flow.ParseAddrs(cfg.Seeds), Incarnation: rand.Uint64() | 1,
-		Weights:    choose.Weights{CrossZoneCost: cfg.OtherZoneCost, CrossZonePrice: cfg.OtherZonePrice.D(), Warming: warmingFactor},
+		Weights:    choose.Weights{CrossZoneCost: cfg.OtherZoneCost, CrossZonePrice: cfg.OtherZonePrice.D(), Warming: warmupLoadFactor},
 		LinkMbps:   cfg.LinkMbps,
 		FollowTime: operator.FollowTime(cfg.CatchUpWithin.D()),
 	}
@@ -103,7 +104,7 @@
 	if kind, err := envelope.KindOf(head); err == nil {
 		f.sent.Count(kind.Index(), f.core.ReceiverZone(node), len(head)+len(packet))
 	}
-	// A datagram that cannot be sent is lost like any other.
+	// A failed send is treated like a lost datagram.
 	_ = f.internal.Send(netip.AddrPortFrom(node.Addr(), f.port), head, packet)
 }
 
@@ -113,8 +114,8 @@
 	_ = f.data.Send(netip.AddrPortFrom(key.ClientIP.Addr(), f.clientPort), nil, platform.AppendReset(b[:0], key, seq))
 }
 
-// Run serves until ctx ends, then forwards on while the routers take the
-// balancer out.
+// Run serves until ctx ends, then keeps forwarding for LeaveDelay, while the routers take
+// the balancer out of rotation.
 func (f *Front) Run(ctx context.Context) error {
 	f.log.Info("start", zap.String("zone", f.cfg.Zone), zap.Strings("seeds", f.cfg.Seeds))
 	work, stop := context.WithCancel(context.Background())
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// internalHandler answers the calls of other nodes.
+// internalHandler serves the HTTP calls of other nodes.
 func (f *Front) internalHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(configcopy.Path, configcopy.Handler(f.source.Copy, f.log))
@@ -156,12 +157,13 @@
 	time.Sleep(f.cfg.LeaveDelay.D())
 }
 
-// Reload implements process.Reloader: the seeds are taken over.
+// Reload implements process.Reloader. It applies the seeds and no other setting.
 func (f *Front) Reload(cfg Settings) []string {
 	f.locked(func(time.Time) { f.core.SetSeeds(flow.ParseAddrs(cfg.Seeds)) })
 	return []string{"seeds"}
 }
 
+// locked calls do with the lock held.
 func (f *Front) locked(do func(now time.Time)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,13 +197,13 @@
 	return nil
 }
 
-// Ready tells whether clients' packets may come.
+// Ready reports whether the balancer is ready for clients' packets.
 func (f *Front) Ready() (ready bool) {
 	f.locked(func(now time.Time) { ready = f.core.Ready(now) })
 	return ready
 }
 
-// Targets is the number of targets known.
+// Targets returns the number of known targets.
 func (f *Front) Targets() (count int) {
 	f.locked(func(time.Time) { count = f.core.view.TargetCount() })
 	return count
--- a/balancer/packetfront/front_test.go
+++ b/balancer/packetfront/front_test.go
@@ -26,20 +26,20 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// startFront runs a front of zone z1; newFront tells the rest.
-func startFront(t *testing.T, target int, store string) *Front {
-	f := newFront(t, target, store, "z1")
+// startFront returns a running front in zone z1; see newFront for the parameters.
+func startFront(t *testing.T, node int, store string) *Front {
+	f := newFront(t, node, store, "z1")
 	t.Cleanup(worker.Start(f.Run))
 	return f
 }
 
-// newFront returns a front at 127.0.HOST.1 before a store, not running yet.
-func newFront(t *testing.T, target int, store, zone string) *Front {
+// newFront returns a front at 127.0.NODE.1 that uses a store and does not run yet.
+func newFront(t *testing.T, node int, store, zone string) *Front {
 	t.Helper()
-	at := func(target, port int) string { return fmt.Sprintf("127.0.%d.1:%d", target, port) }
+	at := func(node, port int) string { return fmt.Sprintf("127.0.%d.1:%d", node, port) }
 	cfg := Defaults()
 	cfg.Name, cfg.Zone, cfg.Store = "b", zone, store
-	cfg.Data, cfg.Internal, cfg.Ready = at(target, 22001), at(target, 22002), at(target, 22003)
+	cfg.Data, cfg.Internal, cfg.Ready = at(node, 22001), at(node, 22002), at(node, 22003)
 	cfg.Seeds = []string{at(71, 22004), at(81, 22004)}
 	cfg.LeaveDelay = settings.Duration(0)
 	f, err := NewFront(cfg, zap.NewNop())
@@ -47,7 +47,7 @@
 	return f
 }
 
-// version returns the version in force at a front.
+// version returns the configuration version in force at a front.
 func (f *Front) version() (v int64) {
 	f.locked(func(time.Time) { v = f.core.ConfigVersion() })
 	return v
@@ -60,7 +60,7 @@
 	return server.Listener.Addr().String()
 }
 
-// silentStore returns the address of a store that takes calls and answers none.
+// silentStore returns the address of a store that accepts calls but never answers.
 func silentStore(t *testing.T) string {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
@@ -68,8 +68,8 @@
 	return server.Listener.Addr().String()
 }
 
-// wayTo returns a proxy before an address.
-func wayTo(t *testing.T, address string) *standin.Proxy {
+// newProxy returns a proxy in front of an address.
+func newProxy(t *testing.T, address string) *standin.Proxy {
 	proxy, err := standin.NewProxy(address)
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
@@ -81,31 +81,31 @@
 	require.NoError(t, platformtest.PutConfig(s, &flow.Config{Version: version, IdleTimeout: time.Second, Routes: config(1).Routes}))
 }
 
-// TestConfigurationComesThroughPeers: a balancer whose way to the store is cut
-// in silence has a configuration as soon as it meets another one, and follows
-// its changes; it need not wait for its own calls to time out.
+// TestConfigurationComesThroughPeers: a balancer that gets no answer from the store fetches
+// the configuration and its changes from another balancer as soon as it has seen that one,
+// without waiting for its own calls to time out.
 func TestConfigurationComesThroughPeers(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	putVersion(t, s, 3)
 	first := startFront(t, 71, serveStore(t, s))
 	require.Eventually(t, func() bool { return first.version() == 3 }, 5*time.Second, 5*time.Millisecond)
-	cut := startFront(t, 72, silentStore(t))
+	cutOff := startFront(t, 72, silentStore(t))
 	began := time.Now()
-	require.Eventually(t, func() bool { return cut.version() == 3 }, 5*time.Second, 5*time.Millisecond)
-	require.Less(t, time.Since(began), operator.StoreTimeout, "before the first call to the store was given up")
+	require.Eventually(t, func() bool { return cutOff.version() == 3 }, 5*time.Second, 5*time.Millisecond)
+	require.Less(t, time.Since(began), operator.StoreTimeout, "before the first call to the store timed out")
 	putVersion(t, s, 4)
-	require.Eventually(t, func() bool { return first.version() == 4 && cut.version() == 4 }, 5*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return first.version() == 4 && cutOff.version() == 4 }, 5*time.Second, 5*time.Millisecond)
 }
 
-// TestFedBalancersLeaveTheStoreAlone: of many balancers of one zone two watch the
-// store, all have a change at once, and others take over when those two end.
-func TestFedBalancersLeaveTheStoreAlone(t *testing.T) {
+// TestOnlyFeedersWatchTheStore: not all balancers of a zone watch the store, and each
+// change of the configuration is still in force at all of them promptly.
+func TestOnlyFeedersWatchTheStore(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	putVersion(t, s, 1)
 	address := serveStore(t, s)
 	var fronts []*Front
-	for target := 71; target < 76; target++ {
-		fronts = append(fronts, startFront(t, target, address))
+	for node := 71; node < 76; node++ {
+		fronts = append(fronts, startFront(t, node, address))
 	}
 	feeders := func() (n int) {
 		for _, f := range fronts {
@@ -117,7 +117,7 @@
 		}
 		return n
 	}
-	// Below the number that others rely on, all but those relied on feed.
+	// A balancer that is not among the first of its zone feeds only until it sees enough feeders.
 	require.Eventually(t, func() bool { return feeders() < len(fronts) }, 10*time.Second, 20*time.Millisecond)
 	for version := int64(2); version < 5; version++ {
 		putVersion(t, s, version)
@@ -132,13 +132,14 @@
 	}
 }
 
-// TestConfigurationFollowsTheStore through an outage and a dropped history.
+// TestConfigurationFollowsTheStore: also after an outage of the store and a compaction of its
+// history.
 func TestConfigurationFollowsTheStore(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	address := serveStore(t, s)
 	f := startFront(t, 73, address)
 	time.Sleep(50 * time.Millisecond)
-	require.Zero(t, f.version(), "there is none yet")
+	require.Zero(t, f.version(), "the store holds none yet")
 	for version := int64(1); version <= 3; version++ {
 		putVersion(t, s, version)
 		require.Eventually(t, func() bool { return f.version() == version }, 5*time.Second, 5*time.Millisecond)
@@ -151,7 +152,7 @@
 	}
 }
 
-// TestReadinessIsServed: 503 before a configuration, 200 after.
+// TestReadinessIsServed: 503 before the first configuration, 200 after it.
 func TestReadinessIsServed(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	address := serveStore(t, s)
@@ -169,7 +170,8 @@
 	require.Eventually(t, func() bool { return status() == http.StatusOK }, 5*time.Second, 5*time.Millisecond)
 }
 
-// TestPeersAreAskedOnFreshConnections: an earlier one may have gone silent.
+// TestPeersAreAskedOnFreshConnections: a fetch over an earlier connection would hang if that
+// connection had gone silent.
 func TestPeersAreAskedOnFreshConnections(t *testing.T) {
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("c")) }))
 	defer peer.Close()
@@ -184,12 +186,12 @@
 	}
 }
 
-// TestConfigurationIsFollowedAfterConnectionsWentSilent: a change that the watch
-// missed is in force within the bound.
+// TestConfigurationIsFollowedAfterConnectionsWentSilent: a change that the watch missed
+// because its connection went silent is in force within CatchUpWithin.
 func TestConfigurationIsFollowedAfterConnectionsWentSilent(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	putVersion(t, s, 3)
-	proxy := wayTo(t, serveStore(t, s))
+	proxy := newProxy(t, serveStore(t, s))
 	f := startFront(t, 77, proxy.Addr())
 	require.Eventually(t, func() bool { return f.version() == 3 }, 5*time.Second, 5*time.Millisecond)
 	time.Sleep(50 * time.Millisecond)
@@ -198,13 +200,13 @@
 	require.Eventually(t, func() bool { return f.version() == 4 }, f.cfg.CatchUpWithin.D(), 5*time.Millisecond)
 }
 
-// TestAFollowerThatItsPeersDoNotServeReadsTheStore: it hears from them that there
-// is a newer configuration, but none of their answers gets through.
+// TestAFollowerThatItsPeersDoNotServeReadsTheStore: a balancer that does not watch the store
+// learns of a newer configuration from beacons, but all its fetches from peers fail.
 func TestAFollowerThatItsPeersDoNotServeReadsTheStore(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	putVersion(t, s, 1)
 	address := serveStore(t, s)
-	// Two of the zone and one of another: these watch the store, whatever they hear.
+	// Two feeders of the zone and one of another zone: with these the follower does not feed.
 	startFront(t, 81, address)
 	startFront(t, 82, address)
 	t.Cleanup(worker.Start(newFront(t, 83, address, "z2").Run))
@@ -214,23 +216,23 @@
 		return nil, ctx.Err()
 	})
 	t.Cleanup(worker.Start(follower.Run))
-	feeds := func() (yes bool) {
-		follower.locked(func(now time.Time) { yes = follower.core.Feeds(now) })
-		return yes
+	feeds := func() (feeding bool) {
+		follower.locked(func(now time.Time) { feeding = follower.core.Feeds(now) })
+		return feeding
 	}
 	require.Eventually(t, func() bool { return follower.version() == 1 && !feeds() }, 10*time.Second, 20*time.Millisecond)
-	// Its own watch ends without an answer, and it relies on the others from then on.
+	// Wait until its own watch has ended without an answer; from then on it relies on the others.
 	time.Sleep(operator.FollowTime(follower.cfg.CatchUpWithin.D()) - operator.StoreTimeout + 200*time.Millisecond)
 
 	for version := int64(2); version < 5; version++ {
 		putVersion(t, s, version)
-		require.Eventually(t, func() bool { return follower.version() == version }, inForceWithin, 5*time.Millisecond, "version %d", version)
+		require.Eventually(t, func() bool { return follower.version() == version }, maxConfigDelay, 5*time.Millisecond, "version %d", version)
 	}
 }
 
-// TestAnAgentsCopyServesWhereNobodyElseHasOne: all balancers have restarted, the store
-// does not answer, and one of the two agents has a copy that was damaged.
-func TestAnAgentsCopyServesWhereNobodyElseHasOne(t *testing.T) {
+// TestConfigurationIsFetchedFromAnAgentWhenNoBalancerHasOne: all balancers have restarted, the
+// store does not answer, and one of the two agents has a damaged copy.
+func TestConfigurationIsFetchedFromAnAgentWhenNoBalancerHasOne(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	putVersion(t, s, 7)
 	resp, err := s.Range(t.Context(), store.RangeRequest{Key: platform.ConfigKey})
@@ -239,15 +241,15 @@
 	began := time.Now()
 	for i, raw := range [][]byte{resp.KVs[0].Value, resp.KVs[0].Value[:20]} {
 		address := netip.MustParseAddrPort(fmt.Sprintf("127.0.%d.1:%d", 96+i, f.port))
-		kept := configcopy.NewCopy(raw)
+		configCopy := configcopy.NewCopy(raw)
 		ctx, stop := context.WithCancel(t.Context())
 		t.Cleanup(stop)
 		go func() {
-			_ = telemetry.ServeHTTP(ctx, address.String(), configcopy.Handler(func() *configcopy.Copy { return kept }, zap.NewNop()))
+			_ = telemetry.ServeHTTP(ctx, address.String(), configcopy.Handler(func() *configcopy.Copy { return configCopy }, zap.NewNop()))
 		}()
 		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 4, ConfigVersion: 7}
 		f.locked(func(now time.Time) { f.core.HandleNode(now, flow.FromAddr(address.Addr()), a.Append(nil)) })
 	}
 	require.Eventually(t, func() bool { return f.version() == 7 }, 3*time.Second, time.Millisecond)
-	require.Less(t, time.Since(began), operator.StoreTimeout, "before the first call to the store was given up")
+	require.Less(t, time.Since(began), operator.StoreTimeout, "before the first call to the store timed out")
 }
--- a/balancer/packetfront/join_test.go
+++ b/balancer/packetfront/join_test.go
@@ -14,37 +14,38 @@
 	"github.com/poppywall/poppywall/platform"
 )
 
-// TestSeedsThatStartLaterAreMetAtOnce: the return of everybody, where a balancer is back before
-// its seeds. It greets each until it is heard, not longer than it counts as just started.
-func TestSeedsThatStartLaterAreMetAtOnce(t *testing.T) {
+// TestSeedsThatStartLaterAreContactedPromptly: after a common restart a balancer may be up
+// before its seeds. It introduces itself to each seed in short intervals until the seed is
+// seen, but not for longer than search.SettleTime.
+func TestSeedsThatStartLaterAreContactedPromptly(t *testing.T) {
 	const seed = flow.IPv4(0x0a000003)
 	f := newFixture()
 	opts := f.opts
 	opts.Seeds = []flow.IPv4{self, peer, seed}
 	f.Core = New(f.now, opts, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, f.rnd)
-	began, greeted := f.now, map[flow.IPv4][]time.Duration{}
-	for f.now.Sub(began) < search.SettleTime {
+	startedAt, introducedAt := f.now, map[flow.IPv4][]time.Duration{}
+	for f.now.Sub(startedAt) < search.SettleTime {
 		f.port.Nodes = nil
 		f.Tick(f.now)
 		for _, s := range f.port.OfKind(envelope.Beacon) {
-			greeted[s.To] = append(greeted[s.To], f.now.Sub(began))
+			introducedAt[s.To] = append(introducedAt[s.To], f.now.Sub(startedAt))
 		}
-		if f.now.Sub(began) >= 100*time.Millisecond && !f.view.HasBalancer(peer) {
+		if f.now.Sub(startedAt) >= 100*time.Millisecond && !f.view.HasBalancer(peer) {
 			m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 1, Seq: 1}}
 			f.HandleNode(f.now, peer, m.Append(nil))
 		}
 		f.now = f.now.Add(f.TickPeriod(f.now))
 	}
-	for i := 1; i < len(greeted[seed]); i++ {
-		require.LessOrEqual(t, greeted[seed][i]-greeted[seed][i-1], zonecast.IntroductionPause+search.BufferRetryInterval)
+	for i := 1; i < len(introducedAt[seed]); i++ {
+		require.LessOrEqual(t, introducedAt[seed][i]-introducedAt[seed][i-1], zonecast.IntroductionPause+search.BufferRetryInterval)
 	}
-	require.GreaterOrEqual(t, greeted[seed][len(greeted[seed])-1], search.SettleTime-zonecast.IntroductionPause-search.BufferRetryInterval)
-	require.Empty(t, greeted[self])
+	require.GreaterOrEqual(t, introducedAt[seed][len(introducedAt[seed])-1], search.SettleTime-zonecast.IntroductionPause-search.BufferRetryInterval)
+	require.Empty(t, introducedAt[self])
 	early := 0
-	for _, at := range greeted[peer] {
+	for _, at := range introducedAt[peer] {
 		if at < 100*time.Millisecond {
 			early++
 		}
 	}
-	require.LessOrEqual(t, early, 3, "one in each pause")
+	require.LessOrEqual(t, early, 3, "one per pause")
 }
--- a/balancer/packetfront/keeper.go
+++ b/balancer/packetfront/keeper.go
@@ -7,18 +7,18 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// DeadNode is a dead node that is to be taken out of the registry.
+// DeadNode is a dead node whose registry entry is to be removed.
 type DeadNode struct {
 	Role fleet.Role
 	fleet.Entry
 }
 
-// auditPeriod is how often the keeper of the registry reads all of it, for
-// entries of nodes that no living balancer has ever heard.
+// auditPeriod is how often the registry reaper reads the whole registry, to find the
+// entries of nodes that no live balancer has ever seen.
 const auditPeriod = 10 * time.Minute
 
-// AuditDue tells whether the whole registry is to be read. A balancer that has
-// just started does not know yet who lives.
+// AuditDue reports whether the whole registry is to be read. A balancer that has
+// just started does not know yet which nodes are alive.
 func (c *Core) AuditDue(now time.Time) bool {
 	if now.Sub(c.startedAt) < fleet.ExpireAfter || now.Before(c.nextAudit) || !c.view.IsReaper(now, c.opts.Self) {
 		return false
@@ -27,20 +27,20 @@
 	return true
 }
 
-// Audited takes a reading of the whole registry; that of the balancers began at the given
-// time.
-func (c *Core) Audited(now, began time.Time, balancers []fleet.Entry, agents fleet.Snapshot) {
+// ApplyAudit applies a snapshot of the whole registry. start is when the read of the
+// balancers' entries began.
+func (c *Core) ApplyAudit(now, start time.Time, balancers []fleet.Entry, agents fleet.Snapshot) {
 	balancers = slices.DeleteFunc(balancers, func(e fleet.Entry) bool { return e.IP == c.opts.Self })
-	c.registeredBalancers.Update(began, balancers, c.view.HasBalancer)
+	c.registeredBalancers.Update(start, balancers, c.view.HasBalancer)
 	c.TakeSnapshot(now, agents)
 }
 
-// removalRetryPause is the pause after a dead node could not be taken out of the registry:
-// refused calls are priced, too.
+// removalRetryPause is the pause after a failed removal from the registry: failed calls
+// are billed too.
 const removalRetryPause = time.Second
 
-// DeadNodes returns the dead nodes that this balancer has to take out of the
-// registry, each once.
+// DeadNodes returns the dead nodes that this balancer has to remove from the
+// registry, each only once.
 func (c *Core) DeadNodes(now time.Time) []DeadNode {
 	if now.Before(c.nextRemoval) {
 		return nil
@@ -50,15 +50,15 @@
 	return out
 }
 
-// RemovalFailed takes back those that could not be taken out, for later.
-func (c *Core) RemovalFailed(now time.Time, list []DeadNode) {
-	c.deadNodes = append(c.deadNodes, list...)
+// RemovalFailed queues dead nodes whose removal failed for another try.
+func (c *Core) RemovalFailed(now time.Time, failed []DeadNode) {
+	c.deadNodes = append(c.deadNodes, failed...)
 	c.nextRemoval = now.Add(removalRetryPause)
 }
 
-// expireNodes drops what was not heard for long, and lists it as departed where this
-// balancer keeps the registry. One that hears fewer nodes than it would strike
-// takes itself for cut off and strikes none.
+// expireNodes drops the nodes that were not seen for fleet.ExpireAfter. If this balancer is
+// the registry reaper, it also queues them for removal from the registry; if they outnumber the
+// nodes that are alive, it assumes that it is itself partitioned and removes none.
 func (c *Core) expireNodes(now time.Time) {
 	targets, balancers := c.view.Expire(now)
 	c.digestAt = time.Time{}
@@ -67,7 +67,7 @@
 		c.table.DropTarget(e.IP)
 	}
 	for _, e := range balancers {
-		c.events.PeerChanged(e.IP, "forgotten")
+		c.events.PeerChanged(e.IP, "expired")
 	}
 	targets = append(targets, c.proof.Purge(now)...)
 	balancers = append(balancers, c.registeredBalancers.Purge(now, c.view.HasBalancer)...)
--- a/balancer/packetfront/keeper_test.go
+++ b/balancer/packetfront/keeper_test.go
@@ -10,37 +10,38 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-func (f *fixture) beacon(ip flow.IPv4) {
+// receiveBeacon handles a beacon of another balancer.
+func (f *fixture) receiveBeacon(ip flow.IPv4) {
 	f.seq++
 	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, ConfigVersion: 5}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
-// live lets time go by while the named nodes are heard.
-func (f *fixture) live(d time.Duration, agents, balancers []flow.IPv4) {
+// advance lets time pass while messages of the given nodes arrive.
+func (f *fixture) advance(d time.Duration, agents, balancers []flow.IPv4) {
 	for end := f.now.Add(d); f.now.Before(end); f.Tick(f.now) {
 		f.now = f.now.Add(time.Second)
 		for _, ip := range agents {
 			f.announce(ip, fleet.Ready)
 		}
 		for _, ip := range balancers {
-			f.beacon(ip)
+			f.receiveBeacon(ip)
 		}
 	}
 }
 
 const (
-	lower  = flow.IPv4(0x09000001)
-	higher = peer
+	lowerPeer  = flow.IPv4(0x09000001)
+	higherPeer = peer
 )
 
-// TestTheKeeperStrikesDeadNodes: the first living balancer by address does, and
-// only nodes that were unheard for as long as nodes are remembered.
-func TestTheKeeperStrikesDeadNodes(t *testing.T) {
+// TestTheReaperRemovesDeadNodes: only the live balancer with the lowest address queues dead
+// nodes for removal from the registry, and only nodes not seen for fleet.ExpireAfter.
+func TestTheReaperRemovesDeadNodes(t *testing.T) {
 	agent := func(ip flow.IPv4) DeadNode {
 		return DeadNode{fleet.RoleAgent, fleet.Entry{IP: ip, Incarnation: uint64(ip)}}
 	}
-	surveyed := func(ip flow.IPv4) DeadNode { return DeadNode{fleet.RoleAgent, registered(ip)[0]} }
+	registeredAgent := func(ip flow.IPv4) DeadNode { return DeadNode{fleet.RoleAgent, registered(ip)[0]} }
 	for name, c := range map[string]struct {
 		prepare   func(f *fixture)
 		after     time.Duration
@@ -48,28 +49,28 @@
 		balancers []flow.IPv4
 		want      []DeadNode
 	}{
-		"all live":               {agents: []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higher}},
-		"an agent died":          {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higher}, want: []DeadNode{agent(targetB)}},
-		"an agent died just now": {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higher}, after: fleet.ExpireAfter / 2},
-		"another one keeps it":   {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{lower, higher}},
-		"the other keeper died": {
-			prepare: func(f *fixture) { f.beacon(lower) },
-			agents:  []flow.IPv4{targetA}, balancers: []flow.IPv4{higher},
-			want: []DeadNode{agent(targetB), {fleet.RoleBalancer, fleet.Entry{IP: lower, Incarnation: uint64(lower)}}},
+		"all nodes are alive":    {agents: []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higherPeer}},
+		"an agent died":          {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higherPeer}, want: []DeadNode{agent(targetB)}},
+		"an agent died just now": {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{higherPeer}, after: fleet.ExpireAfter / 2},
+		"another is the reaper":  {agents: []flow.IPv4{targetA}, balancers: []flow.IPv4{lowerPeer, higherPeer}},
+		"the other reaper died": {
+			prepare: func(f *fixture) { f.receiveBeacon(lowerPeer) },
+			agents:  []flow.IPv4{targetA}, balancers: []flow.IPv4{higherPeer},
+			want: []DeadNode{agent(targetB), {fleet.RoleBalancer, fleet.Entry{IP: lowerPeer, Incarnation: uint64(lowerPeer)}}},
 		},
-		"a registered agent was never heard": {
+		"a registered agent was never seen": {
 			prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other))) },
-			agents:  []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higher},
-			want: []DeadNode{surveyed(other)},
+			agents:  []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higherPeer},
+			want: []DeadNode{registeredAgent(other)},
 		},
-		"a registered balancer was never heard": {
+		"a registered balancer was never seen": {
 			prepare: func(f *fixture) {
-				f.Audited(f.now, f.now, registered(self, higher, lower), fleet.SnapshotAt(f.now, registered(targetA, targetB)))
+				f.ApplyAudit(f.now, f.now, registered(self, higherPeer, lowerPeer), fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 			},
-			agents: []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higher},
-			want: []DeadNode{{fleet.RoleBalancer, registered(lower)[0]}},
+			agents: []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higherPeer},
+			want: []DeadNode{{fleet.RoleBalancer, registered(lowerPeer)[0]}},
 		},
-		"this balancer is cut off": {},
+		"this balancer is partitioned": {},
 	} {
 		f := newFixture()
 		if c.prepare != nil {
@@ -78,14 +79,15 @@
 		if c.after == 0 {
 			c.after = fleet.ExpireAfter + 3*time.Second
 		}
-		f.live(c.after, c.agents, c.balancers)
+		f.advance(c.after, c.agents, c.balancers)
 		require.ElementsMatch(t, c.want, f.DeadNodes(f.now), name)
-		require.Empty(t, f.DeadNodes(f.now), "%s: each once", name)
+		require.Empty(t, f.DeadNodes(f.now), "%s: each only once", name)
 	}
 }
 
-// TestTheRosterIsReadRarely, by the keeper, once it knows who lives.
-func TestTheRosterIsReadRarely(t *testing.T) {
+// TestRegistryAuditsArePeriodic: only the registry reaper audits, and not before it has had
+// time to see which nodes are alive.
+func TestRegistryAuditsArePeriodic(t *testing.T) {
 	f := newFixture()
 	require.False(t, f.AuditDue(f.startedAt.Add(fleet.ExpireAfter-1)))
 	now := f.startedAt.Add(fleet.ExpireAfter)
@@ -93,6 +95,6 @@
 	require.False(t, f.AuditDue(now.Add(auditPeriod-1)))
 	require.True(t, f.AuditDue(now.Add(auditPeriod)))
 	f.now = now.Add(2 * auditPeriod)
-	f.beacon(lower)
-	require.False(t, f.AuditDue(f.now), "another one keeps it")
+	f.receiveBeacon(lowerPeer)
+	require.False(t, f.AuditDue(f.now), "another balancer is the reaper")
 }
--- a/balancer/packetfront/nodes.go
+++ b/balancer/packetfront/nodes.go
@@ -12,7 +12,7 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// HandleNode takes a datagram of another node.
+// HandleNode handles a datagram from another node.
 func (c *Core) HandleNode(now time.Time, from flow.IPv4, datagram []byte) {
 	kind, err := envelope.KindOf(datagram)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// recordAnnouncement notes what a target's agent says.
+// recordAnnouncement applies the announcement of a target's agent.
 func (c *Core) recordAnnouncement(now time.Time, from flow.IPv4, a fleet.Announcement) fleet.Change {
 	change := c.view.ApplyAnnouncement(now, from, a)
 	target, _ := c.view.Target(from)
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// recordBeacon notes what a balancer says.
+// recordBeacon applies another balancer's beacon.
 func (c *Core) recordBeacon(now time.Time, from flow.IPv4, m fleet.Beacon) fleet.Change {
 	change := c.view.ApplyBeacon(now, from, m)
 	if change == fleet.Stale {
@@ -110,9 +110,10 @@
 	return change
 }
 
-// compareDigest asks a balancer for the nodes that it knows when its view differs from
-// this one's: any message about a node may have been lost. A large zone compares in the
-// zone: what it lacks of others is named by what is relayed.
+// compareDigest requests the nodes that a balancer knows if its view differs from this
+// balancer's: any message about a node may have been lost. In a zone that is reached through
+// relays, views are compared within the zone only: relayed messages name the nodes of other
+// zones.
 func (c *Core) compareDigest(now time.Time, peer flow.IPv4, digest uint32) {
 	if digest == c.view.Digest(now, c.opts.Self) || now.Before(c.nextNodeRequest) {
 		return
@@ -121,27 +122,27 @@
 	c.sendBeacon(now, peer, fleet.Beacon{Reply: true, WantPeers: true})
 }
 
-// handlePeers greets nodes that are not known yet; agents answer with their
-// announcement, balancers with their beacon.
+// handlePeers introduces this balancer to the listed nodes that it does not know yet. Agents
+// answer with an announcement, balancers with a beacon.
 func (c *Core) handlePeers(now time.Time, datagram []byte) error {
-	names, err := fleet.DecodeNodeList(datagram)
+	nodes, err := fleet.DecodeNodeList(datagram)
 	if err != nil {
 		return err
 	}
-	for _, ip := range names.Balancers {
+	for _, ip := range nodes.Balancers {
 		if ip != c.opts.Self && !c.view.HasBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{})
 		}
 	}
-	for _, ip := range names.ActiveAgents {
+	for _, ip := range nodes.ActiveAgents {
 		c.proof.AgentNamed(now, ip)
 	}
-	c.Contact(now, nil, names.ActiveAgents)
-	c.Contact(now, nil, names.IdleAgents)
+	c.Contact(now, nil, nodes.ActiveAgents)
+	c.Contact(now, nil, nodes.IdleAgents)
 	return nil
 }
 
-// Contact makes the balancer known to nodes that the seeds or the store name.
+// Contact introduces this balancer to the given nodes that it has not seen yet.
 func (c *Core) Contact(now time.Time, balancers, agents []flow.IPv4) {
 	for _, ip := range balancers {
 		if ip != c.opts.Self && !c.view.HasBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
@@ -169,8 +170,8 @@
 	return nil
 }
 
-// refuseReturned answers a SYN that every candidate refused, if no later copy can
-// have been taken meanwhile.
+// refuseReturned resets the flow of a SYN that every candidate refused, unless a
+// retransmission may have been accepted meanwhile.
 func (c *Core) refuseReturned(now time.Time, key flow.Key, h *flow.Header) {
 	target, openedAt := c.table.SYNRecord(key)
 	if now.Sub(openedAt) > refuseWithin {
@@ -181,7 +182,7 @@
 	c.refuse(key, h, "refused by all targets", "")
 }
 
-// Tick does what is due.
+// Tick runs the periodic work that is due.
 func (c *Core) Tick(now time.Time) {
 	for _, silence := range c.view.DetectSilentZones(now) {
 		c.events.ZoneSilenceChanged(silence)
@@ -199,8 +200,8 @@
 	}
 }
 
-// updateFresh lets the flows that all targets have denied be looked at as soon as the balancer
-// is not fresh any more: after a common start all of its callers wait for that.
+// updateFresh checks the flows that all targets have denied again once the balancer is no
+// longer fresh: if all nodes have started together, the clients of these flows wait for that.
 func (c *Core) updateFresh(now time.Time) {
 	fresh := c.proof.Fresh(now)
 	if c.wasFresh && !fresh {
@@ -209,9 +210,9 @@
 	c.wasFresh = fresh
 }
 
-// join greets the seeds that are not known, often at first: two balancers that
-// know each other may both have missed a third, and one that has started together with its
-// seeds is fresh until it has known the last of them for a while.
+// join introduces the balancer to the seeds that it does not know, often at first: two
+// balancers that know each other may both lack a third, and one that has started together with
+// its seeds stays fresh for search.FreshTime after it first sees the last of them.
 func (c *Core) join(now time.Time) {
 	if !c.proof.Settled(now) {
 		c.Contact(now, c.opts.Seeds, nil)
@@ -229,17 +230,18 @@
 	}
 }
 
-// requestNodes asks some balancers again which nodes they know: those that have
-// started together with this one hear of them one by one. One whose view is the
-// same does not answer. Lists are long: a large zone asks in the zone, and the seeds.
+// requestNodes asks the known seeds and some other balancers for the nodes that they know:
+// balancers that have started together with this one learn of nodes one by one. A balancer
+// with the same view does not answer. Node lists are long, so where the zone is reached
+// through relays only the seeds and balancers of the local zone are asked.
 func (c *Core) requestNodes(now time.Time) {
-	known := c.view.Balancers()
+	balancers := c.view.Balancers()
 	if c.relays.usesRelays {
-		known, _ = c.view.BalancersByZone(c.opts.Zone)
+		balancers, _ = c.view.BalancersByZone(c.opts.Zone)
 	}
-	c.rnd.Shuffle(len(known), func(i, j int) { known[i], known[j] = known[j], known[i] })
-	asked := slices.DeleteFunc(slices.Clone(c.opts.Seeds), func(ip flow.IPv4) bool { return !c.view.HasBalancer(ip) })
-	for _, ip := range append(asked, known[:min(bootstrapQueries, len(known))]...) {
+	c.rnd.Shuffle(len(balancers), func(i, j int) { balancers[i], balancers[j] = balancers[j], balancers[i] })
+	seeds := slices.DeleteFunc(slices.Clone(c.opts.Seeds), func(ip flow.IPv4) bool { return !c.view.HasBalancer(ip) })
+	for _, ip := range append(seeds, balancers[:min(bootstrapQueries, len(balancers))]...) {
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
 }
@@ -249,8 +251,8 @@
 	c.expireNodes(now)
 }
 
-// sendPeriodicBeacons tells other nodes again what this balancer has in force: those of
-// other zones, and agents, less often.
+// sendPeriodicBeacons sends the beacons that are due. Nodes of other zones, and agents, get
+// them less often than the balancers of the local zone.
 func (c *Core) sendPeriodicBeacons(now time.Time) {
 	if !now.Before(c.nextSameZone) {
 		c.nextSameZone = fleet.NextSendTime(now, fleet.SameZonePeriod, c.opts.Self)
@@ -273,7 +275,7 @@
 	}
 }
 
-// periodTo is how soon another balancer hears of this one again.
+// periodTo returns the pause until the next beacon to a node.
 func (c *Core) periodTo(ip flow.IPv4) time.Duration {
 	if zone, known := c.view.ZoneOf(ip); known && zone == c.opts.Zone {
 		return fleet.SameZonePeriod
@@ -281,7 +283,7 @@
 	return c.crossZonePeriod
 }
 
-// digest is that of the view; one moment's is worked out once.
+// digest returns the digest of the view, computed once per point in time.
 func (c *Core) digest(now time.Time) uint32 {
 	if !now.Equal(c.digestAt) {
 		c.lastDigest, c.digestAt = c.view.Digest(now, c.opts.Self), now
@@ -294,19 +296,19 @@
 	c.port.ToNode(to, m.Append(c.buf[:0]), nil)
 }
 
-// beacon fills in what this balancer says of itself.
+// beacon fills in this balancer's state.
 func (c *Core) beacon(now time.Time, to flow.IPv4, m fleet.Beacon) fleet.Beacon {
 	c.seq++
 	m.MessageID = fleet.MessageID{Incarnation: c.opts.Incarnation, Seq: c.seq}
 	m.Zone = c.opts.Zone
-	if h, known := c.view.Target(to); known {
-		m.LastReceived = h.MessageID
+	if t, known := c.view.Target(to); known {
+		m.LastReceived = t.MessageID
 	}
 	m.ConfigVersion = c.ConfigVersion()
 	m.Evacuations = c.Evacuations()
 	m.InRotation = c.Ready(now)
-	m.LinkMbps = mbpsOnWire(c.opts.LinkMbps)
-	m.SentMbps = mbpsOnWire(c.rotation.mbps())
+	m.LinkMbps = encodeMbps(c.opts.LinkMbps)
+	m.SentMbps = encodeMbps(c.rotation.mbps())
 	m.Digest = c.digest(now)
 	m.Period = c.periodTo(to)
 	m.Leaving = c.leaving
@@ -314,11 +316,11 @@
 	return m
 }
 
-// mbpsOnWire rounds a rate for a beacon.
-func mbpsOnWire(rate float64) uint16 { return uint16(min(math.Ceil(rate), math.MaxUint16)) }
+// encodeMbps rounds a rate up and limits it to the range of the beacon field.
+func encodeMbps(rate float64) uint16 { return uint16(min(math.Ceil(rate), math.MaxUint16)) }
 
 func (c *Core) sendPeers(now time.Time, to flow.IPv4) {
-	names := c.view.KnownNodes(now)
-	names.Balancers = append(names.Balancers, c.opts.Self)
-	names.Append(c.buf[:0], func(msg []byte) { c.port.ToNode(to, msg, nil) })
+	nodes := c.view.KnownNodes(now)
+	nodes.Balancers = append(nodes.Balancers, c.opts.Self)
+	nodes.Append(c.buf[:0], func(msg []byte) { c.port.ToNode(to, msg, nil) })
 }
--- a/balancer/packetfront/relay.go
+++ b/balancer/packetfront/relay.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// relayFreshness is how lately a balancer was heard that is asked to relay messages: two
-	// rounds and what the relays add.
+	// relayFreshness is how recently a balancer must have been seen to be used as a relay: two
+	// rounds and the delay that relays add.
 	relayFreshness = 2*zonecast.RelayPeriod + zonecast.FlushPeriod
-	// probeCheckPeriod is how often nodes are looked for that have fallen silent.
+	// probeCheckPeriod is how often the balancer looks for nodes of other zones to probe.
 	probeCheckPeriod = 200 * time.Millisecond
-	// maxIntroduced bounds the nodes whose greeting is remembered.
+	// maxIntroduced is the maximum number of nodes for which the last introduction is recorded.
 	maxIntroduced = 1 << 15
 )
 
-// crossZone is what a balancer has to relay to the nodes of its zone, and what it
-// hears of nodes of other zones in the same way.
+// crossZone is the state of the exchange with other zones: the messages that this balancer
+// relays within its zone, and how it reaches the nodes of other zones.
 type crossZone struct {
 	forBalancers, forAgents zonecast.RelayBuffer
 	nextProbe               time.Time
-	// usesRelays tells that the own zone is told through relays.
+	// usesRelays is set while nodes of other zones reach the local zone through relays.
 	usesRelays bool
-	// introduced are nodes that others named.
+	// introduced limits the rate at which the balancer introduces itself to a node.
 	introduced zonecast.IntroductionLimiter
-	// planner plans how other zones are told.
+	// planner plans through which balancers other zones are reached.
 	planner zonecast.Planner
 }
 
@@ -44,8 +44,8 @@
 	}
 }
 
-// sendCrossZoneBeacons tells the nodes of other zones: agents less often, and only where no
-// relay does.
+// sendCrossZoneBeacons sends a round of beacons to other zones. Agents get them less often,
+// and only if their zone is not reached through relays.
 func (c *Core) sendCrossZoneBeacons(now time.Time) {
 	round := c.relays.planner.StartRound()
 	plan := c.relays.planner.Plan(now, c.view)
@@ -58,21 +58,21 @@
 	}
 }
 
-// directAgents returns the agents that no relay tells of this balancer, but for those of
+// directAgents returns the agents whose zone is not reached through relays, except those of
 // the given zones.
 func (c *Core) directAgents(except ...flow.Tag) []flow.IPv4 {
 	var out []flow.IPv4
 	for _, ip := range c.view.Targets() {
-		h, _ := c.view.Target(ip)
-		if !c.relays.planner.UsesRelays(h.Zone) && !slices.Contains(except, h.Zone) {
+		t, _ := c.view.Target(ip)
+		if !c.relays.planner.UsesRelays(t.Zone) && !slices.Contains(except, t.Zone) {
 			out = append(out, ip)
 		}
 	}
 	return out
 }
 
-// sendBeaconViaRelays asks balancers to relay a beacon. All get the same, so that one can
-// tell that another has done it.
+// sendBeaconViaRelays sends a beacon to the balancers that relay it. All get the same
+// message, so that each recognizes when another one has relayed it.
 func (c *Core) sendBeaconViaRelays(now time.Time, relays []flow.IPv4) {
 	if len(relays) == 0 {
 		return
@@ -84,8 +84,8 @@
 	}
 }
 
-// handleRelay takes a message of a node of another zone, and keeps it for the nodes of
-// the own one.
+// handleRelay applies a message from a node of another zone and buffers it for the nodes of
+// the local zone.
 func (c *Core) handleRelay(now time.Time, from flow.IPv4, datagram []byte) error {
 	kind, message, err := fleet.DecodeRelay(datagram)
 	if err != nil {
@@ -103,21 +103,22 @@
 	return err
 }
 
-// bufferForRelay keeps a message for the nodes of the own zone: only balancers need to know of
+// bufferForRelay buffers a message for the nodes of the local zone: beacons for balancers and
+// agents, announcements for balancers only, because agents need no information about other
 // targets.
 func (c *Core) bufferForRelay(now time.Time, from flow.IPv4, kind envelope.Kind, message []byte) {
 	id, err := fleet.DecodeMessageID(message)
-	kept := err == nil && c.relays.forBalancers.Put(now, from, id, message)
+	buffered := err == nil && c.relays.forBalancers.Put(now, from, id, message)
 	if kind == envelope.Beacon {
-		kept = kept && c.relays.forAgents.Put(now, from, id, message)
+		buffered = buffered && c.relays.forAgents.Put(now, from, id, message)
 	}
-	if !kept {
+	if !buffered {
 		c.events.Dropped(DropNotRelayed)
 	}
 }
 
-// sendRelayed sends what was kept to the nodes of the own zone, and asks those of others
-// that have fallen silent.
+// sendRelayed sends the buffered messages that are due to the nodes of the local zone, and
+// probes nodes of other zones whose relayed messages have stopped.
 func (c *Core) sendRelayed(now time.Time) {
 	if c.relays.forBalancers.Due(now) {
 		balancers, _ := c.view.BalancersByZone(c.opts.Zone)
@@ -134,9 +135,9 @@
 	}
 }
 
-func (c *Core) flushRelayed(now time.Time, held *zonecast.RelayBuffer, to []flow.IPv4) {
-	messages, old := held.Take(now)
-	for range old {
+func (c *Core) flushRelayed(now time.Time, buffer *zonecast.RelayBuffer, to []flow.IPv4) {
+	messages, stale := buffer.Take(now)
+	for range stale {
 		c.events.Dropped(DropNotRelayed)
 	}
 	if len(messages) == 0 {
@@ -150,7 +151,8 @@
 	})
 }
 
-// ReceiverZone tells whether a node is in another zone.
+// ReceiverZone returns, for the traffic metrics, whether a node is in the local zone or in
+// another one.
 func (c *Core) ReceiverZone(node flow.IPv4) telemetry.ReceiverZone {
 	zone, known := c.view.NodeZone(node)
 	return telemetry.ReceiverZoneOf(c.opts.Zone, zone, known)
--- a/balancer/packetfront/relay_test.go
+++ b/balancer/packetfront/relay_test.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// farZone is another zone than the fixture's, farAgent an agent there.
-	farZone  = flow.Tag(9)
-	farAgent = flow.IPv4(0x0a020001)
-	farPeer  = flow.IPv4(0x0a020002)
+	// remoteZone is a zone other than the fixture's, remoteAgent an agent and remotePeer a
+	// balancer there.
+	remoteZone  = flow.Tag(9)
+	remoteAgent = flow.IPv4(0x0a020001)
+	remotePeer  = flow.IPv4(0x0a020002)
 )
 
-func farAnnouncement(epoch uint64, seq uint32, state fleet.State) fleet.Announcement {
+func remoteAnnouncement(incarnation uint64, seq uint32, state fleet.State) fleet.Announcement {
 	return fleet.Announcement{
-		MessageID: fleet.MessageID{Incarnation: epoch, Seq: seq}, Zone: farZone, Service: alpha, State: state, Slots: 4,
+		MessageID: fleet.MessageID{Incarnation: incarnation, Seq: seq}, Zone: remoteZone, Service: alpha, State: state, Slots: 4,
 		Registration: fleet.RegistrationPresent, Period: zonecast.RelayPeriod,
 	}
 }
 
-// relays lets the peer relay messages to the fixture's balancer.
-func (f *fixture) relays(messages ...fleet.RelayedMessage) {
+// receiveRelayed handles messages that the peer relays.
+func (f *fixture) receiveRelayed(messages ...fleet.RelayedMessage) {
 	fleet.AppendBatches(nil, messages, func(b []byte) { f.HandleNode(f.now, peer, b) })
 }
 
-// sentTo returns the kinds of what went to a node.
+// sentTo returns the kinds of the messages sent to a node.
 func (f *fixture) sentTo(ip flow.IPv4) []envelope.Kind {
 	var out []envelope.Kind
 	for _, s := range f.port.Nodes {
@@ -42,73 +43,75 @@
 	return out
 }
 
-// TestWhatIsRelayedRefreshesWhoWasHeard and introduces nobody: a strange node is greeted
-// instead, once in a pause, and a former life is passed over.
-func TestWhatIsRelayedRefreshesWhoWasHeard(t *testing.T) {
+// TestRelayedAnnouncementsRefreshOnlyKnownProcesses: a relayed announcement of a process that
+// was not seen directly is not applied; the balancer introduces itself to the node instead,
+// once per pause. An announcement of a former process is ignored.
+func TestRelayedAnnouncementsRefreshOnlyKnownProcesses(t *testing.T) {
 	for name, c := range map[string]struct {
-		relayed fleet.Announcement
-		known   bool
-		greeted bool
-		busy    uint16
+		relayed     fleet.Announcement
+		known       bool
+		introduced  bool
+		outstanding uint16
 	}{
-		"of the process heard":  {farAnnouncement(7, 9, fleet.Ready), true, false, 3},
-		"older than known":      {farAnnouncement(7, 1, fleet.Ready), true, false, 0},
-		"of an earlier process": {farAnnouncement(6, 99, fleet.Ready), true, false, 0},
-		"of a strange process":  {farAnnouncement(8, 1, fleet.Ready), true, true, 0},
-		"of a strange node":     {farAnnouncement(7, 9, fleet.Ready), false, true, 0},
+		"of the current process":  {remoteAnnouncement(7, 9, fleet.Ready), true, false, 3},
+		"older than the last one": {remoteAnnouncement(7, 1, fleet.Ready), true, false, 0},
+		"of an earlier process":   {remoteAnnouncement(6, 99, fleet.Ready), true, false, 0},
+		"of an unknown process":   {remoteAnnouncement(8, 1, fleet.Ready), true, true, 0},
+		"of an unknown node":      {remoteAnnouncement(7, 9, fleet.Ready), false, true, 0},
 	} {
 		f := newFixture()
 		if c.known {
-			for _, a := range []fleet.Announcement{farAnnouncement(6, 1, fleet.Ready), farAnnouncement(7, 5, fleet.Ready)} {
-				f.HandleNode(f.now, farAgent, a.Append(nil))
+			for _, a := range []fleet.Announcement{remoteAnnouncement(6, 1, fleet.Ready), remoteAnnouncement(7, 5, fleet.Ready)} {
+				f.HandleNode(f.now, remoteAgent, a.Append(nil))
 			}
 		}
 		f.port.Nodes = nil
-		heard := f.now
+		seenAt := f.now
 		f.now = f.now.Add(time.Second)
 		c.relayed.Outstanding = 3
-		relayed := fleet.RelayedMessage{From: farAgent, Message: c.relayed.Append(nil)}
-		f.relays(relayed, relayed)
-		f.relays(relayed)
-		h, known := f.view.Target(farAgent)
+		relayed := fleet.RelayedMessage{From: remoteAgent, Message: c.relayed.Append(nil)}
+		f.receiveRelayed(relayed, relayed)
+		f.receiveRelayed(relayed)
+		target, known := f.view.Target(remoteAgent)
 		require.Equal(t, c.known, known, name)
 		if known {
-			require.Equal(t, uint64(7), h.Incarnation, name)
-			require.Equal(t, c.busy, h.Outstanding, name)
-			require.Equal(t, c.busy > 0, h.LastSeen.After(heard), name)
+			require.Equal(t, uint64(7), target.Incarnation, name)
+			require.Equal(t, c.outstanding, target.Outstanding, name)
+			require.Equal(t, c.outstanding > 0, target.LastSeen.After(seenAt), name)
 		}
-		require.Equal(t, c.greeted, len(f.sentTo(farAgent)) == 1, name)
+		require.Equal(t, c.introduced, len(f.sentTo(remoteAgent)) == 1, name)
 	}
 }
 
-// TestAnEndThatIsRelayedIsAskedFor: the target gets no new flow meanwhile, and its open
-// ones are not taken for over.
-func TestAnEndThatIsRelayedIsAskedFor(t *testing.T) {
+// TestARelayedGoneStateIsConfirmedWithTheAgent: until the agent confirms it, the target gets no
+// new flows, and its open flows do not count as ended.
+func TestARelayedGoneStateIsConfirmedWithTheAgent(t *testing.T) {
 	f := newFixture()
-	a := farAnnouncement(7, 1, fleet.Ready)
-	f.HandleNode(f.now, farAgent, a.Append(nil))
+	a := remoteAnnouncement(7, 1, fleet.Ready)
+	f.HandleNode(f.now, remoteAgent, a.Append(nil))
 	f.port.Nodes = nil
-	gone := farAnnouncement(7, 2, fleet.Gone)
+	gone := remoteAnnouncement(7, 2, fleet.Gone)
 	gone.Registration = fleet.RegistrationRemoved
-	f.relays(fleet.RelayedMessage{From: farAgent, Message: gone.Append(nil)})
-	h, _ := f.view.Target(farAgent)
-	require.Equal(t, fleet.Draining, h.State)
-	require.Equal(t, fleet.RegistrationPresent, h.Registration)
-	require.True(t, h.MayHoldFlows(f.now))
-	require.Equal(t, []envelope.Kind{envelope.Beacon}, f.sentTo(farAgent))
+	f.receiveRelayed(fleet.RelayedMessage{From: remoteAgent, Message: gone.Append(nil)})
+	target, _ := f.view.Target(remoteAgent)
+	require.Equal(t, fleet.Draining, target.State)
+	require.Equal(t, fleet.RegistrationPresent, target.Registration)
+	require.True(t, target.MayHoldFlows(f.now))
+	require.Equal(t, []envelope.Kind{envelope.Beacon}, f.sentTo(remoteAgent))
 
 	gone.Seq = 3
-	f.HandleNode(f.now, farAgent, gone.Append(nil))
-	require.Equal(t, fleet.Gone, h.State, "the agent says so")
+	f.HandleNode(f.now, remoteAgent, gone.Append(nil))
+	require.Equal(t, fleet.Gone, target.State, "the agent confirms it")
 }
 
-// TestARelayHandsWordsOnInItsZone: those of agents to balancers, those of balancers to all.
-func TestARelayHandsWordsOnInItsZone(t *testing.T) {
+// TestARelayForwardsMessagesWithinItsZone: announcements of agents to balancers, beacons of
+// balancers to balancers and agents.
+func TestARelayForwardsMessagesWithinItsZone(t *testing.T) {
 	f := newFixture()
 	f.hears(peer)
-	a, b := farAnnouncement(7, 1, fleet.Ready), fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: farZone}
-	f.HandleNode(f.now, farAgent, fleet.AppendRelay(nil, a.Append(nil)))
-	f.HandleNode(f.now, farPeer, fleet.AppendRelay(nil, b.Append(nil)))
+	a, b := remoteAnnouncement(7, 1, fleet.Ready), fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: remoteZone}
+	f.HandleNode(f.now, remoteAgent, fleet.AppendRelay(nil, a.Append(nil)))
+	f.HandleNode(f.now, remotePeer, fleet.AppendRelay(nil, b.Append(nil)))
 	for range int(zonecast.AgentFlushPeriod/tickPeriod) + 1 {
 		f.Tick(f.now)
 		f.now = f.now.Add(tickPeriod)
@@ -117,24 +120,25 @@
 	for _, s := range f.port.Nodes {
 		if messages, err := fleet.DecodeBatch(s.Raw); err == nil {
 			var from []flow.IPv4
-			for _, w := range messages {
-				from = append(from, w.From)
+			for _, m := range messages {
+				from = append(from, m.From)
 			}
 			batches[s.To] = append(batches[s.To], from)
 		}
 	}
 	require.Equal(t, map[flow.IPv4][][]flow.IPv4{
-		peer: {{farAgent, farPeer}}, targetA: {{farPeer}}, targetB: {{farPeer}},
+		peer: {{remoteAgent, remotePeer}}, targetA: {{remotePeer}}, targetB: {{remotePeer}},
 	}, batches)
 }
 
-// TestAMessageThatAnotherRelayHasSentIsNotRepeated.
+// TestAMessageThatAnotherRelayHasSentIsNotRepeated: a relay discards its buffered copy of a
+// message that it receives from another relay.
 func TestAMessageThatAnotherRelayHasSentIsNotRepeated(t *testing.T) {
 	f := newFixture()
 	f.hears(peer)
-	b := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: farZone}
-	f.HandleNode(f.now, farPeer, fleet.AppendRelay(nil, b.Append(nil)))
-	f.relays(fleet.RelayedMessage{From: farPeer, Message: b.Append(nil)})
+	b := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: remoteZone}
+	f.HandleNode(f.now, remotePeer, fleet.AppendRelay(nil, b.Append(nil)))
+	f.receiveRelayed(fleet.RelayedMessage{From: remotePeer, Message: b.Append(nil)})
 	for range int(zonecast.AgentFlushPeriod/tickPeriod) + 1 {
 		f.Tick(f.now)
 		f.now = f.now.Add(tickPeriod)
@@ -145,28 +149,28 @@
 	}
 }
 
-// TestASilentTargetOfAnotherZoneIsAsked before it counts as dead.
-func TestASilentTargetOfAnotherZoneIsAsked(t *testing.T) {
+// TestAnOverdueTargetOfAnotherZoneIsProbed: at least three times before it is overdue.
+func TestAnOverdueTargetOfAnotherZoneIsProbed(t *testing.T) {
 	f := newFixture()
-	a := farAnnouncement(7, 1, fleet.Ready)
-	f.HandleNode(f.now, farAgent, a.Append(nil))
+	a := remoteAnnouncement(7, 1, fleet.Ready)
+	f.HandleNode(f.now, remoteAgent, a.Append(nil))
 	a.Seq = 2
-	f.relays(fleet.RelayedMessage{From: farAgent, Message: a.Append(nil)})
+	f.receiveRelayed(fleet.RelayedMessage{From: remoteAgent, Message: a.Append(nil)})
 	f.port.Nodes = nil
-	h, _ := f.view.Target(farAgent)
-	for !h.Overdue(f.now) {
+	target, _ := f.view.Target(remoteAgent)
+	for !target.Overdue(f.now) {
 		f.sendRelayed(f.now)
 		f.now = f.now.Add(tickPeriod)
 	}
-	require.GreaterOrEqual(t, len(f.sentTo(farAgent)), 3)
+	require.GreaterOrEqual(t, len(f.sentTo(remoteAgent)), 3)
 }
 
 func TestMalformedBatchesChangeNothing(t *testing.T) {
 	f := newFixture()
 	for _, message := range [][]byte{nil, {1, 2, 3}, envelope.AppendPrefix(nil, envelope.Announce), envelope.AppendPrefix(nil, envelope.Beacon)} {
-		f.relays(fleet.RelayedMessage{From: farAgent, Message: message})
-		f.HandleNode(f.now, farAgent, fleet.AppendRelay(nil, message))
+		f.receiveRelayed(fleet.RelayedMessage{From: remoteAgent, Message: message})
+		f.HandleNode(f.now, remoteAgent, fleet.AppendRelay(nil, message))
 	}
-	require.False(t, f.view.HasTarget(farAgent))
-	require.Empty(t, f.sentTo(farAgent))
+	require.False(t, f.view.HasTarget(remoteAgent))
+	require.Empty(t, f.sentTo(remoteAgent))
 }
--- a/balancer/packetfront/relayed.go
+++ b/balancer/packetfront/relayed.go
@@ -9,8 +9,9 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// handleBatch takes what another balancer relays. Messages of processes that were not
-// heard themselves only tell whom to greet.
+// handleBatch handles a batch of messages that another balancer relays. A message of a
+// process that was not seen directly is not applied: this balancer introduces itself to
+// the node instead.
 func (c *Core) handleBatch(now time.Time, datagram []byte) error {
 	messages, err := fleet.DecodeBatch(datagram)
 	if err != nil {
@@ -33,7 +34,7 @@
 		return err
 	}
 	if id, e := fleet.DecodeMessageID(r.Message); e == nil && c.relays.forBalancers.Discard(r.From, id) {
-		// Who was first tells the agents too.
+		// The relay that sends a beacon first to the balancers also sends it to the agents.
 		c.relays.forAgents.Discard(r.From, id)
 	}
 	if kind == envelope.Announce {
@@ -56,16 +57,16 @@
 	return nil
 }
 
-// refreshTarget notes what others relay of a target, and asks its agent where that is
-// not enough.
+// refreshTarget applies a relayed announcement of a known target. The parts that are valid only
+// from the agent itself make the balancer probe the agent.
 func (c *Core) refreshTarget(now time.Time, ip flow.IPv4, a fleet.Announcement) {
-	h, _ := c.view.Target(ip)
-	a, ask := h.FilterRelayed(a)
+	t, _ := c.view.Target(ip)
+	a, probe := t.FilterRelayed(a)
 	if c.recordAnnouncement(now, ip, a) == fleet.Stale {
 		return
 	}
 	c.view.MarkRelayed(ip)
-	if ask {
+	if probe {
 		c.probeNamed(now, ip)
 	}
 }
@@ -85,25 +86,26 @@
 	return nil
 }
 
-// probeNamed greets a node that others name, or tell something new of, which then announces itself.
+// probeNamed probes a node that is known from relayed messages only, or whose relayed message
+// needs confirmation. The node answers with its own announcement or beacon.
 func (c *Core) probeNamed(now time.Time, ip flow.IPv4) {
 	if c.relays.introduced.Allow(now, ip, zonecast.RelayedIntroductionPause) {
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
 }
 
-// probeOverdue asks the nodes of other zones whose messages are not relayed any more.
+// probeOverdue probes the nodes of other zones whose relayed messages have stopped arriving.
 func (c *Core) probeOverdue(now time.Time) {
-	ask := func(ip flow.IPv4, heardAt time.Time) {
-		c.events.Probed(ip, now.Sub(heardAt))
+	probe := func(ip flow.IPv4, lastSeen time.Time) {
+		c.events.Probed(ip, now.Sub(lastSeen))
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
 	for _, ip := range c.view.TargetsToProbe(now, c.opts.Zone, c.relays.usesRelays) {
-		h, _ := c.view.Target(ip)
-		ask(ip, h.LastSeen)
+		t, _ := c.view.Target(ip)
+		probe(ip, t.LastSeen)
 	}
 	for _, ip := range c.view.PeersToProbe(now, c.opts.Zone, 0, c.relays.usesRelays) {
 		p, _ := c.view.Peer(ip)
-		ask(ip, p.LastSeen)
+		probe(ip, p.LastSeen)
 	}
 }
--- a/balancer/packetfront/settings.go
+++ b/balancer/packetfront/settings.go
@@ -6,7 +6,7 @@
 	"github.com/poppywall/poppywall/settings"
 )
 
-// Settings are the settings file of a balancer's packet front.
+// Settings are the settings of a balancer's packet front, as read from its settings file.
 type Settings struct {
 	// Name is shown in logs.
 	Name string `json:"name" validate:"required,hostname_rfc1123"`
@@ -21,32 +21,32 @@
 	Ready string `json:"ready" validate:"required,addrport4"`
 	// Metrics is the address of /metrics and /healthz; empty for none.
 	Metrics string `json:"metrics,omitempty" validate:"omitempty,addrport4"`
-	// Seeds are addresses of balancers to join by; their ports are not used.
+	// Seeds are addresses of balancers through which to join; their ports are not used.
 	Seeds []string `json:"seeds,omitempty" validate:"max=64,dive,addrport4"`
 	// Store is the address of the platform's store.
 	Store string `json:"store" validate:"required,addrport4"`
-	// OtherZoneCost is how much longer a target may be expected to take than one in
-	// another zone before that is preferred, in times that the typical target takes for a
-	// request.
+	// OtherZoneCost is the cost of crossing zones, in service times of the typical target: a
+	// target in another zone is preferred if its expected delay is shorter by more than that.
 	OtherZoneCost float64 `json:"otherZoneCost,omitempty" validate:"gte=0,lte=100"`
-	// OtherZonePrice states the same as a time, whatever requests take; zero leaves it to
-	// OtherZoneCost.
+	// OtherZonePrice is the same cost as a fixed time, independent of the service times; zero
+	// means that OtherZoneCost applies.
 	OtherZonePrice settings.Duration `json:"otherZonePrice,omitempty" validate:"gte=0,lte=60000000000"`
-	// LinkMbps is the width of the VM's link, Mbit/s; zero when it is not known. A
-	// balancer whose link is full leaves the rotation to others with larger ones.
+	// LinkMbps is the bandwidth of the VM's link in Mbit/s; zero if it is not known. A
+	// balancer whose link is full leaves the rotation while others with larger links can
+	// carry the traffic.
 	LinkMbps float64 `json:"linkMbps,omitempty" validate:"gte=0,lte=1000000"`
-	// LeaveDelay is how long a stopping balancer forwards on while the routers
-	// take it out.
+	// LeaveDelay is how long a stopping balancer keeps forwarding while the routers take it
+	// out of rotation.
 	LeaveDelay settings.Duration `json:"leaveDelay,omitempty" validate:"gte=0,lte=600000000000"`
-	// CatchUpWithin is how long a balancer may take to follow the configuration
-	// again after its connections to the store went silent.
+	// CatchUpWithin is the maximum time until a balancer follows the configuration again
+	// after its connections to the store went silent.
 	CatchUpWithin settings.Duration `json:"catchUpWithin,omitempty" validate:"gte=0,lte=3600000000000"`
 	Log           settings.Log      `json:"log"`
 }
 
-// Defaults returns the settings that a file may leave out. The routers miss two
-// checks at two a second before they take a balancer out; a third of a second is
-// for the packets on their way.
+// Defaults returns the default settings. The routers take a balancer out after two failed
+// readiness checks, at two checks a second; a third of a second of LeaveDelay is for the packets
+// in flight.
 func Defaults() Settings {
 	return Settings{
 		OtherZoneCost: 1,
--- a/balancer/packetfront/silence_test.go
+++ b/balancer/packetfront/silence_test.go
@@ -12,14 +12,15 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// zonal is a balancer of zone zero with six targets there and six in zone one, by zone.
-type zonal struct {
+// twoZoneFixture is a balancer of zone zero, with six targets in each of the zones zero and
+// one. targets is indexed by zone.
+type twoZoneFixture struct {
 	*fixture
 	targets [2][]flow.IPv4
 }
 
-func newZonal() *zonal {
-	z := &zonal{fixture: newFixture()}
+func newTwoZoneFixture() *twoZoneFixture {
+	z := &twoZoneFixture{fixture: newFixture()}
 	for zone := range z.targets {
 		for i := range 6 {
 			z.targets[zone] = append(z.targets[zone], flow.IPv4(0x0a020000+zone<<8+i))
@@ -28,8 +29,8 @@
 	return z
 }
 
-// speak lets the targets of zones repeat their words for a time.
-func (z *zonal) speak(d time.Duration, zones ...int) {
+// announceFor lets time pass while the targets of the given zones announce themselves.
+func (z *twoZoneFixture) announceFor(d time.Duration, zones ...int) {
 	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(tickPeriod) {
 		for _, zone := range zones {
 			for _, ip := range z.targets[zone] {
@@ -42,9 +43,9 @@
 	}
 }
 
-// offered opens flows and counts the candidates of each zone, whether they got the
-// opening packet or stand behind the one that did.
-func (z *zonal) offered(flows int) (counts [2]int) {
+// countCandidates opens flows and counts their candidates in each zone: the targets that get
+// the SYN and the further candidates in its envelope.
+func (z *twoZoneFixture) countCandidates(flows int) (counts [2]int) {
 	before := len(z.port.Delivered())
 	for i := range flows {
 		k := key
@@ -63,31 +64,31 @@
 	return counts
 }
 
-// TestASilentZoneGetsNoNewFlows, neither first nor along other candidates: packets that are
-// passed on there are lost with the whole try. Where every zone is silent all are tried, for it may
-// be this balancer that hears nothing.
+// TestASilentZoneGetsNoNewFlows: its targets are not even further candidates, since a SYN
+// that is passed on to one is lost, and the whole attempt with it. If every zone is silent, all
+// are used, because this balancer may be the one that is partitioned.
 func TestASilentZoneGetsNoNewFlows(t *testing.T) {
-	z := newZonal()
-	z.speak(3*time.Second, 0, 1)
-	counts := z.offered(50)
+	z := newTwoZoneFixture()
+	z.announceFor(3*time.Second, 0, 1)
+	counts := z.countCandidates(50)
 	require.Positive(t, counts[0])
 	require.Positive(t, counts[1])
-	z.speak(1500*time.Millisecond, 0)
-	counts = z.offered(50)
+	z.announceFor(1500*time.Millisecond, 0)
+	counts = z.countCandidates(50)
 	require.Positive(t, counts[0])
 	require.Zero(t, counts[1])
-	z.speak(300*time.Millisecond, 0, 1)
-	require.Positive(t, z.offered(50)[1], "heard again")
-	z.speak(1500 * time.Millisecond)
-	counts = z.offered(50)
+	z.announceFor(300*time.Millisecond, 0, 1)
+	require.Positive(t, z.countCandidates(50)[1], "the zone was seen again")
+	z.announceFor(1500 * time.Millisecond)
+	counts = z.countCandidates(50)
 	require.Positive(t, counts[0])
 	require.Positive(t, counts[1])
 }
 
-// TestACopyLeavesASilentZone: the first one was most likely lost there.
-func TestACopyLeavesASilentZone(t *testing.T) {
-	z := newZonal()
-	z.speak(3*time.Second, 0, 1)
+// TestARetransmittedSYNLeavesASilentZone: the original SYN was most likely lost there.
+func TestARetransmittedSYNLeavesASilentZone(t *testing.T) {
+	z := newTwoZoneFixture()
+	z.announceFor(3*time.Second, 0, 1)
 	k := key
 	for ; ; k.ClientPort++ {
 		z.client(packetOf(k, true, 0))
@@ -95,18 +96,19 @@
 			break
 		}
 	}
-	z.speak(1500*time.Millisecond, 0)
+	z.announceFor(1500*time.Millisecond, 0)
 	z.client(packetOf(k, true, 1))
 	require.Equal(t, envelope.Deliver, z.port.Last().Kind)
 	require.Contains(t, z.targets[0], z.port.Last().To)
 }
 
-// TestASilentZoneIsNoProof that a flow there is over: its packets still go there.
-func TestASilentZoneIsNoProof(t *testing.T) {
-	z := newZonal()
-	z.speak(3*time.Second, 0, 1)
+// TestFlowsInASilentZoneAreNotReset: silence does not prove that a flow there has ended, so its
+// packets still go to its target.
+func TestFlowsInASilentZoneAreNotReset(t *testing.T) {
+	z := newTwoZoneFixture()
+	z.announceFor(3*time.Second, 0, 1)
 	z.table.Put(z.now, key, z.targets[1][0])
-	z.speak(1500*time.Millisecond, 0)
+	z.announceFor(1500*time.Millisecond, 0)
 	require.True(t, z.view.IsZoneSilent(1))
 	z.client(packet(false, 0))
 	require.Equal(t, z.targets[1][0], z.port.Last().To)
--- a/balancer/packetfront/survey.go
+++ b/balancer/packetfront/survey.go
@@ -9,33 +9,34 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// avoidTime is how long a balancer is not asked for a reading of the registry after it has
-// not given one.
-const avoidTime = 5 * time.Second
+// snapshotRetryDelay is how long a balancer that failed to return a registry snapshot is not
+// asked again.
+const snapshotRetryDelay = 5 * time.Second
 
-// snapshotSources is where the readings of the agents' registry come from.
+// snapshotSources tracks where snapshots of the agents' registry can be fetched.
 type snapshotSources struct {
-	// searchedTargets is set once the balancer has looked for its first targets.
-	searchedTargets bool
-	// avoidUntil are balancers that have not given a reading, with when they may be asked
-	// again.
+	// checkedTargets is set once NeedsTargets has decided whether the registry is read for
+	// the first targets.
+	checkedTargets bool
+	// avoidUntil maps balancers that failed to return a snapshot to the time from which they
+	// may be asked again.
 	avoidUntil map[flow.IPv4]time.Time
 }
 
-// NeedsTargets tells, once, whether the registry is to name the balancer's first targets:
-// where it has heard of none within a moment of its start, nobody that it can reach knows
-// any yet.
+// NeedsTargets reports, at most once, whether the first targets have to be read from the
+// registry: if the balancer knows none search.BufferRetryInterval after its start, no node that
+// it can reach knows any yet.
 func (c *Core) NeedsTargets(now time.Time) bool {
-	if c.snapshots.searchedTargets || now.Sub(c.startedAt) < search.BufferRetryInterval {
+	if c.snapshots.checkedTargets || now.Sub(c.startedAt) < search.BufferRetryInterval {
 		return false
 	}
-	c.snapshots.searchedTargets = true
+	c.snapshots.checkedTargets = true
 	return c.view.TargetCount() == 0
 }
 
-// MustRegister tells whether the registry has to name this balancer: nodes that know nobody
-// find the others there. It is among the first of its zone, once it has had the time to
-// hear of them, or hears of no other one at all.
+// MustRegister reports whether this balancer needs a registry entry, through which nodes that
+// know no other node find it. It needs one if it is among the first balancers of its zone, once
+// it has had time to discover them, or if it knows no other balancer.
 func (c *Core) MustRegister(now time.Time) bool {
 	age := now.Sub(c.startedAt)
 	if c.view.BalancerCount() == 0 {
@@ -44,9 +45,9 @@
 	return age >= search.SettleTime && c.view.ShouldRegister(now, c.opts.Self, c.opts.Zone)
 }
 
-// SnapshotSources tells whether the registry of agents is to be read, and which balancers are to
-// be asked for a reading before the store is: those of the zone that watch it, by one that
-// does so itself only those before it. So the first one of a zone reads for all.
+// SnapshotSources reports whether a snapshot of the agents' registry is due, and returns the
+// balancers to ask for one before the store is read: the feeders of the zone. A feeder asks
+// only those with lower addresses, so that the first feeder of a zone reads for all.
 func (c *Core) SnapshotSources(now time.Time) (ask []flow.IPv4, due bool) {
 	if !c.proof.WantsSnapshot(now) {
 		return nil, false
@@ -58,21 +59,21 @@
 	return ask[:min(len(ask), fleet.FeedersPerZone)], true
 }
 
-// SnapshotFailed notes that a balancer that was asked has not given a reading.
+// SnapshotFailed records that a balancer failed to return a snapshot.
 func (c *Core) SnapshotFailed(now time.Time, from flow.IPv4) {
 	for ip, until := range c.snapshots.avoidUntil {
 		if !now.Before(until) {
 			delete(c.snapshots.avoidUntil, ip)
 		}
 	}
-	c.snapshots.avoidUntil[from] = now.Add(avoidTime)
+	c.snapshots.avoidUntil[from] = now.Add(snapshotRetryDelay)
 }
 
-// SnapshotPending notes that a balancer that was asked is reading the registry.
+// SnapshotPending records that a balancer that was asked is still reading the registry.
 func (c *Core) SnapshotPending() { c.proof.SnapshotPending() }
 
-// TakeSnapshot takes a reading of the agents' registry. Flows that waited for it are looked at
-// again.
+// TakeSnapshot applies a snapshot of the agents' registry, unless it is older than the last
+// one, and checks the flows again that all targets have denied.
 func (c *Core) TakeSnapshot(now time.Time, s fleet.Snapshot) {
 	if !c.proof.ApplySnapshot(now, s) {
 		return
