--- a/balancer/packetfront/bench_test.go
+++ b/balancer/packetfront/bench_test.go
@@ -32,7 +32,7 @@
 // BenchmarkForward measures a packet of a flow that is in the table.
 func BenchmarkForward(b *testing.B) {
 	f := benchCore(b)
-	f.client(packet(true, 0))
+	f.receiveFromClient(packet(true, 0))
 	p := packet(false, 9)
 	h, err := f.codec.Decode(p)
 	require.NoError(b, err)
@@ -86,7 +86,7 @@
 func BenchmarkSendBeacon(b *testing.B) {
 	f := newFixture()
 	for i := range flow.IPv4(230) {
-		f.announce(other+i, fleet.Ready)
+		f.announce(targetC+i, fleet.Ready)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/balancer/packetfront/cold_test.go
+++ b/balancer/packetfront/cold_test.go
@@ -51,8 +51,8 @@
 // TestBalancersShareAColdTargetsHeadroom: each of three balancers uses a third.
 func TestBalancersShareAColdTargetsHeadroom(t *testing.T) {
 	f := newColdRateFixture()
-	f.hears(peer)
-	f.hears(peer + 1)
+	f.receiveFirstBeacon(peer)
+	f.receiveFirstBeacon(peer + 1)
 	f.announceCold(targetA, 9)
 	require.Equal(t, 3, f.openFlows(40)[targetA])
 }
@@ -65,7 +65,7 @@
 	f.announceCold(targetB, 1)
 	require.Len(t, f.openFlows(10), 2)
 	require.Len(t, f.port.Resets, 8)
-	require.Zero(t, f.kept)
+	require.Zero(t, f.buffered)
 	env := f.port.Delivered()[0].Env
 	require.InDelta(t, coldRate, env.ColdRate, 0.1, "the agent receives the cold rate with the flow")
 }
@@ -79,7 +79,7 @@
 		k := key
 		k.ClientPort += uint16(f.seq)
 		p := platformtest.FromClient(k, flow.SYN, 0, 0, nil)
-		f.client(p)
+		f.receiveFromClient(p)
 	}
 	for _, sent := range f.port.Delivered() {
 		out[sent.To]++
--- a/balancer/packetfront/core.go
+++ b/balancer/packetfront/core.go
@@ -36,9 +36,9 @@
 	// FollowTime is how long after an answer of the store a balancer counts as following it:
 	// a watch's waiting time and its timeout.
 	FollowTime time.Duration
-	// RelayFrom is the number of balancers in a zone at and above which nodes of other zones
+	// RelayThreshold is the number of balancers in a zone at and above which nodes of other zones
 	// reach the zone through relays; zonecast.RelayThreshold if zero.
-	RelayFrom int
+	RelayThreshold int
 }
 
 // Timing of the core.
@@ -105,7 +105,7 @@
 	// be removed from it.
 	deadNodes    []DeadNode
 	nextRemoval  time.Time
-	relays       crossZone
+	relays       relayState
 	snapshots    snapshotSources
 	loads        serviceLoads
 	beaconRounds int
@@ -126,8 +126,8 @@
 
 // New returns the core of a balancer that has just started, with an empty view.
 func New(now time.Time, opts Options, port Port, codec flow.Codec, events Events, rnd *rand.Rand) *Core {
-	if opts.RelayFrom == 0 {
-		opts.RelayFrom = zonecast.RelayThreshold
+	if opts.RelayThreshold == 0 {
+		opts.RelayThreshold = zonecast.RelayThreshold
 	}
 	c := &Core{
 		opts: opts, port: port, codec: codec, events: events, rnd: rnd,
@@ -177,8 +177,8 @@
 	c.sendBeacons(now, c.directAgents())
 }
 
-// idle returns how long an idle flow stays in the table.
-func (c *Core) idle() time.Duration {
+// idleTimeout returns how long an idleTimeout flow stays in the table.
+func (c *Core) idleTimeout() time.Duration {
 	if c.operator.Config() == nil {
 		return minIdle
 	}
@@ -266,7 +266,7 @@
 	target, _ := c.view.Target(chosen.Target)
 	target.FlowsSent++
 	c.events.Opened(Decision{Key: key, Route: route.Name, Service: backend.Name, Target: target, Config: c.operator.Config().Version, Evacuations: c.operator.Evacuations().Revision,
-		Age: now.Sub(target.LastSeen), Expected: c.expectedDelay, OtherZone: target.Zone != c.opts.Zone, Candidates: len(candidates), Copy: h.Ack})
+		ReportAge: now.Sub(target.LastSeen), ExpectedDelay: c.expectedDelay, CrossZone: target.Zone != c.opts.Zone, Candidates: len(candidates), Retransmissions: h.Ack})
 	c.env = envelope.Envelope{
 		Kind: envelope.Deliver, Balancer: c.opts.Self, Service: chosen.Service, Priority: route.Priority,
 		Objective: route.Objective, Deadline: route.Deadline, ColdRate: c.operator.Config().ColdRates[backend.Tag],
@@ -298,7 +298,7 @@
 // target that accepted an earlier SYN.
 func (c *Core) refuse(key flow.Key, h *flow.Header, reason, route string) {
 	if h.Ack > 0 {
-		c.events.Dropped(DropCopyRefused)
+		c.events.Dropped(DropRetransmissionRefused)
 		return
 	}
 	c.events.Refused(key, reason, route)
--- a/balancer/packetfront/core_test.go
+++ b/balancer/packetfront/core_test.go
@@ -15,7 +15,7 @@
 func TestSYNRetransmissionsGoToTheFirstTarget(t *testing.T) {
 	f := newFixture()
 	for retransmissions := range byte(3) {
-		f.client(packet(true, retransmissions))
+		f.receiveFromClient(packet(true, retransmissions))
 	}
 	sent := f.port.Delivered()
 	require.Len(t, sent, 3)
@@ -27,18 +27,18 @@
 	require.Equal(t, envelope.Retransmitted, sent[1].Env.Flags)
 
 	lone := newFixture()
-	lone.client(packet(true, 2))
+	lone.receiveFromClient(packet(true, 2))
 	require.Zero(t, lone.port.Delivered()[0].Env.Flags, "this balancer has not handled an earlier SYN")
 }
 
 func TestNewFlowsAvoidDrainingAndGoneTargets(t *testing.T) {
 	f := newFixture()
 	f.announce(targetA, fleet.Draining)
-	f.client(packet(true, 0))
+	f.receiveFromClient(packet(true, 0))
 	require.Equal(t, targetB, f.port.Delivered()[0].To)
 	require.Zero(t, f.port.Delivered()[0].Env.Count)
 	f.announce(targetB, fleet.Gone)
-	f.client(packet(true, 0))
+	f.receiveFromClient(packet(true, 0))
 	require.Len(t, f.port.Resets, 1, "no target of the service")
 }
 
@@ -51,12 +51,12 @@
 	}{
 		"one of four": {[]flow.IPv4{targetA}, true},
 		"two of four": {[]flow.IPv4{targetA, targetB}, false},
-		"all":         {[]flow.IPv4{targetA, targetB, other, other + 1}, false},
+		"all":         {[]flow.IPv4{targetA, targetB, targetC, targetC + 1}, false},
 		"none":        {nil, false},
 	} {
 		f := newFixture()
-		f.announce(other, fleet.Ready)
-		f.announce(other+1, fleet.Ready)
+		f.announce(targetC, fleet.Ready)
+		f.announce(targetC+1, fleet.Ready)
 		for _, ip := range c.ejected {
 			f.seq++
 			a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, Ejected: true}
@@ -64,7 +64,7 @@
 		}
 		offered := false
 		for range 20 {
-			f.client(packet(true, 0))
+			f.receiveFromClient(packet(true, 0))
 			sent := f.port.Delivered()
 			last := sent[len(sent)-1]
 			targets := []flow.IPv4{last.To}
@@ -89,9 +89,9 @@
 	} {
 		f := newFixture()
 		p := packet(true, c.retransmissions)
-		f.client(p)
+		f.receiveFromClient(p)
 		f.now = f.now.Add(c.after)
-		f.answer(targetB, 0, p)
+		f.returnPacket(targetB, 0, p)
 		require.Len(t, f.port.Resets, c.resets, name)
 	}
 }
@@ -100,11 +100,11 @@
 func TestUnknownRoutesAndMissingConfigurationCauseNoReset(t *testing.T) {
 	f := newFixture()
 	f.SetConfig(f.now, &flow.Config{Version: 6})
-	f.client(packet(true, 0))
-	f.client(packet(false, 0))
+	f.receiveFromClient(packet(true, 0))
+	f.receiveFromClient(packet(false, 0))
 	fresh := newFixture()
 	fresh.forgetConfig(fresh.now)
-	fresh.client(packet(true, 0))
+	fresh.receiveFromClient(packet(true, 0))
 	require.Empty(t, append(f.port.Resets, fresh.port.Resets...))
 	require.Empty(t, append(f.port.Delivered(), fresh.port.Delivered()...))
 }
@@ -129,18 +129,18 @@
 
 func TestAnUnknownFlowIsSearchedForAndThenRemembered(t *testing.T) {
 	f := newFixture()
-	f.announce(other, fleet.Draining)
-	f.client(packet(false, 9))
+	f.announce(targetC, fleet.Draining)
+	f.receiveFromClient(packet(false, 9))
 	first := f.port.Delivered()[0]
 	require.Equal(t, 2, first.Env.Count, "every target that may hold it, draining ones too")
 	require.NotZero(t, first.Env.Flags&envelope.Search)
 	owner := envelope.Envelope{Kind: envelope.Owner}
-	f.HandleNode(f.now, other, envelope.AppendKey(owner.Append(nil), key))
-	f.client(packet(false, 9))
+	f.HandleNode(f.now, targetC, envelope.AppendKey(owner.Append(nil), key))
+	f.receiveFromClient(packet(false, 9))
 	second := f.port.Delivered()[1]
-	require.Equal(t, other, second.To)
+	require.Equal(t, targetC, second.To)
 	require.Zero(t, second.Env.Count)
-	f.answer(other, 0, packet(false, 9))
+	f.returnPacket(targetC, 0, packet(false, 9))
 	require.Len(t, f.port.Delivered(), 3, "the target does not hold the flow: it is searched for again")
 	require.Equal(t, 2, f.port.Delivered()[2].Env.Count)
 }
@@ -153,7 +153,7 @@
 		"seen recently": fleet.OverdueAfter / 2, "overdue": fleet.OverdueAfter + time.Millisecond, "expired": fleet.ExpireAfter + time.Second,
 	} {
 		f := newFixture()
-		f.client(packet(true, 0))
+		f.receiveFromClient(packet(true, 0))
 		opened := f.port.Delivered()[0].To
 		for end := f.now.Add(after); f.now.Before(end); {
 			f.now = f.now.Add(min(time.Second, end.Sub(f.now)))
@@ -161,7 +161,7 @@
 			f.Tick(f.now)
 			f.table.Get(f.now, key)
 		}
-		f.client(packet(false, 9))
+		f.receiveFromClient(packet(false, 9))
 		sent := f.port.Delivered()[1]
 		if after < fleet.OverdueAfter {
 			require.Equal(t, opened, sent.To, name)
@@ -185,14 +185,14 @@
 		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: f.seq}, Service: alpha, Zone: 9, State: fleet.Ready, Slots: 4}
 		f.HandleNode(f.now, 0x0a030000+i, a.Append(nil))
 	}
-	f.client(packet(true, 0))
+	f.receiveFromClient(packet(true, 0))
 	chosen := f.port.Delivered()[0]
 	candidates := map[flow.IPv4]bool{chosen.To: true}
 	for _, c := range chosen.Env.Candidates[:chosen.Env.Count] {
 		candidates[c.Target] = true
 	}
 	f.table.Drop(key, chosen.To)
-	f.client(packet(false, 9))
+	f.receiveFromClient(packet(false, 9))
 	sent := f.port.Delivered()[1]
 	probed := []flow.IPv4{sent.To}
 	for _, c := range sent.Env.Candidates[:2*searchFirstTargets-1] {
@@ -224,8 +224,8 @@
 	f := newFixture()
 	require.Empty(t, nodeListOf(f).IdleAgents)
 	digest := f.View().Digest(f.now, self)
-	f.announce(other, fleet.Gone)
-	require.Equal(t, []flow.IPv4{other}, nodeListOf(f).IdleAgents)
+	f.announce(targetC, fleet.Gone)
+	require.Equal(t, []flow.IPv4{targetC}, nodeListOf(f).IdleAgents)
 	require.ElementsMatch(t, []flow.IPv4{targetA, targetB}, nodeListOf(f).ActiveAgents)
 	require.NotEqual(t, digest, f.View().Digest(f.now, self), "balancers that do not know the agent must notice")
 	f.wait(fleet.OverdueAfter + time.Second)
@@ -233,10 +233,10 @@
 	f.View().Expire(f.now)
 
 	fresh := newFixture()
-	fleet.NodeList{IdleAgents: []flow.IPv4{other}}.Append(nil, func(msg []byte) { fresh.HandleNode(fresh.now, peer, msg) })
-	require.Equal(t, other, fresh.port.Nodes[0].To, "contacted")
-	fresh.client(packet(false, 9))
-	fresh.answer(targetB, envelope.SearchExhausted, packet(false, 9))
+	fleet.NodeList{IdleAgents: []flow.IPv4{targetC}}.Append(nil, func(msg []byte) { fresh.HandleNode(fresh.now, peer, msg) })
+	require.Equal(t, targetC, fresh.port.Nodes[0].To, "contacted")
+	fresh.receiveFromClient(packet(false, 9))
+	fresh.returnPacket(targetB, envelope.SearchExhausted, packet(false, 9))
 	require.Len(t, fresh.port.Resets, 1)
 }
 
--- a/balancer/packetfront/evacuations_test.go
+++ b/balancer/packetfront/evacuations_test.go
@@ -52,7 +52,7 @@
 		k := key
 		k.ClientPort += port
 		f.port.Nodes = nil
-		f.client(platformtest.FromClient(k, flow.SYN, 0, 0, nil))
+		f.receiveFromClient(platformtest.FromClient(k, flow.SYN, 0, 0, nil))
 		for _, sent := range f.port.Delivered() {
 			out[sent.To]++
 			for _, c := range sent.Env.Candidates[:sent.Env.Count] {
@@ -99,11 +99,11 @@
 func TestAServiceWhoseZonesAreAllEvacuatedIsRefusedAtOnce(t *testing.T) {
 	for name, age := range map[string]time.Duration{"settled": search.SettleTime + time.Second, "started a moment ago": search.FreshTime + time.Millisecond} {
 		f := newZonedFixture()
-		f.started(f.now.Add(-age))
+		f.restartAt(f.now.Add(-age))
 		f.receiveEvacuations(peer, evacuations(9, "b", "a"))
-		f.client(packet(true, 0))
+		f.receiveFromClient(packet(true, 0))
 		require.Len(t, f.port.Resets, 1, name)
-		require.Zero(t, f.kept, name)
+		require.Zero(t, f.buffered, name)
 		require.Empty(t, f.port.Delivered(), name)
 	}
 }
@@ -112,15 +112,15 @@
 // themselves to a balancer shortly after its start.
 func TestSYNsAreBufferedWhileOnlyEvacuatedTargetsAreKnown(t *testing.T) {
 	f := newZonedFixture()
-	f.started(f.now)
+	f.restartAt(f.now)
 	f.receiveEvacuations(peer, evacuations(9, "a", "b"))
-	f.client(packet(true, 0))
+	f.receiveFromClient(packet(true, 0))
 	require.Empty(t, f.port.Resets)
-	f.announceIn(other, "c", false)
+	f.announceIn(targetC, "c", false)
 	f.now = f.now.Add(search.BufferRetryInterval)
 	f.Tick(f.now)
 	sent := f.port.Delivered()
-	require.Equal(t, other, sent[len(sent)-1].To)
+	require.Equal(t, targetC, sent[len(sent)-1].To)
 }
 
 // TestOpenFlowsOfAnEvacuatedZoneContinue: their packets are neither sent to another target nor
@@ -130,11 +130,11 @@
 	f.table.Put(f.now, key, targetA)
 	f.SetEvacuations(f.now, evacuations(9, "a"))
 	f.port.Nodes = nil
-	f.client(packet(false, 7))
+	f.receiveFromClient(packet(false, 7))
 	require.Equal(t, targetA, f.port.Delivered()[0].To)
 	f.table.Drop(key, targetA)
 	f.port.Nodes = nil
-	f.client(packet(false, 7))
+	f.receiveFromClient(packet(false, 7))
 	probed := []flow.IPv4{}
 	for _, sent := range f.port.Delivered() {
 		probed = append(probed, sent.To)
@@ -150,7 +150,7 @@
 // received the evacuation.
 func TestASYNRetransmissionLeavesAnEvacuatedZone(t *testing.T) {
 	f := newZonedFixture()
-	f.client(packet(true, 0))
+	f.receiveFromClient(packet(true, 0))
 	first := f.port.Delivered()[0].To
 	zone, remaining := "a", targetB
 	if first == targetB {
@@ -158,7 +158,7 @@
 	}
 	f.SetEvacuations(f.now, evacuations(9, zone))
 	f.port.Nodes = nil
-	f.client(packet(true, 1))
+	f.receiveFromClient(packet(true, 1))
 	require.Equal(t, remaining, f.port.Delivered()[0].To)
 }
 
@@ -168,7 +168,7 @@
 	f := newZonedFixture()
 	f.announceIn(targetB, "b", true)
 	for i := range flow.IPv4(3) {
-		f.announceIn(other+i, "a", false)
+		f.announceIn(targetC+i, "a", false)
 	}
 	require.NotContains(t, f.openFlowsAvoiding(t), targetB)
 	f.SetEvacuations(f.now, evacuations(9, "a"))
@@ -181,7 +181,7 @@
 // changes no zone is not sent on.
 func TestEvacuationsAreAnnouncedAtOnce(t *testing.T) {
 	f := newZonedFixture()
-	f.hears(peer)
+	f.receiveFirstBeacon(peer)
 	notified := func(do func()) (out []flow.IPv4) {
 		f.port.Nodes = nil
 		do()
--- a/balancer/packetfront/events.go
+++ b/balancer/packetfront/events.go
@@ -21,16 +21,16 @@
 // Reasons for dropping a packet, in addition to those of package search.
 const (
 	DropMalformed DropReason = "malformed"
-	// DropCopyRefused is a refused SYN that is not answered with a reset, because the flow may
+	// DropRetransmissionRefused is a refused SYN that is not answered with a reset, because the flow may
 	// be open by an earlier or later SYN.
-	DropCopyRefused DropReason = "copy-refused"
+	DropRetransmissionRefused DropReason = "copy-refused"
 	// DropNotRelayed is a message of another zone's node that this balancer should have relayed,
 	// but could not buffer or did not send in time.
 	DropNotRelayed DropReason = "not relayed"
 )
 
 // DropReasons lists all reasons for dropping a packet.
-var DropReasons = []DropReason{DropMalformed, search.DropNoRoute, search.DropNoCandidate, search.DropExpired, DropCopyRefused, search.DropLateAnswer, DropNotRelayed}
+var DropReasons = []DropReason{DropMalformed, search.DropNoRoute, search.DropNoCandidate, search.DropExpired, DropRetransmissionRefused, search.DropLateAnswer, DropNotRelayed}
 
 // Decision is the choice of a target for a SYN, with the data it was based on.
 type Decision struct {
@@ -41,16 +41,16 @@
 	// zones, Age the age of the target's load report.
 	Config      int64
 	Evacuations int64
-	Age         time.Duration
-	// Expected is the expected delay at the cheapest target, including the cost of crossing
+	ReportAge   time.Duration
+	// ExpectedDelay is the expected delay at the cheapest target, including the cost of crossing
 	// zones; the SYN may have been sent to another target.
-	Expected time.Duration
+	ExpectedDelay time.Duration
 	// Candidates is the number of targets that the SYN may be offered to.
 	Candidates int
-	// OtherZone is set if the target is in another zone.
-	OtherZone bool
-	// Copy is how many times the client had sent the SYN before.
-	Copy uint32
+	// CrossZone is set if the target is in another zone.
+	CrossZone bool
+	// Retransmissions is how many times the client had sent the SYN before.
+	Retransmissions uint32
 }
 
 // Events receives the decisions of a core.
@@ -69,9 +69,9 @@
 	// TargetChanged reports that a target has joined, or that its service, incarnation or
 	// state has changed.
 	TargetChanged(t *fleet.Target, change fleet.Change)
-	// TargetForgotten reports that a target was removed from the view because it was not seen
+	// TargetExpired reports that a target was removed from the view because it was not seen
 	// for fleet.ExpireAfter.
-	TargetForgotten(ip flow.IPv4)
+	TargetExpired(ip flow.IPv4)
 	// ZoneSilenceChanged reports that a zone has become silent, or no longer is.
 	ZoneSilenceChanged(s fleet.ZoneSilence)
 	// PeerChanged reports that another balancer has joined or was removed from the view.
--- a/balancer/packetfront/finder_test.go
+++ b/balancer/packetfront/finder_test.go
@@ -22,7 +22,7 @@
 // view.
 func newUnconfigured() *fixture {
 	f := &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)}
-	f.Core = New(f.now, Options{Self: self, Incarnation: 1}, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, rand.New(rand.NewPCG(1, 1)))
+	f.Core = New(f.now, Options{Self: self, Incarnation: 1}, f.port, platform.Codec{}, eventRecorder{&f.uncertainty, &f.buffered}, rand.New(rand.NewPCG(1, 1)))
 	return f
 }
 
@@ -38,7 +38,7 @@
 func TestPacketsAreBufferedUntilTheyCanBeRouted(t *testing.T) {
 	for name, p := range map[string][]byte{"a new flow": packet(true, 0), "an open flow": packet(false, 9)} {
 		f := newUnconfigured()
-		f.client(p)
+		f.receiveFromClient(p)
 		f.runTicks(2 * search.BufferRetryInterval)
 		require.Empty(t, f.port.Delivered(), name)
 		f.SetConfig(f.now, config(5))
@@ -60,38 +60,40 @@
 		flags   envelope.Flags
 		want    Uncertainty
 	}{
-		"all have denied":             {want: ""},
-		"one is uncertain":            {flags: envelope.Uncertain, want: search.UncertainTarget},
-		"an agent was not seen":       {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other))) }, want: search.UncertainMissing},
+		"all have denied":  {want: ""},
+		"one is uncertain": {flags: envelope.Uncertain, want: search.UncertainTarget},
+		"an agent was not seen": {prepare: func(f *fixture) {
+			f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, targetC)))
+		}, want: search.UncertainMissing},
 		"an agent is not registered":  {prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA))) }, want: search.UncertainRegistry},
-		"no snapshot of the registry": {prepare: func(f *fixture) { f.started(f.now.Add(-time.Minute)) }, want: search.UncertainSnapshot},
+		"no snapshot of the registry": {prepare: func(f *fixture) { f.restartAt(f.now.Add(-time.Minute)) }, want: search.UncertainSnapshot},
 		"another balancer names an agent": {
 			prepare: func(f *fixture) {
-				fleet.NodeList{ActiveAgents: []flow.IPv4{other}}.Append(nil, func(msg []byte) { f.HandleNode(f.now, peer, msg) })
+				fleet.NodeList{ActiveAgents: []flow.IPv4{targetC}}.Append(nil, func(msg []byte) { f.HandleNode(f.now, peer, msg) })
 			},
 			want: search.UncertainMissing,
 		},
 		"no seed was seen": {
 			prepare: func(f *fixture) {
-				f.started(f.now.Add(-search.FreshTime))
+				f.restartAt(f.now.Add(-search.FreshTime))
 				f.SetSeeds([]flow.IPv4{self, peer})
 			},
 			want: search.UncertainFresh,
 		},
 		"a seed joined a moment ago": {
 			prepare: func(f *fixture) {
-				f.started(f.now.Add(-search.FreshTime))
+				f.restartAt(f.now.Add(-search.FreshTime))
 				f.SetSeeds([]flow.IPv4{self, peer})
-				f.hears(peer)
+				f.receiveFirstBeacon(peer)
 				f.now = f.now.Add(search.FreshTime - 1)
 			},
 			want: search.UncertainFresh,
 		},
 		"a seed joined earlier": {
 			prepare: func(f *fixture) {
-				f.started(f.now.Add(-search.FreshTime))
+				f.restartAt(f.now.Add(-search.FreshTime))
 				f.SetSeeds([]flow.IPv4{self, peer})
-				f.hears(peer)
+				f.receiveFirstBeacon(peer)
 				f.now = f.now.Add(search.FreshTime)
 				f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 			},
@@ -102,9 +104,9 @@
 		if c.prepare != nil {
 			c.prepare(f)
 		}
-		f.client(packet(false, 9))
-		f.answer(targetB, envelope.SearchExhausted|c.flags, packet(false, 9))
-		require.Equal(t, c.want, f.doubt, name)
+		f.receiveFromClient(packet(false, 9))
+		f.returnPacket(targetB, envelope.SearchExhausted|c.flags, packet(false, 9))
+		require.Equal(t, c.want, f.uncertainty, name)
 		require.Equal(t, c.want == "", len(f.port.Resets) == 1, name)
 	}
 }
@@ -113,8 +115,8 @@
 // the target is found.
 func TestTicksRepeatASearch(t *testing.T) {
 	f := newFixture()
-	f.client(packet(false, 9))
-	f.client(packet(false, 10))
+	f.receiveFromClient(packet(false, 9))
+	f.receiveFromClient(packet(false, 10))
 	require.Len(t, f.port.Delivered(), 1)
 	f.runTicks(searchRetryPause + tickPeriod)
 	require.Len(t, f.port.Delivered(), 2, "searched for again")
--- a/balancer/packetfront/fixture_test.go
+++ b/balancer/packetfront/fixture_test.go
@@ -19,7 +19,7 @@
 	self    = flow.IPv4(0x0a000001)
 	targetA = flow.IPv4(0x0a010001)
 	targetB = flow.IPv4(0x0a010002)
-	other   = flow.IPv4(0x0a010003)
+	targetC = flow.IPv4(0x0a010003)
 	peer    = flow.IPv4(0x0a000002)
 )
 
@@ -28,41 +28,41 @@
 	front = flow.Front{IP: 7, Port: 80}
 )
 
-// quiet implements Events. It records the uncertainty of the last lost packet and counts buffered
+// eventRecorder implements Events. It records the uncertainty of the last lost packet and counts buffered
 // packets.
-type quiet struct {
-	doubt *Uncertainty
-	kept  *int
+type eventRecorder struct {
+	uncertainty *Uncertainty
+	buffered    *int
 }
 
-func (quiet) Forwarded()                                           {}
-func (quiet) Opened(Decision)                                      {}
-func (quiet) Refused(flow.Key, string, string)                     {}
-func (quiet) OverloadChanged(Overload)                             {}
-func (quiet) Searching(flow.Key, int, int)                         {}
-func (quiet) OwnerFound(flow.Key, flow.IPv4, int)                  {}
-func (q quiet) Lost(_ flow.Key, _ int, d Uncertainty, _ flow.IPv4) { *q.doubt = d }
-func (q quiet) Buffered(flow.Key, BufferReason)                    { *q.kept++ }
-func (quiet) Dropped(DropReason)                                   {}
-func (quiet) TargetChanged(*fleet.Target, fleet.Change)            {}
-func (quiet) TargetForgotten(flow.IPv4)                            {}
-func (quiet) PeerChanged(flow.IPv4, string)                        {}
-func (quiet) ZoneSilenceChanged(fleet.ZoneSilence)                 {}
-func (quiet) ZoneRelayed(flow.Tag, int, bool)                      {}
-func (quiet) Relayed(int)                                          {}
-func (quiet) Probed(flow.IPv4, time.Duration)                      {}
-func (quiet) RotationChanged(bool, float64, float64, int)          {}
-func (quiet) EvacuationsChanged(_, _ flow.Evacuations, _ string)   {}
+func (eventRecorder) Forwarded()                                           {}
+func (eventRecorder) Opened(Decision)                                      {}
+func (eventRecorder) Refused(flow.Key, string, string)                     {}
+func (eventRecorder) OverloadChanged(Overload)                             {}
+func (eventRecorder) Searching(flow.Key, int, int)                         {}
+func (eventRecorder) OwnerFound(flow.Key, flow.IPv4, int)                  {}
+func (q eventRecorder) Lost(_ flow.Key, _ int, d Uncertainty, _ flow.IPv4) { *q.uncertainty = d }
+func (q eventRecorder) Buffered(flow.Key, BufferReason)                    { *q.buffered++ }
+func (eventRecorder) Dropped(DropReason)                                   {}
+func (eventRecorder) TargetChanged(*fleet.Target, fleet.Change)            {}
+func (eventRecorder) TargetExpired(flow.IPv4)                              {}
+func (eventRecorder) PeerChanged(flow.IPv4, string)                        {}
+func (eventRecorder) ZoneSilenceChanged(fleet.ZoneSilence)                 {}
+func (eventRecorder) ZoneRelayed(flow.Tag, int, bool)                      {}
+func (eventRecorder) Relayed(int)                                          {}
+func (eventRecorder) Probed(flow.IPv4, time.Duration)                      {}
+func (eventRecorder) RotationChanged(bool, float64, float64, int)          {}
+func (eventRecorder) EvacuationsChanged(_, _ flow.Evacuations, _ string)   {}
 
 // fixture is a balancer, usually settled and with two targets of a service. doubt is the uncertainty
 // of the last lost packet, kept the number of buffered packets.
 type fixture struct {
 	*Core
-	port  *envelopetest.Recorder
-	now   time.Time
-	seq   uint32
-	doubt Uncertainty
-	kept  int
+	port        *envelopetest.Recorder
+	now         time.Time
+	seq         uint32
+	uncertainty Uncertainty
+	buffered    int
 }
 
 func newFixture() *fixture { return fixtureIn(0) }
@@ -71,7 +71,7 @@
 func fixtureIn(zone flow.Tag) *fixture {
 	f := &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)}
 	opts := Options{Self: self, Zone: zone, Incarnation: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}}
-	f.Core = New(f.now, opts, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, rand.New(rand.NewPCG(1, 1)))
+	f.Core = New(f.now, opts, f.port, platform.Codec{}, eventRecorder{&f.uncertainty, &f.buffered}, rand.New(rand.NewPCG(1, 1)))
 	f.SetConfig(f.now, config(5))
 	f.now = f.now.Add(search.SettleTime + time.Second)
 	f.announce(targetA, fleet.Ready)
@@ -86,8 +86,8 @@
 	*c.operator = *operator.New(now, operator.Options{Self: c.opts.Self, Zone: c.opts.Zone, FollowTime: c.opts.FollowTime}, c.view, listener{c}, c.rnd)
 }
 
-// started makes the balancer one that started at the given time and has no registry snapshot.
-func (f *fixture) started(at time.Time) {
+// restartAt makes the balancer one that restartAt at the given time and has no registry snapshot.
+func (f *fixture) restartAt(at time.Time) {
 	f.startedAt = at
 	*f.proof = *search.NewProof(at, self, nil, f.view)
 }
@@ -115,8 +115,8 @@
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
-// hears delivers the first beacon of another balancer.
-func (f *fixture) hears(ip flow.IPv4) {
+// receiveFirstBeacon delivers the first beacon of another balancer.
+func (f *fixture) receiveFirstBeacon(ip flow.IPv4) {
 	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}, Digest: f.View().Digest(f.now, self)}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
@@ -136,8 +136,8 @@
 	return platformtest.FromClient(key, flags, 0, uint32(ack), nil)
 }
 
-// client delivers a packet from a client.
-func (f *fixture) client(p []byte) {
+// receiveFromClient delivers a packet from a receiveFromClient.
+func (f *fixture) receiveFromClient(p []byte) {
 	h, err := platform.DecodePacket(p)
 	if err != nil {
 		panic(err)
@@ -145,9 +145,9 @@
 	f.HandleClient(f.now, &h, p)
 }
 
-// answer returns a packet to the balancer in the envelope of the last delivered one, as an agent
+// returnPacket returns a packet to the balancer in the envelope of the last delivered one, as an agent
 // does.
-func (f *fixture) answer(from flow.IPv4, flags envelope.Flags, p []byte) {
+func (f *fixture) returnPacket(from flow.IPv4, flags envelope.Flags, p []byte) {
 	sent := f.port.Delivered()
 	e := sent[len(sent)-1].Env
 	e.Kind, e.Count = envelope.Returned, 0
--- a/balancer/packetfront/front.go
+++ b/balancer/packetfront/front.go
@@ -203,8 +203,8 @@
 	return ready
 }
 
-// Targets returns the number of known targets.
-func (f *Front) Targets() (count int) {
+// TargetCount returns the number of known targets.
+func (f *Front) TargetCount() (count int) {
 	f.locked(func(time.Time) { count = f.core.view.TargetCount() })
 	return count
 }
--- a/balancer/packetfront/join_test.go
+++ b/balancer/packetfront/join_test.go
@@ -22,7 +22,7 @@
 	f := newFixture()
 	opts := f.opts
 	opts.Seeds = []flow.IPv4{self, peer, seed}
-	f.Core = New(f.now, opts, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, f.rnd)
+	f.Core = New(f.now, opts, f.port, platform.Codec{}, eventRecorder{&f.uncertainty, &f.buffered}, f.rnd)
 	startedAt, introducedAt := f.now, map[flow.IPv4][]time.Duration{}
 	for f.now.Sub(startedAt) < search.SettleTime {
 		f.port.Nodes = nil
--- a/balancer/packetfront/keeper.go
+++ b/balancer/packetfront/keeper.go
@@ -63,7 +63,7 @@
 	targets, balancers := c.view.Expire(now)
 	c.digestAt = time.Time{}
 	for _, e := range targets {
-		c.events.TargetForgotten(e.IP)
+		c.events.TargetExpired(e.IP)
 		c.table.DropTarget(e.IP)
 	}
 	for _, e := range balancers {
--- a/balancer/packetfront/keeper_test.go
+++ b/balancer/packetfront/keeper_test.go
@@ -59,9 +59,11 @@
 			want: []DeadNode{agent(targetB), {fleet.RoleBalancer, fleet.Entry{IP: lowerPeer, Incarnation: uint64(lowerPeer)}}},
 		},
 		"a registered agent was never seen": {
-			prepare: func(f *fixture) { f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, other))) },
-			agents:  []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higherPeer},
-			want: []DeadNode{registeredAgent(other)},
+			prepare: func(f *fixture) {
+				f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB, targetC)))
+			},
+			agents: []flow.IPv4{targetA, targetB}, balancers: []flow.IPv4{higherPeer},
+			want: []DeadNode{registeredAgent(targetC)},
 		},
 		"a registered balancer was never seen": {
 			prepare: func(f *fixture) {
--- a/balancer/packetfront/nodes.go
+++ b/balancer/packetfront/nodes.go
@@ -175,7 +175,7 @@
 func (c *Core) refuseReturned(now time.Time, key flow.Key, h *flow.Header) {
 	target, openedAt := c.table.SYNRecord(key)
 	if now.Sub(openedAt) > refuseWithin {
-		c.events.Dropped(DropCopyRefused)
+		c.events.Dropped(DropRetransmissionRefused)
 		return
 	}
 	c.table.Drop(key, target)
@@ -247,7 +247,7 @@
 }
 
 func (c *Core) expire(now time.Time) {
-	c.table.Expire(now, c.idle())
+	c.table.Expire(now, c.idleTimeout())
 	c.expireNodes(now)
 }
 
@@ -308,7 +308,7 @@
 	m.Evacuations = c.Evacuations()
 	m.InRotation = c.Ready(now)
 	m.LinkMbps = encodeMbps(c.opts.LinkMbps)
-	m.SentMbps = encodeMbps(c.rotation.mbps())
+	m.SentMbps = encodeMbps(c.rotation.sentMbps())
 	m.Digest = c.digest(now)
 	m.Period = c.periodTo(to)
 	m.Leaving = c.leaving
--- a/balancer/packetfront/observer.go
+++ b/balancer/packetfront/observer.go
@@ -99,19 +99,19 @@
 // Opened implements Events.
 func (o *observer) Opened(d Decision) {
 	o.opened.Inc()
-	o.loadReportAge.Observe(d.Age.Seconds())
-	o.expectedDelay.Observe(d.Expected.Seconds())
-	if d.OtherZone {
+	o.loadReportAge.Observe(d.ReportAge.Seconds())
+	o.expectedDelay.Observe(d.ExpectedDelay.Seconds())
+	if d.CrossZone {
 		o.crossZoneFlows.Inc()
 	}
 	o.Write(&o.opening, "flow sent to target",
 		zap.Stringer(fieldFlow, d.Key), zap.String(fieldRoute, d.Route),
 		zap.String(telemetry.FieldService, d.Service), zap.Stringer(fieldTarget, d.Target.IP),
 		zap.Uint16(fieldLoad, d.Target.Outstanding), zap.Uint16(fieldSlots, d.Target.Slots),
-		zap.Int(fieldFlowsSent, d.Target.FlowsSent-1), zap.Int64(fieldAnswerInterval, d.Target.AnswerInterval.Microseconds()), zap.Int64(fieldExpectedDelay, d.Expected.Milliseconds()),
-		zap.Bool(fieldCrossZone, d.OtherZone),
-		zap.Int64(fieldLoadReportAge, d.Age.Milliseconds()), zap.Int64(telemetry.FieldConfig, d.Config), zap.Int64(telemetry.FieldEvacuations, d.Evacuations),
-		zap.Int(fieldCandidates, d.Candidates), zap.Uint32(fieldRetransmission, d.Copy))
+		zap.Int(fieldFlowsSent, d.Target.FlowsSent-1), zap.Int64(fieldAnswerInterval, d.Target.AnswerInterval.Microseconds()), zap.Int64(fieldExpectedDelay, d.ExpectedDelay.Milliseconds()),
+		zap.Bool(fieldCrossZone, d.CrossZone),
+		zap.Int64(fieldLoadReportAge, d.ReportAge.Milliseconds()), zap.Int64(telemetry.FieldConfig, d.Config), zap.Int64(telemetry.FieldEvacuations, d.Evacuations),
+		zap.Int(fieldCandidates, d.Candidates), zap.Uint32(fieldRetransmission, d.Retransmissions))
 }
 
 // Refused implements Events.
@@ -176,8 +176,8 @@
 		zap.Uint32("incarnation", uint32(t.TargetIncarnation)), zap.Uint16(fieldSlots, t.Slots), zap.Uint16("warmup_ms", t.WarmupMillis))
 }
 
-// TargetForgotten implements Events.
-func (o *observer) TargetForgotten(ip flow.IPv4) {
+// TargetExpired implements Events.
+func (o *observer) TargetExpired(ip flow.IPv4) {
 	o.Log.Info("target expired", zap.Stringer(fieldTarget, ip))
 }
 
--- a/balancer/packetfront/overload_test.go
+++ b/balancer/packetfront/overload_test.go
@@ -19,7 +19,7 @@
 
 // overloadRecorder records the changes of overload, and counts dropped packets by reason.
 type overloadRecorder struct {
-	quiet
+	eventRecorder
 	changes []Overload
 	drops   map[DropReason]int
 }
@@ -47,7 +47,7 @@
 		fixture:  &fixture{port: &envelopetest.Recorder{}, now: time.Unix(1_700_000_000, 0)},
 		recorder: &overloadRecorder{drops: map[DropReason]int{}},
 	}
-	f.recorder.quiet = quiet{&f.doubt, &f.kept}
+	f.recorder.eventRecorder = eventRecorder{&f.uncertainty, &f.buffered}
 	f.Core = New(f.now, Options{Self: self, Zone: 1, Incarnation: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}},
 		f.port, platform.Codec{}, f.recorder, rand.New(rand.NewPCG(1, 1)))
 	backends := []flow.Backend{{Name: "alpha", Tag: alpha, Weight: 1}}
@@ -87,7 +87,7 @@
 
 // sendSYN sends a SYN that its client has sent the given number of times before.
 func (f *overloadFixture) sendSYN(k flow.Key, retransmissions uint32) {
-	f.client(platformtest.FromClient(k, flow.SYN, 0, retransmissions, nil))
+	f.receiveFromClient(platformtest.FromClient(k, flow.SYN, 0, retransmissions, nil))
 }
 
 // returnLastSYN returns the last SYN to the balancer as refused by all candidates.
--- a/balancer/packetfront/plan_test.go
+++ b/balancer/packetfront/plan_test.go
@@ -39,7 +39,7 @@
 		"unobserved before slow": {
 			func(f *fixture, ip flow.IPv4) {
 				f.announce(ip, fleet.Ready)
-				f.announceLoad(other+1, flow.TagOf("third"), 40, fast)
+				f.announceLoad(targetC+1, flow.TagOf("third"), 40, fast)
 			},
 			func(f *fixture, ip flow.IPv4) { f.announceLoad(ip, 0, 0, 7*fast) },
 		},
@@ -58,7 +58,7 @@
 	} {
 		f := newFixture()
 
-		f.announceLoad(other, flow.TagOf("third"), 40, fast)
+		f.announceLoad(targetC, flow.TagOf("third"), 40, fast)
 		c.a(f, targetA)
 		c.b(f, targetB)
 		chosen := map[flow.IPv4]int{}
--- a/balancer/packetfront/relay.go
+++ b/balancer/packetfront/relay.go
@@ -21,9 +21,9 @@
 	maxIntroduced = 1 << 15
 )
 
-// crossZone is the state of the exchange with other zones: the messages that this balancer
+// relayState is the state of the exchange with other zones: the messages that this balancer
 // relays within its zone, and how it reaches the nodes of other zones.
-type crossZone struct {
+type relayState struct {
 	forBalancers, forAgents zonecast.RelayBuffer
 	nextProbe               time.Time
 	// usesRelays is set while nodes of other zones reach the local zone through relays.
@@ -34,13 +34,13 @@
 	planner zonecast.Planner
 }
 
-func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) crossZone {
+func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) relayState {
 	self := opts.Self
-	return crossZone{
+	return relayState{
 		forBalancers: zonecast.RelayBuffer{FlushPeriod: zonecast.FlushPeriod, Self: self},
 		forAgents:    zonecast.RelayBuffer{FlushPeriod: zonecast.AgentFlushPeriod, Self: self},
 		introduced:   zonecast.IntroductionLimiter{MaxNodes: maxIntroduced},
-		planner:      zonecast.Planner{Self: self, Zone: opts.Zone, RelayThreshold: opts.RelayFrom, RecentWithin: relayFreshness, OnChange: report},
+		planner:      zonecast.Planner{Self: self, Zone: opts.Zone, RelayThreshold: opts.RelayThreshold, RecentWithin: relayFreshness, OnChange: report},
 	}
 }
 
@@ -130,7 +130,7 @@
 	}
 	if !now.Before(c.relays.nextProbe) {
 		c.relays.nextProbe = now.Add(probeCheckPeriod)
-		c.relays.usesRelays = c.view.BalancerCountIn(c.opts.Zone)+1 >= c.opts.RelayFrom
+		c.relays.usesRelays = c.view.BalancerCountIn(c.opts.Zone)+1 >= c.opts.RelayThreshold
 		c.probeOverdue(now)
 	}
 }
--- a/balancer/packetfront/relay_test.go
+++ b/balancer/packetfront/relay_test.go
@@ -108,7 +108,7 @@
 // balancers to balancers and agents.
 func TestARelayForwardsMessagesWithinItsZone(t *testing.T) {
 	f := newFixture()
-	f.hears(peer)
+	f.receiveFirstBeacon(peer)
 	a, b := remoteAnnouncement(7, 1, fleet.Ready), fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: remoteZone}
 	f.HandleNode(f.now, remoteAgent, fleet.AppendRelay(nil, a.Append(nil)))
 	f.HandleNode(f.now, remotePeer, fleet.AppendRelay(nil, b.Append(nil)))
@@ -135,7 +135,7 @@
 // message that it receives from another relay.
 func TestAMessageThatAnotherRelayHasSentIsNotRepeated(t *testing.T) {
 	f := newFixture()
-	f.hears(peer)
+	f.receiveFirstBeacon(peer)
 	b := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: remoteZone}
 	f.HandleNode(f.now, remotePeer, fleet.AppendRelay(nil, b.Append(nil)))
 	f.receiveRelayed(fleet.RelayedMessage{From: remotePeer, Message: b.Append(nil)})
--- a/balancer/packetfront/rotation.go
+++ b/balancer/packetfront/rotation.go
@@ -62,9 +62,9 @@
 	return true
 }
 
-// mbps returns the rate at which the balancer sent over the last meterIntervals intervals, in
+// sentMbps returns the rate at which the balancer sent over the last meterIntervals intervals, in
 // Mbit/s.
-func (r *rotation) mbps() float64 {
+func (r *rotation) sentMbps() float64 {
 	sum := 0
 	for i, bytes := range r.bytesSent {
 		if i != r.currentInterval {
@@ -92,7 +92,7 @@
 // sumZoneLinks summarizes the links of the eligible balancers of the local zone.
 func (c *Core) sumZoneLinks(now time.Time) zoneLinks {
 	ownLink := c.opts.LinkMbps
-	z := zoneLinks{balancers: 1, sentMbps: c.rotation.mbps()}
+	z := zoneLinks{balancers: 1, sentMbps: c.rotation.sentMbps()}
 	weaker := 0
 	for _, p := range c.view.EligiblePeers(now, c.opts.Zone) {
 		z.balancers++
@@ -128,7 +128,7 @@
 	if !r.advance(now) || c.opts.LinkMbps <= 0 {
 		return
 	}
-	mbps := r.mbps()
+	mbps := r.sentMbps()
 	if !r.standby && (mbps < fullLinkShare*c.opts.LinkMbps || now.Sub(r.changedAt) < minRotationPause) {
 		return
 	}
--- a/balancer/packetfront/rotation_test.go
+++ b/balancer/packetfront/rotation_test.go
@@ -134,7 +134,7 @@
 	f := newLinkedFixture(smallLinkMbps, largerPeers...)
 	f.sendAtRate(fullLinkMbps, 3*time.Second, largerPeers...)
 	f.port.Nodes = nil
-	f.client(packet(true, 0))
+	f.receiveFromClient(packet(true, 0))
 	require.Len(t, f.port.Delivered(), 1)
 }
 
--- a/balancer/packetfront/silence_test.go
+++ b/balancer/packetfront/silence_test.go
@@ -50,7 +50,7 @@
 	for i := range flows {
 		k := key
 		k.ClientPort += uint16(i)
-		z.client(packetOf(k, true, 0))
+		z.receiveFromClient(packetOf(k, true, 0))
 	}
 	for _, s := range z.port.Delivered()[before:] {
 		candidates := []flow.IPv4{s.To}
@@ -91,13 +91,13 @@
 	z.announceFor(3*time.Second, 0, 1)
 	k := key
 	for ; ; k.ClientPort++ {
-		z.client(packetOf(k, true, 0))
+		z.receiveFromClient(packetOf(k, true, 0))
 		if slices.Contains(z.targets[1], z.port.Last().To) {
 			break
 		}
 	}
 	z.announceFor(1500*time.Millisecond, 0)
-	z.client(packetOf(k, true, 1))
+	z.receiveFromClient(packetOf(k, true, 1))
 	require.Equal(t, envelope.Deliver, z.port.Last().Kind)
 	require.Contains(t, z.targets[0], z.port.Last().To)
 }
@@ -110,7 +110,7 @@
 	z.table.Put(z.now, key, z.targets[1][0])
 	z.announceFor(1500*time.Millisecond, 0)
 	require.True(t, z.view.IsZoneSilent(1))
-	z.client(packet(false, 0))
+	z.receiveFromClient(packet(false, 0))
 	require.Equal(t, z.targets[1][0], z.port.Last().To)
 	require.Empty(t, z.port.Resets)
 }
--- a/balancer/packetfront/survey_test.go
+++ b/balancer/packetfront/survey_test.go
@@ -80,7 +80,7 @@
 		}},
 	} {
 		f := fixtureIn(localZone)
-		f.started(f.now.Add(-search.SettleTime))
+		f.restartAt(f.now.Add(-search.SettleTime))
 		c.prepare(f)
 		ask, due := f.SnapshotSources(f.now)
 		require.True(t, due, name)
@@ -97,7 +97,7 @@
 func TestTheFirstSnapshotIsReadShortlyBeforeFreshTimeEnds(t *testing.T) {
 	const from = search.FreshTime - search.SnapshotLead
 	f := newFixture()
-	f.started(f.now)
+	f.restartAt(f.now)
 	_, due := f.SnapshotSources(f.now.Add(from - 1))
 	require.False(t, due)
 	_, due = f.SnapshotSources(f.now.Add(from))
@@ -109,16 +109,16 @@
 func TestEndedFlowsAreResetAsSoonAsThatIsCertain(t *testing.T) {
 	for _, ahead := range []time.Duration{10, 60, 110} {
 		f := newFixture()
-		f.started(f.now)
+		f.restartAt(f.now)
 		f.TakeSnapshot(f.now, fleet.SnapshotAt(f.now, registered(targetA, targetB)))
 		settled := f.now.Add(search.FreshTime)
 		f.now = settled.Add(-ahead * time.Millisecond)
 		f.announce(targetA, fleet.Ready)
 		f.announce(targetB, fleet.Ready)
 		f.Tick(f.now)
-		f.client(packet(false, 9))
-		f.answer(targetB, envelope.SearchExhausted, packet(false, 9))
-		require.Equal(t, search.UncertainFresh, f.doubt)
+		f.receiveFromClient(packet(false, 9))
+		f.returnPacket(targetB, envelope.SearchExhausted, packet(false, 9))
+		require.Equal(t, search.UncertainFresh, f.uncertainty)
 		f.now = settled.Add(-1)
 		f.Tick(f.now)
 		require.Empty(t, f.port.Resets)
@@ -132,16 +132,16 @@
 // would get lost, and its flows would be taken for ended.
 func TestAnOlderSnapshotDoesNotReplaceANewerOne(t *testing.T) {
 	f := newFixture()
-	newer := fleet.SnapshotAt(f.now, registered(targetA, targetB, other))
+	newer := fleet.SnapshotAt(f.now, registered(targetA, targetB, targetC))
 	newer.Revision = 8
 	f.TakeSnapshot(f.now, newer)
 	f.now = f.now.Add(time.Second)
 	older := fleet.SnapshotAt(f.now, registered(targetA, targetB))
 	older.Revision = 7
 	f.TakeSnapshot(f.now, older)
-	f.client(packet(false, 9))
-	f.answer(targetB, envelope.SearchExhausted, packet(false, 9))
-	require.Equal(t, search.UncertainMissing, f.doubt)
+	f.receiveFromClient(packet(false, 9))
+	f.returnPacket(targetB, envelope.SearchExhausted, packet(false, 9))
+	require.Equal(t, search.UncertainMissing, f.uncertainty)
 }
 
 // TestFirstTargetsAreReadFromTheRegistryWhenNoneIsKnown: after a common start, but not if a
@@ -149,7 +149,7 @@
 func TestFirstTargetsAreReadFromTheRegistryWhenNoneIsKnown(t *testing.T) {
 	fresh := func() *fixture {
 		f := newFixture()
-		f.Core = New(f.now, f.opts, f.port, platform.Codec{}, quiet{&f.doubt, &f.kept}, f.rnd)
+		f.Core = New(f.now, f.opts, f.port, platform.Codec{}, eventRecorder{&f.uncertainty, &f.buffered}, f.rnd)
 		return f
 	}
 	f := fresh()
--- a/measure/packetbench.go
+++ b/measure/packetbench.go
@@ -128,7 +128,7 @@
 		stopFront()
 		server.Close()
 	}
-	if err := waitUntil(func() bool { return f.Ready() && f.Targets() > 0 }); err != nil {
+	if err := waitUntil(func() bool { return f.Ready() && f.TargetCount() > 0 }); err != nil {
 		stop()
 		return nil, err
 	}
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -68,7 +68,7 @@
 func (b *Balancer) Start() {
 	w := b.w
 	opts := balancerfront.Options{
-		Self: b.IP, Zone: flow.TagOf(b.Zone), Seeds: w.Seeds, Incarnation: w.Rnd.Uint64() | 1, Weights: Weights, RelayFrom: w.RelayFrom, FollowTime: feedTime,
+		Self: b.IP, Zone: flow.TagOf(b.Zone), Seeds: w.Seeds, Incarnation: w.Rnd.Uint64() | 1, Weights: Weights, RelayThreshold: w.RelayFrom, FollowTime: feedTime,
 	}
 	b.Core = balancerfront.New(w.Now, opts, b, platform.Codec{}, QuietBalancer{}, w.Rnd)
 	b.Core.SetConfig(w.Now, w.Config)
--- a/model/sim/quiet.go
+++ b/model/sim/quiet.go
@@ -26,7 +26,7 @@
 func (QuietBalancer) Buffered(flow.Key, balancerfront.BufferReason)            {}
 func (QuietBalancer) Dropped(balancerfront.DropReason)                         {}
 func (QuietBalancer) TargetChanged(*fleet.Target, fleet.Change)                {}
-func (QuietBalancer) TargetForgotten(flow.IPv4)                                {}
+func (QuietBalancer) TargetExpired(flow.IPv4)                                  {}
 func (QuietBalancer) PeerChanged(flow.IPv4, string)                            {}
 func (QuietBalancer) ZoneSilenceChanged(fleet.ZoneSilence)                     {}
 func (QuietBalancer) ZoneRelayed(flow.Tag, int, bool)                          {}
