--- a/agent/packetfront/admission.go
+++ b/agent/packetfront/admission.go
@@ -11,47 +11,50 @@
 
 // Limits of admission.
 const (
-	// targetQueuePerSlot is how many requests may wait at the target for each slot. A
-	// request behind so many waits for 1.5 times the target's work on one, which
-	// leaves it within the latency objectives in use (4 to 5 times the work).
-	// What a target queues beyond that is served in the target's order, not in the
-	// one that callers need.
+	// targetQueuePerSlot is how many requests may queue at the target for each slot. A
+	// request behind that many waits 1.5 times the service time, within the latency
+	// objectives in use (4 to 5 times the service time). Requests beyond the limit would
+	// be served in the target's order instead of the order that their callers need.
 	targetQueuePerSlot = 0.5
-	// maxQueued bounds the requests that wait for a slot. A target of four slots and
-	// 30 ms of work serves as many in two seconds.
+	// maxQueued limits the requests queued at the agent. A target with four slots and a
+	// service time of 30 ms serves that many in two seconds.
 	maxQueued = 256
-	// maxQueuedPackets bounds those of one request: an end has at most 16 in flight.
+	// maxQueuedPackets limits the buffered packets of one queued request: a sender has at
+	// most 16 in flight.
 	maxQueuedPackets = 16
-	// pendingOpenTTL is how long a flow that was given to the target counts as load
-	// although its client has sent nothing.
+	// pendingOpenTTL is how long an admitted flow counts as load while its client has sent
+	// no data.
 	pendingOpenTTL = 300 * time.Millisecond
-	// firstRequestWindow is how long after the handshake the request comes that a flow was opened
-	// for: its client sends it with the acknowledgement, and again after 0.2 and 0.6 s. One
-	// that comes later is of a client that opened the flow ahead.
+	// firstRequestWindow is the longest time between the handshake and the request that the
+	// flow was opened for: the client sends it with the acknowledgement, and retransmits
+	// after 0.2 and 0.6 s. If the first data comes later, the client opened the flow ahead
+	// of its first request.
 	firstRequestWindow = 700 * time.Millisecond
-	// defaultWork is the time that a target is taken to need for a request before
-	// one was observed.
-	defaultWork = 50 * time.Millisecond
+	// defaultServiceTime is the assumed service time of a target before an answer was
+	// observed.
+	defaultServiceTime = 50 * time.Millisecond
 )
 
-// requestParams are what a flow's route and its opening packet say of its requests.
+// requestParams are the parameters of a flow's requests, as stated by its route and its
+// opening packet.
 type requestParams struct {
 	priority            uint8
 	objective, deadline time.Duration
-	// began and hidden are the age of the flow's first request (backlog.Request);
-	// zero once the target has it, or if the flow was opened ahead of it.
-	began  time.Time
-	hidden time.Duration
+	// began and unseenTry describe the age of the flow's first request (see
+	// backlog.Request). began is zero once the target has that request, or if the flow was
+	// opened ahead of it.
+	began     time.Time
+	unseenTry time.Duration
 }
 
-// expired tells that the caller of the first request, which the target has not got, has
-// certainly gone.
-func (t requestParams) expired(now time.Time) bool {
-	return t.deadline > 0 && !t.began.IsZero() && now.After(t.began.Add(t.deadline))
+// expired reports whether the deadline of the first request has passed before the request
+// was delivered, so that its caller has certainly given up.
+func (p requestParams) expired(now time.Time) bool {
+	return p.deadline > 0 && !p.began.IsZero() && now.After(p.began.Add(p.deadline))
 }
 
-// requestParamsOf reads the terms of a flow from its opening packet and the envelope
-// around it. What the packet says of an outage is noted first.
+// requestParamsOf returns the parameters of a flow from its opening packet h and the
+// current envelope. It first updates the outage detection from the retransmission count.
 func (c *Core) requestParamsOf(now time.Time, h *flow.Header) requestParams {
 	if c.env.Flags&envelope.Retransmitted == 0 {
 		c.outage.Opened(now, h.Ack)
@@ -59,17 +62,17 @@
 	began := now.Add(-backlog.RetransmissionAge(h.Ack))
 	return requestParams{
 		priority: c.env.Priority, objective: c.env.Objective, deadline: c.env.Deadline,
-		began: began, hidden: c.outage.UnseenTry(began),
+		began: began, unseenTry: c.outage.UnseenTry(began),
 	}
 }
 
-// queuedRequest is a request that waits for a slot of the target: its packets, and
-// the envelope that they came in.
+// queuedRequest is a request that waits at the agent for a slot of the target: its packets
+// and the envelope of the first one.
 type queuedRequest struct {
-	key     flow.Key
-	since   time.Time
-	env     envelope.Envelope
-	packets []queuedPacket
+	key      flow.Key
+	queuedAt time.Time
+	env      envelope.Envelope
+	packets  []queuedPacket
 }
 
 type queuedPacket struct {
@@ -77,30 +80,31 @@
 	data []byte
 }
 
-// add keeps a packet; one that its client has repeated is kept once.
+// add buffers a packet unless it is a retransmission of a buffered one or the limit is
+// reached.
 func (r *queuedRequest) add(seq uint32, packet []byte) {
-	known := slices.ContainsFunc(r.packets, func(p queuedPacket) bool { return p.seq == seq })
-	if known || len(r.packets) >= maxQueuedPackets {
+	duplicate := slices.ContainsFunc(r.packets, func(p queuedPacket) bool { return p.seq == seq })
+	if duplicate || len(r.packets) >= maxQueuedPackets {
 		return
 	}
 	r.packets = append(r.packets, queuedPacket{seq, slices.Clone(packet)})
 }
 
-// targetLimit is how many requests the target may have: running and queued, and beside them
-// those whose bodies are on their way. These keep no slot, however long they take; were
-// they counted, a few slow uploads would keep an idle target from all others.
+// targetLimit returns how many requests the target may have: the ones that run or queue
+// there, and in addition those whose bodies are still in transfer. The latter occupy no
+// slot, however long they take: otherwise a few slow uploads would block an idle target.
 func (c *Core) targetLimit() int {
 	slots := c.target.slots()
 	working := slots + int(targetQueuePerSlot*float64(slots))
 	return int(float64(working) / c.estimate.WorkShare())
 }
 
-// full tells that there are as many requests as the target should have, those that
-// wait for a slot and those that are about to come included.
-func (c *Core) full() bool { return c.flows.busy >= c.targetLimit() }
+// atLimit reports whether the target has as many requests as it may, including the ones
+// queued at the agent and the expected ones of new flows.
+func (c *Core) atLimit() bool { return c.flows.busy >= c.targetLimit() }
 
-// expectedWait is how long a new request would expectedWait for a slot, served in order. While an
-// overload stands those that cannot meet their objective are not ahead of it.
+// expectedWait returns how long a new request would wait for a slot if served in order.
+// During an overload, queued requests that cannot meet their objective are not ahead of it.
 func (c *Core) expectedWait(now time.Time) time.Duration {
 	busy := c.flows.busy
 	if c.overload.active {
@@ -110,11 +114,11 @@
 	return time.Duration(max(ahead, 0) * float64(c.estimate.AnswerInterval()))
 }
 
-// admitWhenFull decides on a new flow for which the target has no room at once. While
-// there are other candidates it is passed on; then it goes to the target with the
-// shortest wait, which takes it unless it certainly cannot be served in time, or
-// would wait for longer than until its client's next opening packet. It tells
-// whether the target is to take it; otherwise the packet was sent on or dropped.
+// admitWhenFull decides on a new flow when the target has no headroom. The flow is passed
+// on while there are other candidates, and then to the one with the shortest wait. That
+// one admits it unless it certainly cannot be served in time, or would have to wait past
+// its client's next SYN. admitWhenFull reports whether the target gets the flow; otherwise
+// the packet was passed on or dropped.
 func (c *Core) admitWhenFull(now time.Time, key flow.Key, h *flow.Header, packet []byte) bool {
 	wait := c.expectedWait(now)
 	if c.overload.active {
@@ -122,11 +126,11 @@
 			return true
 		}
 		if c.env.Hops > 0 {
-			// Another one was full as well: the next ones are no better, and each visit
-			// costs those that are served.
+			// Another target was full as well: the remaining candidates are no better, and each
+			// further offer takes capacity from the requests being served.
 			c.env.SetCandidates(nil)
 		}
-		c.sendToShortestWait()
+		c.redirectToShortestWait()
 		c.decline(now, key, h, packet, "target overloaded")
 		return false
 	}
@@ -134,7 +138,7 @@
 		if c.env.ShortestWaitTarget == 0 || wait < c.env.ShortestWaitTime {
 			c.env.ShortestWaitTarget, c.env.ShortestWaitTime = c.opts.Self, wait
 		}
-		c.sendToShortestWait()
+		c.redirectToShortestWait()
 		if c.env.Count > 0 {
 			c.decline(now, key, h, packet, "target at its limit")
 			return false
@@ -152,9 +156,10 @@
 	return true
 }
 
-// sendToShortestWait makes the last candidate of a new flow send it on to the one with the
-// shortest wait, once, unless that is this one or none was full.
-func (c *Core) sendToShortestWait() {
+// redirectToShortestWait replaces the exhausted candidates of a new flow by the target with
+// the shortest wait. It does so once per flow, and not if that target is this one or no
+// target was full.
+func (c *Core) redirectToShortestWait() {
 	best := c.env.ShortestWaitTarget
 	if c.env.Count > 0 || c.env.Flags&envelope.ShortestWait != 0 || best == 0 || best == c.opts.Self {
 		return
@@ -163,8 +168,8 @@
 	c.env.SetCandidates([]flow.Candidate{{Target: best, Service: c.env.Service}})
 }
 
-// canMeetDeadline tells whether a new flow's request can be answered before its caller
-// gives up.
+// canMeetDeadline reports whether the request of a new flow can be answered before its
+// deadline if it waits that long for a slot.
 func (c *Core) canMeetDeadline(wait time.Duration, h *flow.Header) bool {
 	if c.env.Deadline == 0 {
 		return true
@@ -172,17 +177,17 @@
 	return c.queue.Len() < maxQueued && backlog.RetransmissionAge(h.Ack)+wait+c.estimate.ResponseTime() <= c.env.Deadline
 }
 
-// retransmittedBefore tells whether a new flow's next opening packet comes before the target
-// would have a slot for its request, served in order. Until then targets may come
-// back, or others be faster; a flow that is open is bound to its target.
+// retransmittedBefore reports whether the client sends its next SYN before the target would
+// have a slot for the request. By then other targets may be back or faster, whereas an open
+// flow is bound to its target.
 func retransmittedBefore(wait time.Duration, h *flow.Header) bool {
 	next, more := backlog.NextRetransmission(h.Ack)
 	return more && next < wait
 }
 
-// enqueueIfBusy decides whether a client's data goes to the target now or is kept until the
-// target has a slot, and keeps it. A route that states no deadline gives no order to
-// wait in, and more than maxHeld are not kept: the target queues or sheds these.
+// enqueueIfBusy queues a client's data if the target has no slot for the request, and reports
+// whether it did. Requests of routes without a deadline are not queued, as they have no place
+// in the order, nor are requests beyond maxQueued: the target queues or sheds these.
 func (c *Core) enqueueIfBusy(now time.Time, key flow.Key, r *record, h *flow.Header, packet []byte) bool {
 	switch {
 	case r.queued != nil:
@@ -196,26 +201,26 @@
 		c.startRequest(now, key, r, id)
 		return false
 	}
-	r.queued = &queuedRequest{key: key, since: now, env: c.env}
+	r.queued = &queuedRequest{key: key, queuedAt: now, env: c.env}
 	r.queued.add(h.Seq, packet)
 	c.events.Queued(key, id, c.queue.Len(), c.expectedWait(now))
 	c.queue.Push(key, r.request.nextRequest(now))
 	return true
 }
 
-// nextRequest describes the flow's nextRequest request: a later one than the first began when
-// it came.
-func (t requestParams) nextRequest(now time.Time) backlog.Request {
-	request := backlog.Request{Priority: t.priority, Began: now, Objective: t.objective, Deadline: t.deadline}
-	if !t.began.IsZero() {
-		request.Began, request.UnseenTry = t.began, t.hidden
+// nextRequest returns the queue entry of the flow's next request. A request after the first
+// begins when it arrives.
+func (p requestParams) nextRequest(now time.Time) backlog.Request {
+	request := backlog.Request{Priority: p.priority, Began: now, Objective: p.objective, Deadline: p.deadline}
+	if !p.began.IsZero() {
+		request.Began, request.UnseenTry = p.began, p.unseenTry
 	}
 	return request
 }
 
-// startRequest notes that the target gets a request.
+// startRequest records that a request is delivered to the target.
 func (c *Core) startRequest(now time.Time, key flow.Key, r *record, requestID []byte) {
-	c.flows.started(now, r)
+	c.flows.markRunning(now, r)
 	c.updateSlots(now)
 	r.request.began = time.Time{}
 	if requestID != nil {
@@ -223,7 +228,7 @@
 	}
 }
 
-// dispatchQueued gives requests that wait to the target while it has room.
+// dispatchQueued delivers queued requests while the target has headroom.
 func (c *Core) dispatchQueued(now time.Time) {
 	if c.queue.Len() > 0 && c.flows.running < c.targetLimit() {
 		c.expireQueued(now)
@@ -237,36 +242,36 @@
 		if r == nil || r.queued == nil {
 			continue
 		}
-		held := r.queued
+		queued := r.queued
 		r.queued = nil
-		c.startRequest(now, key, r, c.codec.RequestID(held.packets[0].data))
+		c.startRequest(now, key, r, c.codec.RequestID(queued.packets[0].data))
 		r.deliveredAt = now
-		for _, p := range held.packets {
-			c.env = held.env
+		for _, p := range queued.packets {
+			c.env = queued.env
 			c.deliverPacket(now, key, r, p.data)
 		}
 	}
 }
 
-// abandon notes that a client has ended its flow before the answer: as is customary
-// with HTTP/1.1, that gives the request up. One that still waits is for nobody; for
-// one that the target has, no answer may come any more, and it must not count as load
-// until then.
-func (c *Core) abandon(now time.Time, key flow.Key, r *record, why Abandoned) {
+// abandon records that nobody waits for the flow's requests any more, for example because the
+// client ended the flow before the answer, which by HTTP/1.1 convention cancels the request.
+// A queued request is dropped. A delivered one stops counting as load, because its answer may
+// never come.
+func (c *Core) abandon(now time.Time, key flow.Key, r *record, reason Abandoned) {
 	switch {
 	case r.queued != nil:
-		c.events.Expired(key, now.Sub(r.queued.since))
+		c.events.Expired(key, now.Sub(r.queued.queuedAt))
 	case !r.runningAt.IsZero():
 		c.events.Unwanted(key, now.Sub(r.runningAt))
 	}
-	r.abandonedFor = why
-	c.flows.answered(r)
+	r.abandonedFor = reason
+	c.flows.clearPending(r)
 	c.updateSlots(now)
 }
 
-// withhold tells whether nobody waits for a client's data any more: then it goes no
-// further. The client's end repeats it until it gives up by itself, for nobody
-// acknowledges it: only the target may reset a flow that it holds.
+// withhold reports whether a client's data must not reach the target because nobody waits for
+// the answer. The data is not acknowledged, so the client's stack retransmits it until it
+// gives up: only the target may reset a flow that it holds.
 func (c *Core) withhold(now time.Time, key flow.Key, r *record, packet []byte) bool {
 	reason, abandoned := r.abandoned(now)
 	if !abandoned {
@@ -279,7 +284,7 @@
 	return true
 }
 
-// expireQueued forgets requests whose callers have gone.
+// expireQueued drops queued requests whose deadline has passed.
 func (c *Core) expireQueued(now time.Time) {
 	for _, key := range c.queue.Expire(now) {
 		if r := c.flows.get(key); r != nil && r.queued != nil {
@@ -288,27 +293,27 @@
 	}
 }
 
-// pendingOpen is a flow that counts as load from its admission on.
+// pendingOpen is an admitted flow that counts as load although its request has not arrived.
 type pendingOpen struct {
 	key flow.Key
 	at  time.Time
 }
 
-// addPendingOpen counts a flow that was given to the target as load: its request
-// will follow.
+// addPendingOpen counts an admitted flow as load: its request will follow.
 func (c *Core) addPendingOpen(now time.Time, key flow.Key, r *record) {
-	c.flows.requested(now, r)
+	c.flows.markPending(now, r)
 	c.pendingOpens = append(c.pendingOpens, pendingOpen{key, now})
 }
 
-// expirePendingOpens stops counting flows whose clients have sent nothing.
+// expirePendingOpens stops counting flows as load whose clients have sent no data within
+// pendingOpenTTL.
 func (c *Core) expirePendingOpens(now time.Time) {
 	for len(c.pendingOpens) > 0 && now.Sub(c.pendingOpens[0].at) > pendingOpenTTL {
 		first := c.pendingOpens[0]
 		c.pendingOpens = c.pendingOpens[1:]
 		r := c.flows.get(first.key)
 		if r != nil && r.pendingAt.Equal(first.at) && r.queued == nil && r.runningAt.IsZero() {
-			c.flows.answered(r)
+			c.flows.clearPending(r)
 		}
 	}
 	if len(c.pendingOpens) == 0 {
--- a/agent/packetfront/cold.go
+++ b/agent/packetfront/cold.go
@@ -6,28 +6,28 @@
 	"github.com/poppywall/poppywall/backlog/coldstart"
 )
 
-// cold bounds what the target gets while it is cold.
+// cold limits the new flows of a cold target.
 type cold struct {
 	window coldstart.Window
-	// rate is what the service's targets bear while they are cold, as the last opening
-	// packet's balancer had it; zero for no bound.
+	// rate is the request rate, per second, that a cold target of the service can sustain,
+	// as stated in the envelope of the last SYN; zero for no limit.
 	rate float64
-	// suspectedAt is when something was heard last after which the target may be cold
-	// although it has not said so.
+	// suspectedAt is the time of the last event after which the target may be cold without
+	// having reported it.
 	suspectedAt time.Time
 }
 
-// isCold tells whether the target has to be taken for cold: it says so, or has not
-// reported since it came up, since its zone was emptied or taken back, or since it did
-// not hold a flow that was open there: it may have started meanwhile without a word.
+// isCold reports whether the target counts as cold: it reports a warm-up, or it has sent no
+// heartbeat since it came up, since its zone was evacuated or readmitted, or since it bounced
+// a packet of an open flow. In the latter cases it may have restarted unnoticed.
 func (c *Core) isCold(now time.Time) bool {
 	t := &c.target
 	unreported := t.heartbeatAt.IsZero() || t.heartbeatAt.Before(t.upSince) || t.heartbeatAt.Before(c.cold.suspectedAt)
 	return unreported || t.warmup(now) > 0
 }
 
-// coldHeadroom is how many new flows the target may get now, as far as its being cold
-// bounds them, and false where it does not.
+// coldHeadroom returns how many new flows the cold target may get now, and false if there is
+// no limit because it is warm or its service has no cold rate.
 func (c *Core) coldHeadroom(now time.Time) (int, bool) {
 	if c.cold.rate <= 0 || !c.isCold(now) {
 		return 0, false
@@ -35,9 +35,9 @@
 	return c.cold.window.Headroom(now, c.cold.rate), true
 }
 
-// tooCold tells whether the target may not get a new flow now because it is cold.
-func (c *Core) tooCold(now time.Time) bool {
+// coldLimitReached reports whether the target is cold and may not get another new flow now.
+func (c *Core) coldLimitReached(now time.Time) bool {
 	c.cold.rate = c.env.ColdRate
-	room, bound := c.coldHeadroom(now)
-	return bound && room == 0
+	headroom, bounded := c.coldHeadroom(now)
+	return bounded && headroom == 0
 }
--- a/agent/packetfront/cold_test.go
+++ b/agent/packetfront/cold_test.go
@@ -13,11 +13,11 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// coldRate is what a cold target bears in these tests, requests a second.
+// coldRate is the request rate, per second, that a cold target sustains in these tests.
 const coldRate = 5
 
-// offer offers the target a new flow of a service whose cold targets bear rate requests
-// a second, and tells whether it got it.
+// offer offers the target a new flow of a service with the given cold rate and reports whether
+// the target got it.
 func (f *fixture) offer(client int, rate float64) bool {
 	before := len(f.port.target)
 	e := envelope.Envelope{Service: service, ColdRate: rate}
@@ -26,96 +26,99 @@
 	return len(f.port.target) > before
 }
 
-// offers offers so many, each answered at once so that no load stands in the way.
-func (f *fixture) offers(count int, rate float64) (got int) {
+// offerMany offers count new flows and returns how many the target got. Each is answered at once,
+// so that none counts as load.
+func (f *fixture) offerMany(count int, rate float64) (got int) {
 	for range count {
 		f.client++
 		if f.offer(f.client, rate) {
 			got++
 			f.targetSends(f.client, flow.SYN|flow.ACK, 500, 0)
-			f.asks(f.client)
+			f.sendRequest(f.client)
 			f.targetSends(f.client, flow.ACK, 501, 10)
 		}
 	}
 	return got
 }
 
-// warms lets the target report how long it stays slow.
-func (f *fixture) warms(left time.Duration) {
+// reportWarmup sends a heartbeat with the remaining warm-up time.
+func (f *fixture) reportWarmup(left time.Duration) {
 	f.seq++
 	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Sequence: f.seq, WarmupLeft: left})
 }
 
-// longThere is a fixture whose agent knows what its target was given.
-func longThere() *fixture {
+// newSettledFixture returns a fixture whose agent has been running long enough to have seen all
+// recent deliveries to its target.
+func newSettledFixture() *fixture {
 	f := newFixture()
 	f.pass(2 * time.Second)
 	f.beat(false)
 	return f
 }
 
-// TestAColdTargetGetsWhatItBears; the rest goes to others. One that is warm, or of a
-// service without a bound, gets all.
-func TestAColdTargetGetsWhatItBears(t *testing.T) {
+// TestColdRateLimitsNewFlows: a cold target gets new flows up to the cold rate and the rest goes to
+// other candidates. A warm target, or one of a service without a cold rate, gets all.
+func TestColdRateLimitsNewFlows(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare func(*fixture)
 		rate    float64
 		want    int
 	}{
-		"warm":                 {func(*fixture) {}, coldRate, 20},
-		"cold":                 {func(f *fixture) { f.warms(2 * time.Second) }, coldRate, coldRate},
-		"cold without a bound": {func(f *fixture) { f.warms(2 * time.Second) }, 0, 20},
-		"cold, the last of it": {func(f *fixture) { f.warms(time.Second); f.now = f.now.Add(999 * time.Millisecond) }, coldRate, coldRate},
-		"warm again":           {func(f *fixture) { f.warms(time.Second); f.now = f.now.Add(time.Second) }, coldRate, 20},
+		"warm":                   {func(*fixture) {}, coldRate, 20},
+		"cold":                   {func(f *fixture) { f.reportWarmup(2 * time.Second) }, coldRate, coldRate},
+		"cold without a bound":   {func(f *fixture) { f.reportWarmup(2 * time.Second) }, 0, 20},
+		"cold, last millisecond": {func(f *fixture) { f.reportWarmup(time.Second); f.now = f.now.Add(999 * time.Millisecond) }, coldRate, coldRate},
+		"warm again":             {func(f *fixture) { f.reportWarmup(time.Second); f.now = f.now.Add(time.Second) }, coldRate, 20},
 		"up again, not reported": {func(f *fixture) {
 			f.Probed(f.now, ProbeRefused)
 			f.pass(time.Second)
 			f.Probed(f.now, ProbeAccepted)
-			f.proven()
+			f.endProbation()
 		}, coldRate, coldRate},
-		"its zone is taken back":   {func(f *fixture) { f.takenBack() }, coldRate, coldRate},
-		"and it has reported":      {func(f *fixture) { f.takenBack(); f.now = f.now.Add(time.Second); f.beat(false) }, coldRate, 20},
-		"a flow was gone there":    {func(f *fixture) { f.losesAFlow() }, coldRate, coldRate},
-		"an agent that has begun":  {func(f *fixture) { f.begins(); f.warms(2 * time.Second) }, coldRate, 0},
-		"a second later":           {func(f *fixture) { f.begins(); f.pass(1100 * time.Millisecond); f.warms(2 * time.Second) }, coldRate, coldRate},
-		"an agent beside a target": {func(f *fixture) { f.begins(); f.pass(1100 * time.Millisecond) }, coldRate, coldRate},
-		"warm until a moment ago":  {func(f *fixture) { f.offers(20, coldRate); f.warms(2 * time.Second) }, coldRate, 0},
+		"its zone is readmitted":                         {func(f *fixture) { f.evacuateAndReturnZone() }, coldRate, coldRate},
+		"its zone is readmitted, it has reported since":  {func(f *fixture) { f.evacuateAndReturnZone(); f.now = f.now.Add(time.Second); f.beat(false) }, coldRate, 20},
+		"it bounced an open flow":                        {func(f *fixture) { f.bounceOpenFlow() }, coldRate, coldRate},
+		"its agent has just restarted":                   {func(f *fixture) { f.restartAgent(); f.reportWarmup(2 * time.Second) }, coldRate, 0},
+		"its agent restarted a second ago":               {func(f *fixture) { f.restartAgent(); f.pass(1100 * time.Millisecond); f.reportWarmup(2 * time.Second) }, coldRate, coldRate},
+		"its agent restarted a second ago, no heartbeat": {func(f *fixture) { f.restartAgent(); f.pass(1100 * time.Millisecond) }, coldRate, coldRate},
+		"warm until a moment ago":                        {func(f *fixture) { f.offerMany(20, coldRate); f.reportWarmup(2 * time.Second) }, coldRate, 0},
 	} {
-		f := longThere()
+		f := newSettledFixture()
 		f.opts.Zone = flow.TagOf(ownZone)
 		c.prepare(f)
-		require.Equal(t, c.want, f.offers(20, c.rate), name)
+		require.Equal(t, c.want, f.offerMany(20, c.rate), name)
 	}
 }
 
-// proven ends the time in which a target proves itself.
-func (f *fixture) proven() { f.health.ejected = false }
+// endProbation ends the target's probation.
+func (f *fixture) endProbation() { f.health.ejected = false }
 
-// takenBack empties the target's zone and takes it back.
-func (f *fixture) takenBack() {
+// evacuateAndReturnZone evacuates the target's zone and readmits it.
+func (f *fixture) evacuateAndReturnZone() {
 	f.hearsOf(balancerIP, 1, evacuations(9, ownZone))
 	f.now = f.now.Add(time.Millisecond)
 	f.hearsOf(balancerIP, 2, evacuations(10))
 }
 
-// losesAFlow lets the target bounce a packet of a flow that was open there, a while ago.
-func (f *fixture) losesAFlow() {
-	f.offers(1, coldRate)
+// bounceOpenFlow lets the target bounce a packet of an open flow, and then passes 1.1 s.
+func (f *fixture) bounceOpenFlow() {
+	f.offerMany(1, coldRate)
 	f.now = f.now.Add(time.Millisecond)
 	f.deliver(envelope.Envelope{Service: service}, packet(keyOf(f.client), flow.ACK, 511, ""))
 	f.bounce()
 	f.now = f.now.Add(1100 * time.Millisecond)
 }
 
-// begins replaces the agent by one that finds its target listening.
-func (f *fixture) begins() {
+// restartAgent replaces the agent by a new one whose first probe of the target is accepted.
+func (f *fixture) restartAgent() {
 	f.Core = New(f.now, f.opts, f.port, platformCodec, quiet{})
 	f.Probed(f.now, ProbeAccepted)
 }
 
-// TestBalancersHearWhatAColdTargetBears.
-func TestBalancersHearWhatAColdTargetBears(t *testing.T) {
-	f := longThere()
+// TestColdHeadroomIsAnnounced: once a cold rate was received, announcements of a cold target state
+// how many more flows it may get.
+func TestColdHeadroomIsAnnounced(t *testing.T) {
+	f := newSettledFixture()
 	f.beacon(balancerIP, 0, 0)
 	announced := func() fleet.Announcement {
 		f.port.Nodes = nil
@@ -125,22 +128,22 @@
 		return a
 	}
 	require.False(t, announced().Cold)
-	f.warms(5 * time.Second)
-	require.False(t, announced().Cold, "no bound was heard of yet")
-	require.Equal(t, 2, f.offers(2, coldRate))
+	f.reportWarmup(5 * time.Second)
+	require.False(t, announced().Cold, "no cold rate was received yet")
+	require.Equal(t, 2, f.offerMany(2, coldRate))
 	a := announced()
 	require.True(t, a.Cold)
 	require.EqualValues(t, 3, a.Headroom)
 }
 
-// TestNoColdTargetGetsMoreThanItBears: the oracle is the target itself. It starts and
-// ends, seen or not, its zone is emptied and taken back, agents restart; its reports may
-// come late. Whatever happens, in no second of a cold life does it get more than it
-// bears, but for a start that nobody could see before the target has said a word: then
-// its agent has until its next report.
-func TestNoColdTargetGetsMoreThanItBears(t *testing.T) {
+// TestColdRateHoldsUnderRandomEvents: a target starts and ends, detected or not, its zone is
+// evacuated and readmitted, agents restart, and heartbeats may come late. The target itself is the
+// oracle: in no second while it is cold does it get more than it can sustain. The exception is a
+// start that could not be detected before the target's first heartbeat: then the limit holds
+// from its next heartbeat on.
+func TestColdRateHoldsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := longThere()
+		f := newSettledFixture()
 		f.opts.Zone = flow.TagOf(ownZone)
 		var arrivals []time.Time
 		coldUntil, listens := time.Time{}, true
@@ -148,7 +151,7 @@
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
 			f.now = f.now.Add(time.Duration(rapid.SampledFrom([]int{1, 20, 90, 400, 1300}).Draw(t, "ms")) * time.Millisecond)
 			f.Tick(f.now)
-			f.proven()
+			f.endProbation()
 			switch rapid.IntRange(0, 11).Draw(t, "what") {
 			case 0:
 				f.Core = New(f.now, f.opts, f.port, platformCodec, quiet{})
@@ -167,12 +170,12 @@
 				}
 			case 3, 4:
 				if listens {
-					f.warms(max(coldUntil.Sub(f.now), 0))
+					f.reportWarmup(max(coldUntil.Sub(f.now), 0))
 				}
 			case 5:
 				revision, emptied = revision+1, !emptied
 				if !emptied {
-					// Its targets have become cold shortly before.
+					// The targets of the zone became cold during the evacuation.
 					coldUntil = f.now.Add(2 * time.Second)
 				}
 				zones := []string{}
@@ -186,12 +189,12 @@
 				if !listens {
 					continue
 				}
-				got := f.offers(count, coldRate)
+				got := f.offerMany(count, coldRate)
 				for range got {
 					arrivals = append(arrivals, f.now)
 				}
 				if got == 0 {
-					// What came while it was warm it has borne.
+					// Flows that arrived while the target was warm do not count against the limit.
 					continue
 				}
 				within := 0
--- a/agent/packetfront/core.go
+++ b/agent/packetfront/core.go
@@ -10,15 +10,15 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// Port is how the core sends; it must not keep the slices.
+// Port sends packets and messages for the core. Implementations must not retain the slices.
 type Port interface {
-	// ToNode sends a datagram to a node: a head and what follows it.
+	// ToNode sends a datagram to a node: the head followed by the packet.
 	ToNode(node flow.IPv4, head, packet []byte)
-	// ToTarget hands a client's packet to the target.
+	// ToTarget delivers a client's packet to the target.
 	ToTarget(packet []byte)
 	// ToClient sends a target's packet to its client.
 	ToClient(client flow.IPv4, packet []byte)
-	// Reset ends a flow at its client.
+	// Reset sends a reset of a flow to its client.
 	Reset(key flow.Key, seq uint32)
 }
 
@@ -26,44 +26,44 @@
 type Options struct {
 	Self          flow.IPv4
 	Zone, Service flow.Tag
-	// Seeds are addresses of balancers to join by.
+	// Seeds are the addresses of balancers that the agent first announces the target to.
 	Seeds []flow.IPv4
-	// Incarnation is random for each start.
+	// Incarnation identifies this process and is chosen at random at each start.
 	Incarnation uint64
-	// HeartbeatPeriod is how often the target reports.
+	// HeartbeatPeriod is the time between two heartbeats of the target.
 	HeartbeatPeriod time.Duration
-	// FlowTTL is the age from which a flow may be forgotten.
+	// FlowTTL is the idle time after which a flow may expire.
 	FlowTTL time.Duration
-	// RelayFrom is the number of a zone's balancers from which on the nodes of other
-	// zones reach it through relays; zonecast.From unless it is set.
+	// RelayFrom is the number of balancers in a zone from which on nodes of other zones
+	// reach it through relays; zero for zonecast.RelayThreshold.
 	RelayFrom int
 }
 
 // Times and limits of the core.
 const (
-	// joinPeriod is the pause between tries to join by the seeds.
+	// joinPeriod is the pause between announcements to the seeds while no balancer is known.
 	joinPeriod = 100 * time.Millisecond
-	// unregisteredPeriod is the pause between announcements to the seeds of a target that
-	// is not in the registry: two within the time that a balancer takes its view
-	// for incomplete.
+	// unregisteredPeriod is the pause between announcements to the seeds while the target is
+	// not in the registry: two fit into the time for which a balancer considers its view
+	// incomplete.
 	unregisteredPeriod = 200 * time.Millisecond
-	// minAnnouncePause is the least pause between announcements of the load.
+	// minAnnouncePause is the minimum pause between early announcements of the load.
 	minAnnouncePause = 100 * time.Millisecond
 	// loadChangeStep is the change of load, in slots, that is announced early.
 	loadChangeStep = 2
-	// defaultSlots is what a target is taken for before its first heartbeat.
+	// defaultSlots is the assumed number of slots of a target before its first heartbeat.
 	defaultSlots = 4
-	// probeAfterMissedHeartbeats after which the target is probed.
+	// probeAfterMissedHeartbeats is the number of heartbeat periods without a heartbeat
+	// after which the target is probed.
 	probeAfterMissedHeartbeats = 2.5
-	// answerTimeout is how long the target may owe an answer to any packet before
-	// it is probed.
+	// answerTimeout is how long the target may leave a packet unanswered before it is probed.
 	answerTimeout = 300 * time.Millisecond
-	// deregistrationGrace is how long a target that has said its last word may still send.
+	// deregistrationGrace is how long a target may still send after its deregistration.
 	deregistrationGrace = 500 * time.Millisecond
 )
 
-// Core decides what happens to each packet beside one target. It is not safe for
-// concurrent use; its owner holds a lock.
+// Core decides what happens to each packet to and from one target. It is not safe for
+// concurrent use; callers must hold a lock.
 type Core struct {
 	opts   Options
 	port   Port
@@ -71,7 +71,7 @@
 	events Events
 
 	view *fleet.View
-	// evacuations are the emptied zones, as of the highest revision heard of.
+	// evacuations are the evacuated zones, as of the highest revision received.
 	evacuations flow.Evacuations
 	flows       *flows
 	deliveries  *deliveryRing
@@ -83,38 +83,39 @@
 	configCopy configCopy
 	queue      backlog.Queue[flow.Key]
 	estimate   backlog.ServiceEstimate
-	// lastAnswerAt is when an answer was observed last.
+	// lastAnswerAt is when the last completed answer was observed.
 	lastAnswerAt time.Time
 	outage       backlog.Outage
 	overload     overload
 	pendingOpens []pendingOpen
 
-	// targetKnown is set once something was heard of the target, or a probe has told.
+	// targetKnown is set once the target has sent something or a probe has finished.
 	targetKnown bool
-	// wantedPresence is what the registry is to show, listing what it shows as far as that is
-	// known.
+	// wantedPresence is the entry that the registry should have, registration the entry that
+	// it has as far as known.
 	wantedPresence fleet.EntryState
 	registration   fleet.Registration
-	// introduced is set once the balancers may hear of the agent.
+	// introduced is set once the agent may send announcements.
 	introduced       bool
 	seq              uint32
 	leaving          bool
 	lastAnnouncement fleet.Announcement
 	lastAnnouncedAt  time.Time
-	// nextSameZone and nextCrossZone are when balancers of the own and of other zones are
-	// told again, farPeriod is the pause for the latter.
+	// nextSameZone and nextCrossZone are when the next announcements to balancers of the
+	// local and of other zones are due; crossZonePeriod is the period of the latter.
 	nextSameZone, nextCrossZone time.Time
 	crossZonePeriod             time.Duration
 	relays                      crossZone
 	nextJoin                    time.Time
 	nextExpire                  time.Time
 
-	// Scratch space, so that a packet costs no allocation.
+	// Scratch space that avoids an allocation per packet: the envelope of the current
+	// packet, and a buffer for messages.
 	env envelope.Envelope
 	buf []byte
 }
 
-// New returns a core that knows neither target nor balancers yet.
+// New returns a core without any knowledge of its target or of balancers.
 func New(now time.Time, opts Options, port Port, codec flow.Codec, events Events) *Core {
 	if opts.RelayFrom == 0 {
 		opts.RelayFrom = zonecast.RelayThreshold
@@ -122,7 +123,7 @@
 	c := &Core{
 		opts: opts, port: port, codec: codec, events: events,
 		view: fleet.NewView(), deliveries: newDeliveryRing(), acks: newAcks(), health: newHealth(),
-		estimate: backlog.NewServiceEstimate(defaultWork, defaultSlots),
+		estimate: backlog.NewServiceEstimate(defaultServiceTime, defaultSlots),
 		buf:      make([]byte, 0, 2048), relays: newRelays(opts, events.ZoneRelayed),
 	}
 	c.flows = newFlows(func(r *queuedRequest) { c.queue.Remove(r.key) })
@@ -131,19 +132,19 @@
 	return c
 }
 
-// SetSeeds replaces the balancers to join by.
+// SetSeeds replaces Options.Seeds.
 func (c *Core) SetSeeds(seeds []flow.IPv4) { c.opts.Seeds = seeds }
 
-// Busy returns the requests that the target works on or has queued.
+// Busy returns the number of flows that count as load: they wait for an answer or soon will.
 func (c *Core) Busy() int { return c.flows.busy }
 
 // Balancers returns the number of balancers known.
 func (c *Core) Balancers() int { return len(c.view.Balancers()) }
 
-// Evacuations returns the emptied zones that the agent acts on.
+// Evacuations returns the evacuated zones that are in force at the agent.
 func (c *Core) Evacuations() flow.Evacuations { return c.evacuations }
 
-// HandleNode takes a datagram of another node.
+// HandleNode handles a datagram of another node.
 func (c *Core) HandleNode(now time.Time, from flow.IPv4, datagram []byte) {
 	kind, err := envelope.KindOf(datagram)
 	if err != nil {
@@ -184,29 +185,30 @@
 	return nil
 }
 
-// handleSYN gives a SYN to the target, or to the next candidate.
+// handleSYN delivers a SYN to the target, passes it on to the next candidate, or leaves the
+// flow to its client's next SYN.
 func (c *Core) handleSYN(now time.Time, h *flow.Header, packet []byte) {
 	key := h.KeyFromClient()
 	reason, ok := c.refusal()
 	if ok && c.health.ejected && c.env.Count > 0 {
 		reason, ok = "target ejected", false
 	}
-	if ok && c.flows.get(key) == nil && c.tooCold(now) {
+	if ok && c.flows.get(key) == nil && c.coldLimitReached(now) {
 		reason, ok = "target cold", false
 	}
 	if !ok {
 		c.events.PassedOn(key, reason, int(c.env.Hops))
-		c.sendToShortestWait()
+		c.redirectToShortestWait()
 		c.passToNextCandidate(packet, true)
 		return
 	}
-	if c.flows.get(key) == nil && c.full() && !c.admitWhenFull(now, key, h, packet) {
+	if c.flows.get(key) == nil && c.atLimit() && !c.admitWhenFull(now, key, h, packet) {
 		return
 	}
 	c.admit(now, key, h, packet)
 }
 
-// admit gives a SYN to the target.
+// admit delivers a SYN to the target and creates the record of a new flow.
 func (c *Core) admit(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	c.cold.window.Add(now)
 	if r := c.flows.get(key); r != nil && r.supersededBy(now, now.Add(-backlog.RetransmissionAge(h.Ack))) {
@@ -225,7 +227,7 @@
 	c.deliverRecorded(now, key, packet)
 }
 
-// refusal tells whether the target may get a new flow now, and why not.
+// refusal reports whether the target may get a new flow now, and if not, why.
 func (c *Core) refusal() (string, bool) {
 	switch {
 	case c.env.Service != c.opts.Service:
@@ -238,7 +240,8 @@
 	return "", true
 }
 
-// deliverRecorded delivers a packet that the target may bounce.
+// deliverRecorded delivers a packet that the target may bounce, and records its envelope so
+// that the bounced packet can be passed on.
 func (c *Core) deliverRecorded(now time.Time, key flow.Key, packet []byte) {
 	c.codec.SetEcho(packet, c.deliveries.put(key, &c.env))
 	c.target.expectAnswer(now)
@@ -246,12 +249,13 @@
 	c.port.ToTarget(packet)
 }
 
-// deliverToFlow gives a packet of an open flow to the target if it may be the
-// target's, and passes it on otherwise.
+// deliverToFlow handles a client's packet other than a SYN: it delivers the packet if the target
+// holds or may hold the flow, resets a flow whose target has ended, and otherwise passes the
+// packet on.
 func (c *Core) deliverToFlow(now time.Time, h *flow.Header, packet []byte) {
 	key := h.KeyFromClient()
 	r := c.flows.get(key)
-	if r == nil || !r.holds(h) {
+	if r == nil || !r.matches(h) {
 		c.deliverUnknownFlow(now, key, h, packet)
 		return
 	}
@@ -261,8 +265,8 @@
 		return
 	}
 	c.recordClientPacket(now, r, h)
-	// The acknowledgement fits this target's: the flow is nowhere else, also while
-	// the target has not seen it yet.
+	// The acknowledgement matches this target's sequence numbers, so no other target holds
+	// the flow, even if this one has not received the packet yet.
 	if c.env.Flags&envelope.Search != 0 || c.env.Hops > 0 {
 		c.sendOwner(key, c.env.Balancer, c.env.Hops)
 	}
@@ -276,19 +280,19 @@
 	}
 }
 
-// endsFlow tells that a client ends its flow. One whose request says so itself waits for
-// the answer yet.
+// endsFlow reports whether a client ends its flow. A client that sends a FIN together with data
+// still waits for the answer.
 func endsFlow(h *flow.Header) bool {
 	return h.Len == 0 && (h.Flags.Has(flow.FIN) || h.Flags.Has(flow.RST))
 }
 
-// acceptData tells whether the target is to get a client's data now.
+// acceptData reports whether a client's data is to be delivered now, and not withheld or queued.
 func (c *Core) acceptData(now time.Time, key flow.Key, r *record, h *flow.Header, packet []byte) bool {
 	if c.withhold(now, key, r, packet) {
 		return false
 	}
 	c.countLaterRequest(now, r)
-	c.flows.requested(now, r)
+	c.flows.markPending(now, r)
 	if c.enqueueIfBusy(now, key, r, h, packet) {
 		return false
 	}
@@ -296,7 +300,7 @@
 	return true
 }
 
-// deliverPacket gives a packet to the target of its flow.
+// deliverPacket delivers a packet of a flow that the target holds.
 func (c *Core) deliverPacket(now time.Time, key flow.Key, r *record, packet []byte) {
 	if r.stage == halfOpen {
 		c.deliverRecorded(now, key, packet)
@@ -308,7 +312,7 @@
 	c.port.ToTarget(packet)
 }
 
-// recordClientPacket keeps what a client's packet says of its flow.
+// recordClientPacket updates the flow's record from a packet of the client.
 func (c *Core) recordClientPacket(now time.Time, r *record, h *flow.Header) {
 	if h.Len > 0 && r.queued == nil && !r.withheld && now.Sub(r.usedAt) > firstRequestWindow {
 		r.request.began = time.Time{}
@@ -320,8 +324,9 @@
 	}
 }
 
-// deliverUnknownFlow handles a packet of a flow that is not known here. An agent
-// that saw its target start knows all its flows; another one asks the target.
+// deliverUnknownFlow handles a packet of a flow without a matching record. An agent that saw its
+// target start has records of all flows and passes the packet on; any other agent delivers it,
+// and the target bounces what it does not hold.
 func (c *Core) deliverUnknownFlow(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	if c.target.state() == fleet.Absent || c.target.state() == fleet.Gone {
 		c.passToNextCandidate(packet, c.target.absent())
@@ -331,7 +336,7 @@
 		c.passToNextCandidate(packet, true)
 		return
 	}
-	// What the target sends on this flow will show that it holds it.
+	// If the target holds the flow, its next packet on it completes the record.
 	r := c.flows.ensure(now, key)
 	r.balancer = c.env.Balancer
 	if endsFlow(h) {
@@ -340,10 +345,10 @@
 	c.deliverRecorded(now, key, packet)
 }
 
-// passToNextCandidate sends a packet to its next candidate, or back to its balancer when
-// there is none. sure tells that this target certainly does not hold the flow.
-func (c *Core) passToNextCandidate(packet []byte, sure bool) {
-	if !sure {
+// passToNextCandidate sends a packet to its next candidate, or back to its balancer if there is
+// none. certain is set if this target certainly does not hold the flow.
+func (c *Core) passToNextCandidate(packet []byte, certain bool) {
+	if !certain {
 		c.env.Flags |= envelope.Uncertain
 	}
 	c.env.Hops++
@@ -368,7 +373,7 @@
 	c.port.ToNode(to, c.buf, packet)
 }
 
-// sendOwner tells a balancer that a flow is held here.
+// sendOwner notifies a balancer that this target holds a flow.
 func (c *Core) sendOwner(key flow.Key, balancer flow.IPv4, hops uint8) {
 	e := envelope.Envelope{Kind: envelope.Owner, Balancer: balancer, Hops: hops, Service: c.opts.Service}
 	c.buf = envelope.AppendKey(e.Append(c.buf[:0]), key)
--- a/agent/packetfront/flows.go
+++ b/agent/packetfront/flows.go
@@ -9,7 +9,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// stage is how far a flow has come at this target.
+// stage is the state of a flow at this target.
 type stage uint8
 
 const (
@@ -19,59 +19,59 @@
 	halfOpen
 	// open: the target has sent something after its handshake.
 	open
-	// closed: both ends are done, or the target reset the flow.
+	// closed: both ends have sent a FIN, or the target reset the flow.
 	closed
 	// dead: the target that held the flow has ended.
 	dead
 )
 
-// How long a flow is remembered in each stage.
+// How long a record is kept in each stage, and the limit of the table.
 const (
-	// opening is longer than a client tries to open a flow (1.4 s).
+	// openingTTL is longer than a client tries to open a flow (1.4 s).
 	openingTTL = 5 * time.Second
 	// closedTTL covers the last retransmissions of both ends.
 	closedTTL = 5 * time.Second
-	// pendingTTL is how long a request counts as load when no answer is seen:
-	// longer than the deadlines of clients in use.
+	// pendingTTL is how long a request without an answer counts as load: longer than the
+	// deadlines in use.
 	pendingTTL = 10 * time.Second
-	// maxFlows bounds the table; a target takes some 2,000 connections.
+	// maxFlows limits the table; a target accepts about 2,000 connections.
 	maxFlows = 1 << 14
 )
 
-// record is what an agent knows of one flow.
+// record is the agent's state of one flow.
 type record struct {
 	stage stage
-	// targetSeq is the target's last sequence number: it tells this flow from a
-	// later one between the same ports.
+	// targetSeq is the target's last sequence number. It distinguishes the flow from a later
+	// one between the same ports.
 	targetSeq uint32
 	// clientAck is the client's last acknowledgement, for a reset.
 	clientAck uint32
 	usedAt    time.Time
-	// pendingAt is when the client sent a request that was not answered yet, or
-	// its flow was given to the target.
+	// pendingAt is when the client sent the unanswered request, or when its flow was admitted;
+	// zero if the target owes no answer.
 	pendingAt time.Time
-	// request is what the flow's requests ask for.
+	// request holds the parameters of the flow's requests.
 	request requestParams
-	// queued is the request that waits for a slot, nil when none does; runningAt is
-	// when the present request was given to the target, zero before, givenAt when its
-	// last packet so far was, and among how many the target had at first, this one
-	// included.
+	// queued is the request that waits for a slot, nil if none does. runningAt is when the
+	// current request was delivered to the target, zero before. deliveredAt is when its last
+	// packet so far was delivered. concurrent is how many requests the target had at
+	// runningAt, this one included.
 	queued      *queuedRequest
 	runningAt   time.Time
 	deliveredAt time.Time
 	concurrent  int
-	// balancer is told that the flow is here once the target has taken it; zero
-	// when it knows.
+	// balancer is notified that this target holds the flow once the target has accepted it;
+	// zero if no notification is due.
 	balancer             flow.IPv4
 	clientFin, targetFin bool
-	// abandonedFor is set once nobody waits for the flow's requests any more, withheld once one
-	// was kept from the target for it.
+	// abandonedFor is set once nobody waits for the flow's requests any more, withheld once a
+	// request was withheld from the target for that reason.
 	abandonedFor Abandoned
 	withheld     bool
 }
 
-// abandoned tells whether nobody waits for the flow's requests any more, and why. Only
-// the first one's age is known before it was given to the target.
+// abandoned reports whether nobody waits for the flow's requests any more, and why. Before
+// delivery only the age of the flow's first request is known.
 func (r *record) abandoned(now time.Time) (Abandoned, bool) {
 	if r.abandonedFor != "" {
 		return r.abandonedFor, true
@@ -79,45 +79,46 @@
 	return DeadlinePassed, r.request.expired(now)
 }
 
-// supersededBy tells that an opening packet between the same ports is that of a later flow, or
-// says nothing new; began is when that flow began. All copies are sent within a try.
+// supersededBy reports whether a SYN between the same ports, of a flow that began at the given
+// time, replaces this flow. A SYN that began more than backlog.ConnectTimeout later belongs to
+// a later flow, because all retransmissions are sent within that time.
 func (r *record) supersededBy(now, began time.Time) bool {
 	_, abandoned := r.abandoned(now)
 	later := !r.request.began.IsZero() && began.Sub(r.request.began) > backlog.ConnectTimeout
 	return abandoned || later || r.stage == closed || r.stage == dead
 }
 
-// holds tells whether a client's packet belongs to this record's flow.
-func (r *record) holds(h *flow.Header) bool {
+// matches reports whether a client's packet belongs to this flow, by its acknowledgement.
+func (r *record) matches(h *flow.Header) bool {
 	return r.stage != offered && flow.WithinSequenceWindow(h.Ack, r.targetSeq)
 }
 
-// awaitsAnswer tells that a request of the flow has no answer yet. The first one's answer
-// may be all that the target sends after its handshake; before the target has got the
-// request it may only refuse the flow, which is no answer.
+// awaitsAnswer reports whether a delivered request of the flow has no answer yet. The first
+// answer may be the first packet that the target sends after the handshake. A reset before the
+// request was delivered refuses the flow and is no answer.
 func (r *record) awaitsAnswer() bool {
 	return !r.pendingAt.IsZero() && r.queued == nil && (r.stage == open || !r.runningAt.IsZero())
 }
 
-// flows is the table of an agent.
+// flows is the flow table of an agent.
 type flows struct {
 	byKey map[flow.Key]*record
-	// overflowed is set once a flow had to be forgotten early.
+	// overflowed is set once a record was evicted because the table was full.
 	overflowed bool
-	// onDequeue is told of a request that no longer waits because the target owes nothing.
+	// onDequeue is called for a queued request that is dropped.
 	onDequeue func(*queuedRequest)
-	// busy counts the flows that owe an answer or may soon, running those whose
-	// request the target has.
+	// busy counts the flows that wait for an answer or soon will, running those whose
+	// request was delivered to the target, open those in stage open.
 	busy, running, open int
 }
 
-func newFlows(unheld func(*queuedRequest)) *flows {
-	return &flows{byKey: map[flow.Key]*record{}, onDequeue: unheld}
+func newFlows(onDequeue func(*queuedRequest)) *flows {
+	return &flows{byKey: map[flow.Key]*record{}, onDequeue: onDequeue}
 }
 
 func (f *flows) get(key flow.Key) *record { return f.byKey[key] }
 
-// ensure returns the flow's record, a new one if there was none.
+// ensure returns the flow's record and marks it as used; it creates one if there is none.
 func (f *flows) ensure(now time.Time, key flow.Key) *record {
 	r, ok := f.byKey[key]
 	if ok {
@@ -137,12 +138,12 @@
 }
 
 func (f *flows) remove(key flow.Key, r *record) {
-	f.answered(r)
+	f.clearPending(r)
 	f.setStage(r, closed)
 	delete(f.byKey, key)
 }
 
-// setStage moves a record and keeps the count of open flows.
+// setStage sets a record's stage and updates the count of open flows.
 func (f *flows) setStage(r *record, s stage) {
 	if r.stage == open {
 		f.open--
@@ -153,22 +154,22 @@
 	r.stage = s
 }
 
-// requested notes that the target owes an answer.
-func (f *flows) requested(now time.Time, r *record) {
+// markPending records that the flow waits for an answer of the target.
+func (f *flows) markPending(now time.Time, r *record) {
 	if r.pendingAt.IsZero() {
 		r.pendingAt = now
 		f.busy++
 	}
 }
 
-// started notes that the target has the flow's request.
-func (f *flows) started(now time.Time, r *record) {
+// markRunning records that the flow's request was delivered to the target.
+func (f *flows) markRunning(now time.Time, r *record) {
 	f.running++
 	r.runningAt, r.concurrent = now, f.running
 }
 
-// answered notes that the target owes nothing.
-func (f *flows) answered(r *record) {
+// clearPending records that the flow waits for no answer, and drops its queued request.
+func (f *flows) clearPending(r *record) {
 	if !r.runningAt.IsZero() {
 		r.runningAt = time.Time{}
 		f.running--
@@ -183,7 +184,9 @@
 	}
 }
 
-// expire forgets what is over. A request that waits has its own deadline.
+// expire removes records that are past their TTL, and stops counting requests as load that
+// are past pendingTTL. A flow with a queued request does not expire: the queue enforces the
+// deadline of the request.
 func (f *flows) expire(now time.Time, ttl time.Duration) {
 	for key, r := range f.byKey {
 		if r.queued != nil {
@@ -201,21 +204,21 @@
 			continue
 		}
 		if !r.pendingAt.IsZero() && now.Sub(r.pendingAt) > pendingTTL {
-			f.answered(r)
+			f.clearPending(r)
 		}
 	}
 }
 
-// kill marks all flows of a target that has ended and calls each for every open
-// one, in an order that repeats.
-func (f *flows) kill(now time.Time, each func(flow.Key, *record)) {
+// kill moves all flows to stage dead after their target has ended, and calls onOpen for each
+// open one, in a deterministic order.
+func (f *flows) kill(now time.Time, onOpen func(flow.Key, *record)) {
 	keys := slices.Collect(maps.Keys(f.byKey))
 	flow.SortKeys(keys)
 	for _, key := range keys {
 		r := f.byKey[key]
-		f.answered(r)
+		f.clearPending(r)
 		if r.stage == open {
-			each(key, r)
+			onOpen(key, r)
 		}
 		f.setStage(r, dead)
 		r.usedAt = now
--- a/agent/packetfront/fromtarget.go
+++ b/agent/packetfront/fromtarget.go
@@ -7,7 +7,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// HandleTarget takes a packet that the target sent.
+// HandleTarget handles a packet that the target sent.
 func (c *Core) HandleTarget(now time.Time, h *flow.Header, packet []byte) {
 	c.targetSent(now)
 	c.setTargetKnown(now)
@@ -22,7 +22,7 @@
 	c.port.ToClient(key.ClientIP, packet)
 }
 
-// recordTargetPacket keeps what a target's packet says of its flow.
+// recordTargetPacket updates the flow's record from a packet of the target.
 func (c *Core) recordTargetPacket(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	r := c.flows.ensure(now, key)
 	switch {
@@ -30,7 +30,7 @@
 		if r.awaitsAnswer() {
 			c.recordOutcome(now, true)
 		}
-		c.flows.answered(r)
+		c.flows.clearPending(r)
 		c.flows.setStage(r, closed)
 	case h.Flags.Has(flow.SYN):
 		c.recordSYNACK(now, key, r, h)
@@ -42,8 +42,9 @@
 	}
 }
 
-// recordAnswer takes the first bytes of an answer. One that fails or is shed says nothing of
-// how the target works, and it comes sooner: a target that fails must not look fast.
+// recordAnswer records the first packet of an answer and updates the service estimate. Failures
+// and shed requests are left out of the estimate: they come sooner than other answers, and a
+// failing target must not look fast.
 func (c *Core) recordAnswer(now time.Time, r *record, answer flow.Answer) {
 	if r.awaitsAnswer() {
 		c.recordAnswerOutcome(now, r, answer)
@@ -55,64 +56,66 @@
 	if answer != flow.AnswerCompleted {
 		return
 	}
-	served := backlog.Completion{ResponseTime: now.Sub(r.runningAt), ServiceTime: now.Sub(r.deliveredAt), Concurrency: r.concurrent}
+	completion := backlog.Completion{ResponseTime: now.Sub(r.runningAt), ServiceTime: now.Sub(r.deliveredAt), Concurrency: r.concurrent}
 	if !c.lastAnswerAt.IsZero() {
-		served.SincePrevious = now.Sub(c.lastAnswerAt)
+		completion.SincePrevious = now.Sub(c.lastAnswerAt)
 	}
 	c.lastAnswerAt = now
-	c.estimate.Observe(served, c.target.slots())
+	c.estimate.Observe(completion, c.target.slots())
 }
 
-// estimateTTL is how long what was observed of an idle target's work holds. A target that was
-// slow gets hardly any work, and shows only by work that it is not any more: then it is
-// judged like the typical one and tried again, one that is slow still a few requests each
-// time.
+// estimateTTL is how long the service estimate of an idle target stays valid. A slow target gets
+// hardly any requests, and only requests can show that it has recovered. Once its estimate has
+// expired it is treated like a typical target and gets requests again; a target that is still
+// slow gets only a few each time.
 const estimateTTL = 2 * time.Second
 
-// expireEstimate forgets an observation of a target that has had no work for long.
+// expireEstimate marks the service estimate as stale once the target has been idle for
+// estimateTTL.
 func (c *Core) expireEstimate(now time.Time) {
 	if c.flows.busy == 0 && now.Sub(c.lastAnswerAt) > estimateTTL {
 		c.estimate.MarkStale()
 	}
 }
 
-// recordSYNACK notes a SYN+ACK. A balancer whose SYN was passed on learns where
-// it went. The answer to a late copy of the SYN does not set an open flow back.
+// recordSYNACK records a SYN+ACK and notifies the balancer if its SYN was passed on. The
+// answer to a late retransmission of the SYN does not reset the stage of an open flow.
 func (c *Core) recordSYNACK(now time.Time, key flow.Key, r *record, h *flow.Header) {
 	if (r.stage == halfOpen || r.stage == open) && flow.WithinSequenceWindow(h.Seq, r.targetSeq) {
 		return
 	}
 	if r.stage != offered {
-		// What the target had, or was to get, was of an earlier flow.
-		c.flows.answered(r)
+		// A delivered or queued request belongs to an earlier flow between the same ports.
+		c.flows.clearPending(r)
 	}
 	c.flows.setStage(r, halfOpen)
 	r.targetSeq, r.clientFin, r.targetFin = h.Seq, false, false
 	r.abandonedFor, r.withheld = "", false
-	c.sendFound(key, r)
+	c.notifyBalancer(key, r)
 }
 
-// sendFound tells the balancer that looked for a flow that it is held here.
-func (c *Core) sendFound(key flow.Key, r *record) {
+// notifyBalancer notifies the balancer that searches for the flow, or whose SYN was passed on,
+// that this target holds it.
+func (c *Core) notifyBalancer(key flow.Key, r *record) {
 	if r.balancer != 0 {
 		c.sendOwner(key, r.balancer, 1)
 		r.balancer = 0
 	}
 }
 
-// recordSent notes a packet after the handshake: the flow is open here. What the target
-// sends is no answer to a request that it has not got yet.
+// recordSent records a packet of the target after the handshake: the flow is open here. While
+// the flow's request is still queued, the packet is not its answer.
 func (c *Core) recordSent(key flow.Key, r *record, h *flow.Header) {
-	c.sendFound(key, r)
+	c.notifyBalancer(key, r)
 	r.targetSeq = h.Seq + uint32(h.Len)
 	if h.Len > 0 && r.queued == nil {
-		c.flows.answered(r)
+		c.flows.clearPending(r)
 	}
 	if h.Flags.Has(flow.FIN) {
 		r.targetFin = true
 	}
 	if r.targetFin && r.clientFin {
-		c.flows.answered(r)
+		c.flows.clearPending(r)
 		c.flows.setStage(r, closed)
 		return
 	}
@@ -121,7 +124,7 @@
 	}
 }
 
-// handleBounced takes back a packet that the target did not accept.
+// handleBounced passes on a packet that the target did not accept.
 func (c *Core) handleBounced(now time.Time, h *flow.Header, packet []byte) {
 	key := h.KeyFromClient()
 	c.codec.Unmark(packet)
@@ -131,7 +134,7 @@
 		c.handleBouncedOpen(now, key, r, h)
 		return
 	}
-	// A target may refuse a copy of a SYN whose flow it holds half open.
+	// A target may bounce a retransmission of a SYN whose flow it holds half open.
 	if r != nil && (r.stage == offered || (r.stage == halfOpen && !h.IsOpening())) {
 		c.flows.remove(key, r)
 	}
@@ -140,17 +143,17 @@
 	c.passToNextCandidate(packet, true)
 }
 
-// handleBouncedOpen handles a packet that was delivered to an open flow. The target that
-// held it has ended then, for it was seen open here: no other target can hold it.
+// handleBouncedOpen handles a bounced packet of an open flow. The flow was seen open here, so no
+// other target can hold it: the target that held it has ended, and the flow is reset.
 func (c *Core) handleBouncedOpen(now time.Time, key flow.Key, r *record, h *flow.Header) {
-	if r == nil || r.stage != open || !r.holds(h) {
+	if r == nil || r.stage != open || !r.matches(h) {
 		c.events.Dropped(DropBounced)
 		return
 	}
-	c.flows.answered(r)
+	c.flows.clearPending(r)
 	c.flows.setStage(r, dead)
 	r.usedAt = now
-	// The target may have started again without a word.
+	// The target may have restarted unnoticed, so it may be cold.
 	c.cold.suspectedAt = now
 	c.events.Reset(key, "its target no longer holds it")
 	c.port.Reset(key, h.Ack)
--- a/agent/packetfront/health.go
+++ b/agent/packetfront/health.go
@@ -7,51 +7,51 @@
 	"github.com/poppywall/poppywall/outlier"
 )
 
-// readmissionWarmup is how long a target counts as warming after an ejection, so that it
-// gets its share back gradually.
+// readmissionWarmup is how long a target counts as warming up after an ejection, so that its
+// share grows back gradually.
 const readmissionWarmup = 2 * time.Second
 
-// onlyTarget names the one target in its detector.
+// onlyTarget is the key of the agent's one target in its outlier detector.
 const onlyTarget = "target"
 
-// health judges the target by the outcomes of its requests: answers that say that it
-// has failed, and resets. A target that fails quickly looks idle, and would draw more
-// work than any other. One that is slow or does not answer needs no judge: what it
-// owes counts as load, and the limit of its load keeps new flows away.
+// health ejects a target that fails requests, by error answers and by resets. A target that
+// fails quickly looks idle and would attract more requests than any other. A slow or hanging
+// target is not ejected: its unanswered requests count as load, and the load limit keeps new
+// flows away.
 //
-// The agent sees one target only, so the judgement is against what a healthy service
-// shows (outlier.Binomial's prior). When most targets of a service fail alike the
-// balancers pay no heed to it (ejectable).
+// The agent sees one target only, so it compares against what a healthy service shows (the
+// prior of outlier.Binomial). When most targets of a service fail alike, the balancers ignore
+// the ejections (ejectable).
 //
-// A target that ends without a word takes with it what it was given, and one that has
-// ended so a moment ago is likelier than others to end again. It proves itself: it
-// counts as ejected for a time after each such start, longer after each relapse.
+// A target that crashes loses the requests it has, and a target that has just crashed is more
+// likely than others to crash again. So each restart after a crash begins with a probation, in
+// which the target counts as ejected; it gets longer with each crash in a row.
 type health struct {
 	detector *outlier.Detector
 	ejected  bool
 	// readmittedAt is when the last ejection ended.
 	readmittedAt time.Time
-	// crashes counts the unplanned crashes in a row, lastEnd is when the last one was seen;
-	// provenAt is when the target has been up for long enough since.
+	// crashes counts the crashes in a row, lastCrash is when the last one was seen;
+	// probationEnd is when the probation after it ends.
 	crashes      int
 	lastCrash    time.Time
 	probationEnd time.Time
 }
 
-// Times of the proof of a target that has ended unplanned.
+// Durations of the probation after a crash.
 const (
-	// minProbation is how long it has to stay up after the first end, as long as a target
-	// is slow after its start anyway; each further end in a row doubles it up to
-	// mostProof. Of the writes to targets that go down and up each 0.8 s 0.10% are lost
-	// with it and 0.25% without (model, pattern "flap").
+	// minProbation is the probation after the first crash, as long as a target is slow after
+	// its start anyway; each further crash in a row doubles it, up to maxProbation. With it,
+	// 0.10% of the writes to targets that flap every 0.8 s are lost, without it 0.25%
+	// (package model, pattern "flap").
 	minProbation = 2 * time.Second
 	maxProbation = 30 * time.Second
-	// crashMemory is how long after an end another one counts as a relapse: a target that
-	// has stayed up for the longest proof starts over.
+	// crashMemory is how long a crash counts: a target that has stayed up for the longest
+	// probation starts again with the shortest one.
 	crashMemory = 30 * time.Second
 )
 
-// recordCrash notes an end without a word.
+// recordCrash records that the target ended without deregistering.
 func (h *health) recordCrash(now time.Time) {
 	if now.Sub(h.lastCrash) > crashMemory {
 		h.crashes = 0
@@ -60,26 +60,26 @@
 	h.lastCrash = now
 }
 
-// recordRestart notes that the target is up, and tells how long it has to prove itself;
-// zero where it has not ended lately.
+// recordRestart records that the target is up and returns the length of its probation, zero
+// if it has not crashed lately.
 func (h *health) recordRestart(now time.Time) time.Duration {
 	if h.crashes == 0 || now.Sub(h.lastCrash) > crashMemory {
 		return 0
 	}
-	proof := min(minProbation<<min(h.crashes-1, maxDoublings), maxProbation)
-	h.probationEnd, h.ejected = now.Add(proof), true
-	return proof
+	probation := min(minProbation<<min(h.crashes-1, maxDoublings), maxProbation)
+	h.probationEnd, h.ejected = now.Add(probation), true
+	return probation
 }
 
-// maxDoublings keeps the doubled time in range.
+// maxDoublings keeps the doubled probation within the range of time.Duration.
 const maxDoublings = 8
 
 func newHealth() health {
 	return health{detector: outlier.New(outlier.Defaults(), outlier.DefaultPolicy())}
 }
 
-// recordAnswerOutcome takes the answer to a request. That a target sheds what it would have to
-// queue is no fault of its own; it is where it has slots.
+// recordAnswerOutcome records whether an answer is a failure. A target that sheds a request
+// beyond its slots is not at fault; one that sheds with a free slot is.
 func (c *Core) recordAnswerOutcome(now time.Time, r *record, a flow.Answer) {
 	if a == flow.AnswerShed && r.concurrent > c.target.slots() {
 		c.events.Failed()
@@ -88,17 +88,17 @@
 	c.recordOutcome(now, a != flow.AnswerCompleted)
 }
 
-// recordOutcome takes the recordOutcome of a request.
+// recordOutcome records whether a request failed, and ejects the target if too many did.
 func (c *Core) recordOutcome(now time.Time, failed bool) {
 	if failed {
 		c.events.Failed()
 	}
-	before := c.health.detector.Counts(now, onlyTarget)
+	counts := c.health.detector.Counts(now, onlyTarget)
 	if !c.health.detector.Report(now, onlyTarget, failed) {
 		return
 	}
 	c.health.ejected = true
-	c.events.Ejected(true, int(before.Trials)+1, int(before.Failures)+1)
+	c.events.Ejected(true, int(counts.Trials)+1, int(counts.Failures)+1)
 	c.announceChange(now)
 }
 
@@ -112,9 +112,9 @@
 	c.announceChange(now)
 }
 
-// warmup is how long the target is to get less than its share: it says so itself
-// after its start, or comes back from an ejection.
+// warmup returns how long the target gets less than its share: as it reports itself after
+// its start, or because it was readmitted after an ejection.
 func (c *Core) warmup(now time.Time) time.Duration {
-	comeback := c.health.readmittedAt.Add(readmissionWarmup).Sub(now)
-	return max(c.target.warmup(now), comeback, 0)
+	readmission := c.health.readmittedAt.Add(readmissionWarmup).Sub(now)
+	return max(c.target.warmup(now), readmission, 0)
 }
--- a/agent/packetfront/health_test.go
+++ b/agent/packetfront/health_test.go
@@ -12,10 +12,10 @@
 	"github.com/poppywall/poppywall/platform/platformtest"
 )
 
-// answers are what a target may do with a request.
+// answer is what a target does with a request.
 type answer func(f *fixture, client int)
 
-func says(data string) answer {
+func answerWith(data string) answer {
 	return func(f *fixture, client int) {
 		p := platformtest.FromTarget(keyOf(client), flow.ACK, 500, 0, []byte(data))
 		h, err := f.codec.Decode(p)
@@ -26,52 +26,54 @@
 	}
 }
 
-func resets(f *fixture, client int) { f.targetSends(client, flow.RST, 500, 0) }
+func resetFlow(f *fixture, client int) { f.targetSends(client, flow.RST, 500, 0) }
 
-// request opens a flow, asks on it, and lets the target answer.
-func (f *fixture) request(client int, a answer) {
-	f.ask(client)
+// requestWithACK opens a flow, sends a request, and lets the target acknowledge it before it
+// answers.
+func (f *fixture) requestWithACK(client int, a answer) {
+	f.openAndRequest(client)
 	f.targetSends(client, flow.ACK, 500, 0)
 	if a != nil {
 		a(f, client)
 	}
 }
 
-// requestAtOnce does the same at a target whose answer is the first that it sends.
-func (f *fixture) requestAtOnce(client int, a answer) {
-	f.ask(client)
+// requestWithoutACK is requestWithACK without the acknowledgement: the answer is the first packet
+// that the target sends after the handshake.
+func (f *fixture) requestWithoutACK(client int, a answer) {
+	f.openAndRequest(client)
 	if a != nil {
 		a(f, client)
 	}
 }
 
-func (f *fixture) ask(client int) {
+func (f *fixture) openAndRequest(client int) {
 	f.syn(client, 0, 0)
 	f.targetSends(client, flow.SYN|flow.ACK, 500, 0)
 	f.deliver(envelope.Envelope{}, packet(keyOf(client), flow.ACK, 500, "GET"))
 }
 
-// TestATargetThatFailsIsEjected, by what it answers and by resets, and not for
-// answers that are its clients' own fault or for resets that nobody waits for.
+// TestATargetThatFailsIsEjected: a target is ejected for error answers and resets, but not for
+// answers to faulty requests of its clients.
 func TestATargetThatFailsIsEjected(t *testing.T) {
 	const requests = 40
 	for name, c := range map[string]struct {
 		good, bad answer
-		// oneIn is how many of the requests go badly: each so many-th.
+		// oneIn is n if every n-th request gets the bad answer.
 		oneIn int
 		want  bool
 	}{
-		"all fail":          {bad: says("HTTP/1.1 500 Internal"), oneIn: 1, want: true},
-		"all are shed":      {bad: says("HTTP/1.1 503 Busy"), oneIn: 1, want: true},
-		"half fail":         {good: says("HTTP/1.1 200 OK"), bad: says("HTTP/1.1 500 Internal"), oneIn: 2, want: true},
-		"half are reset":    {good: says("HTTP/1.1 200 OK"), bad: resets, oneIn: 2, want: true},
-		"one in ten fails":  {good: says("HTTP/1.1 200 OK"), bad: says("HTTP/1.1 500 Internal"), oneIn: 10, want: false},
-		"clients' faults":   {bad: says("HTTP/1.1 404 Not Found"), oneIn: 1, want: false},
-		"refused as others": {bad: says("HTTP/1.1 421 Misdirected"), oneIn: 1, want: false},
-		"not HTTP":          {bad: says("5"), oneIn: 1, want: false},
+		"all fail":             {bad: answerWith("HTTP/1.1 500 Internal"), oneIn: 1, want: true},
+		"all are shed":         {bad: answerWith("HTTP/1.1 503 Busy"), oneIn: 1, want: true},
+		"half fail":            {good: answerWith("HTTP/1.1 200 OK"), bad: answerWith("HTTP/1.1 500 Internal"), oneIn: 2, want: true},
+		"half are reset":       {good: answerWith("HTTP/1.1 200 OK"), bad: resetFlow, oneIn: 2, want: true},
+		"one in ten fails":     {good: answerWith("HTTP/1.1 200 OK"), bad: answerWith("HTTP/1.1 500 Internal"), oneIn: 10, want: false},
+		"clients' faults":      {bad: answerWith("HTTP/1.1 404 Not Found"), oneIn: 1, want: false},
+		"misdirected requests": {bad: answerWith("HTTP/1.1 421 Misdirected"), oneIn: 1, want: false},
+		"not HTTP":             {bad: answerWith("5"), oneIn: 1, want: false},
 	} {
 		for form, request := range map[string]func(*fixture, int, answer){
-			"acknowledged": (*fixture).request, "answered at once": (*fixture).requestAtOnce,
+			"acknowledged": (*fixture).requestWithACK, "answered at once": (*fixture).requestWithoutACK,
 		} {
 			f := newFixture()
 			for i := range requests {
@@ -88,77 +90,78 @@
 	}
 }
 
-// TestATargetThatDidWellBeforeIsEjectedSoon: a third of its requests fail from now on.
+// TestATargetThatDidWellBeforeIsEjectedSoon: after 220 good answers a third of the requests fail.
+// The good ones must not delay the ejection to 15 failures.
 func TestATargetThatDidWellBeforeIsEjectedSoon(t *testing.T) {
 	f := newFixture()
 	next := 0
 	do := func(a answer) {
-		f.requestAtOnce(next, a)
+		f.requestWithoutACK(next, a)
 		next++
 		f.now = f.now.Add(45 * time.Millisecond)
 	}
 	for range 220 {
-		do(says("HTTP/1.1 200 OK"))
+		do(answerWith("HTTP/1.1 200 OK"))
 	}
 	failed := 0
 	for i := 0; !f.health.ejected; i++ {
 		if i%3 == 0 {
-			do(says("HTTP/1.1 500 Internal"))
+			do(answerWith("HTTP/1.1 500 Internal"))
 			failed++
 			continue
 		}
-		do(says("HTTP/1.1 200 OK"))
+		do(answerWith("HTTP/1.1 200 OK"))
 	}
 	require.Less(t, failed, 15)
 }
 
-// TestLoadThatIsShedIsNoFailure: of requests that the target had to queue.
+// TestLoadThatIsShedIsNoFailure: a request that is shed while all slots are taken is no failure;
+// one that is shed with free slots is.
 func TestLoadThatIsShedIsNoFailure(t *testing.T) {
 	f := newFixture()
 	for i := range 4 {
-		f.ask(i)
+		f.openAndRequest(i)
 	}
 	for i := range 40 {
-		f.requestAtOnce(10+i, says("HTTP/1.1 503 Busy"))
+		f.requestWithoutACK(10+i, answerWith("HTTP/1.1 503 Busy"))
 	}
 	require.False(t, f.health.ejected)
 	for i := range 4 {
-		says("HTTP/1.1 200 OK")(f, i)
+		answerWith("HTTP/1.1 200 OK")(f, i)
 	}
 	for i := range 40 {
-		f.requestAtOnce(100+i, says("HTTP/1.1 503 Busy"))
+		f.requestWithoutACK(100+i, answerWith("HTTP/1.1 503 Busy"))
 	}
 	require.True(t, f.health.ejected, "with slots free")
 }
 
-// TestATargetThatRefusesAFlowHasNotFailed: nothing was asked of it yet.
+// TestATargetThatRefusesAFlowHasNotFailed: a reset before any request was delivered is no failure.
 func TestATargetThatRefusesAFlowHasNotFailed(t *testing.T) {
 	f := newFixture()
 	for i := range 40 {
 		f.syn(i, 0, 0)
 		f.targetSends(i, flow.SYN|flow.ACK, 500, 0)
-		resets(f, i)
+		resetFlow(f, i)
 	}
 	require.False(t, f.health.ejected)
 }
 
-// TestResetsThatNobodyWaitsForAreNoFailures: a target resets what belongs to flows
-// that it has ended.
-func TestResetsThatNobodyWaitsForAreNoFailures(t *testing.T) {
+// TestResetsOfAnsweredFlowsAreNoFailures: a target may reset a flow after its answer.
+func TestResetsOfAnsweredFlowsAreNoFailures(t *testing.T) {
 	f := newFixture()
 	for i := range 40 {
-		f.request(i, says("HTTP/1.1 200 OK"))
-		resets(f, i)
+		f.requestWithACK(i, answerWith("HTTP/1.1 200 OK"))
+		resetFlow(f, i)
 	}
 	require.False(t, f.health.ejected)
 }
 
-// TestAnEjectedTargetComesBack after a while, slowly, and meanwhile takes new flows
-// only when no other target does.
+// TestAnEjectedTargetComesBack: an ejected target gets new flows only if there is no other
+// candidate; it is readmitted after a while, with a warm-up.
 func TestAnEjectedTargetComesBack(t *testing.T) {
 	f := newFixture()
 	for i := range 10 {
-		f.request(i, says("HTTP/1.1 500 Internal"))
+		f.requestWithACK(i, answerWith("HTTP/1.1 500 Internal"))
 	}
 	require.True(t, f.health.ejected)
 	before := len(f.port.target)
@@ -168,7 +171,7 @@
 	require.Len(t, f.port.target, before)
 	require.Equal(t, nextIP, f.port.Last().To)
 	f.syn(101, 0, 0)
-	require.Len(t, f.port.target, before+1, "nobody else has it")
+	require.Len(t, f.port.target, before+1, "there is no other candidate")
 	f.pass(10 * time.Second)
 	a := f.announcement(f.now)
 	require.False(t, a.Ejected)
@@ -178,15 +181,16 @@
 	require.Zero(t, f.announcement(f.now).WarmupMillis)
 }
 
-// goesDownAndUp lets the target end without a word and start again.
-func (f *fixture) goesDownAndUp(down time.Duration) {
+// crashAndRestart lets the target crash and start again after the given time.
+func (f *fixture) crashAndRestart(down time.Duration) {
 	f.Probed(f.now, ProbeRefused)
 	f.pass(down)
 	f.Probed(f.now, ProbeAccepted)
 }
 
-// unprovenFor is how long a target that is up gets no new flow.
-func (f *fixture) unprovenFor() time.Duration {
+// probationTime passes time until the target is no longer announced as ejected, and returns how
+// long that took.
+func (f *fixture) probationTime() time.Duration {
 	began := f.now
 	for f.announcement(f.now).Ejected {
 		f.pass(100 * time.Millisecond)
@@ -194,25 +198,26 @@
 	return f.now.Sub(began)
 }
 
-// TestATargetThatEndsUnplannedProvesItself: for longer after each relapse, and as at
-// first again when it has been up for long.
-func TestATargetThatEndsUnplannedProvesItself(t *testing.T) {
+// TestCrashedTargetIsOnProbation: the probation doubles with each crash in a row, up to a maximum,
+// and starts from the minimum again once the target has been up for long.
+func TestCrashedTargetIsOnProbation(t *testing.T) {
 	f := newFixture()
-	require.Zero(t, f.unprovenFor(), "a first start proves itself by what it does")
+	require.Zero(t, f.probationTime(), "the first start is not on probation")
 	for _, want := range []time.Duration{2, 4, 8, 16, 30} {
-		f.goesDownAndUp(800 * time.Millisecond)
-		require.Equal(t, want*time.Second, f.unprovenFor())
+		f.crashAndRestart(800 * time.Millisecond)
+		require.Equal(t, want*time.Second, f.probationTime())
 	}
 	require.Equal(t, maxProbation, crashMemory)
-	f.goesDownAndUp(800 * time.Millisecond)
-	require.Equal(t, minProbation, f.unprovenFor(), "it was up for long")
+	f.crashAndRestart(800 * time.Millisecond)
+	require.Equal(t, minProbation, f.probationTime(), "it was up for long")
 }
 
-// TestATargetThatGoesDownAndUpByTurnsGetsNoFlow: it does not stay up for long enough.
-func TestATargetThatGoesDownAndUpByTurnsGetsNoFlow(t *testing.T) {
+// TestFlappingTargetGetsNoFlow: a target that is up for 400 ms at a time never completes its
+// probation.
+func TestFlappingTargetGetsNoFlow(t *testing.T) {
 	f := newFixture()
 	for range 20 {
-		f.goesDownAndUp(400 * time.Millisecond)
+		f.crashAndRestart(400 * time.Millisecond)
 		for range 4 {
 			require.True(t, f.announcement(f.now).Ejected)
 			f.pass(100 * time.Millisecond)
@@ -220,18 +225,18 @@
 	}
 }
 
-// TestPlannedEndsAreNoRelapses: of a release, or of a target that starts again after its
-// farewell; nor is a start that a fresh agent finds.
-func TestPlannedEndsAreNoRelapses(t *testing.T) {
+// TestPlannedEndsAreNoCrashes: a target that deregistered before its end, one that a new agent
+// finds down first, and one that crashed long ago are not on probation.
+func TestPlannedEndsAreNoCrashes(t *testing.T) {
 	for name, do := range map[string]func(f *fixture){
-		"after a farewell": func(f *fixture) {
+		"after a deregistration": func(f *fixture) {
 			f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
 			f.Probed(f.now, ProbeRefused)
 			f.beatOf(time.Second, "i-2", 1, false)
 		},
-		"a fresh agent": func(f *fixture) {
+		"a new agent": func(f *fixture) {
 			f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-			f.goesDownAndUp(400 * time.Millisecond)
+			f.crashAndRestart(400 * time.Millisecond)
 		},
 		"long ago": func(f *fixture) {
 			f.Probed(f.now, ProbeRefused)
@@ -242,6 +247,6 @@
 		f := newFixture()
 		do(f)
 		require.Equal(t, fleet.Ready, f.target.state(), name)
-		require.Zero(t, f.unprovenFor(), name)
+		require.Zero(t, f.probationTime(), name)
 	}
 }
--- a/agent/packetfront/overload.go
+++ b/agent/packetfront/overload.go
@@ -9,29 +9,29 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// overload judges whether the target has more to do than it can answer.
+// overload detects whether the target gets more requests than it can answer.
 type overload struct {
 	backlog.Overload
 	active bool
-	// changedAt is when the judgement changed last.
+	// changedAt is when active last changed.
 	changedAt time.Time
 }
 
-// crossZoneNotifyPause is how long after one change of the judgement other zones hear of the next
-// one at the earliest: a service's targets change it together.
+// crossZoneNotifyPause is the minimum pause between two early announcements of overload
+// changes to other zones: the targets of a service tend to change at the same time.
 const crossZoneNotifyPause = time.Second
 
-// countArrival notes a new flow where its way ends: at the target that takes it or leaves it to
-// its client's next packet, or else at the last one that it is offered to. A target that
-// others pass their flows on to has these to answer, not those that pass them on. A flow
-// that a balancer sends again is the same arrival.
+// countArrival counts a new flow as load offered to this target. A flow is counted once: by the
+// target that admits or postpones it, or else by the last candidate that declines it. Targets
+// that pass a flow on do not count it, because they do not have to answer it. A flow that a
+// balancer sends again is the same arrival.
 func (c *Core) countArrival(now time.Time, h *flow.Header) {
 	if c.env.Flags&envelope.Retransmitted == 0 {
 		c.overload.Arrived(now, c.env.Deadline, h.Ack > 0)
 	}
 }
 
-// decline passes a new flow on for which the target has no room.
+// decline passes on a new flow for which the target has no headroom.
 func (c *Core) decline(now time.Time, key flow.Key, h *flow.Header, packet []byte, reason string) {
 	c.events.PassedOn(key, reason, int(c.env.Hops))
 	if c.env.Count == 0 {
@@ -40,35 +40,36 @@
 	c.passToNextCandidate(packet, true)
 }
 
-// countLaterRequest notes a later request of a flow. Its first one was noted with its opening
-// packet.
+// countLaterRequest counts a request after the first one of its flow; the first one was
+// counted with the opening packet.
 func (c *Core) countLaterRequest(now time.Time, r *record) {
 	if r.pendingAt.IsZero() && r.request.began.IsZero() {
 		c.overload.ArrivedOnOpenFlow(now, r.request.deadline)
 	}
 }
 
-// updateSlots notes whether the target has a free slot: requests whose bodies are on their
-// way keep none.
+// updateSlots records whether the target has a free slot. Requests whose bodies are still in
+// transfer occupy none.
 func (c *Core) updateSlots(now time.Time) {
 	working := float64(c.flows.running) * c.estimate.WorkShare()
 	c.overload.SetSlotFree(now, working < float64(c.target.slots()))
 }
 
-// updateOverload tells balancers at once when an overload stands, and when it does no
-// longer: they refuse for all others what it means for this target alone.
+// updateOverload detects the start and the end of an overload and announces both to the
+// balancers early: this target limits only its own flows, while balancers can refuse flows
+// for the whole service.
 func (c *Core) updateOverload(now time.Time) {
 	if c.target.warmup(now) > 0 || c.target.state() == fleet.Absent {
 		c.overload.NoteOutage(now)
 	}
 	c.updateSlots(now)
 	wait := c.expectedWait(now)
-	stands := c.overload.Active(now, wait)
-	if stands == c.overload.active {
+	active := c.overload.Active(now, wait)
+	if active == c.overload.active {
 		return
 	}
-	c.overload.active = stands
-	c.events.Overloaded(stands, c.overload.Load(now), c.queue.Len(), wait)
+	c.overload.active = active
+	c.events.Overloaded(active, c.overload.Load(now), c.queue.Len(), wait)
 	c.nextSameZone = now
 	if next := c.overload.changedAt.Add(crossZoneNotifyPause); next.Before(c.nextCrossZone) {
 		c.nextCrossZone = next
@@ -76,8 +77,8 @@
 	c.overload.changedAt = now
 }
 
-// meetsObjective tells whether a new flow's request can be answered within its
-// objective after a wait, where it states one, and else before its deadline.
+// meetsObjective reports whether the request of a new flow can be answered within its
+// objective after the wait, or before its deadline if it has no objective.
 func (c *Core) meetsObjective(wait time.Duration, h *flow.Header) bool {
 	if c.env.Objective == 0 {
 		return c.canMeetDeadline(wait, h)
@@ -86,7 +87,7 @@
 	return c.queue.Len() < maxQueued && expected.MeetsObjective(backlog.RetransmissionAge(h.Ack), c.env.Objective)
 }
 
-// nextQueued takes out the request that gets the next slot.
+// nextQueued removes and returns the queued request that gets the next slot.
 func (c *Core) nextQueued(now time.Time) (flow.Key, bool) {
 	if c.overload.active {
 		return c.queue.NextInTime(now, c.estimate)
--- a/agent/packetfront/overload_test.go
+++ b/agent/packetfront/overload_test.go
@@ -12,30 +12,31 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// crowd offers a fixture's target new flows at a rate, each with one request of a fixed
-// work, and counts what became of them.
-type crowd struct {
+// openLoopLoad offers new flows at a fixed rate to a fixture's target, with a fixed service time,
+// and counts the outcomes.
+type openLoopLoad struct {
 	*fixture
-	work time.Duration
-	next time.Time
-	// each is how many requests a flow has, one if zero; answered counts those of a client.
-	each     int
-	answered map[int]int
-	// hops is how many targets have passed each flow on, others the candidates behind this one.
-	hops   uint8
-	others []flow.Candidate
-	// sentAt is when each client sent its opening packet.
+	serviceTime time.Duration
+	next        time.Time
+	// requestsPerFlow is the number of requests of each flow, one if zero; answered counts the
+	// answered requests of each client.
+	requestsPerFlow int
+	answered        map[int]int
+	// hops is how many targets have passed on each flow, candidates are those after this one.
+	hops       uint8
+	candidates []flow.Candidate
+	// sentAt is when each client sent its unanswered request.
 	sentAt map[int]time.Time
-	// offered, returned and postponed count flows; inTime and late answers.
+	// offered, returned and postponed count flows; inTime and late count answers.
 	offered, returned, postponed, inTime, late int
 }
 
-func newCrowd(f *fixture, work time.Duration) *crowd {
-	return &crowd{fixture: f, work: work, next: f.now, sentAt: map[int]time.Time{}, answered: map[int]int{}}
+func newOpenLoopLoad(f *fixture, work time.Duration) *openLoopLoad {
+	return &openLoopLoad{fixture: f, serviceTime: work, next: f.now, sentAt: map[int]time.Time{}, answered: map[int]int{}}
 }
 
-// play offers so many flows a second for a span.
-func (c *crowd) play(span time.Duration, rate float64) {
+// run offers the given number of flows a second for the given time.
+func (c *openLoopLoad) run(span time.Duration, rate float64) {
 	end := c.now.Add(span)
 	c.next = c.now
 	for ; c.now.Before(end); c.now = c.now.Add(time.Millisecond) {
@@ -51,18 +52,18 @@
 	}
 }
 
-func (c *crowd) offer() {
+func (c *openLoopLoad) offer() {
 	c.client++
 	c.offered++
 	before := len(c.port.Nodes)
-	env := load(2)
+	env := routeEnvelope(2)
 	env.Hops = c.hops
-	env.SetCandidates(c.others)
-	c.opens(c.client, env, 0)
+	env.SetCandidates(c.candidates)
+	c.openFlow(c.client, env, 0)
 	switch {
 	case c.flows.get(keyOf(c.client)) != nil:
 		c.sentAt[c.client] = c.now
-		c.asks(c.client)
+		c.sendRequest(c.client)
 	case len(c.port.Nodes) > before:
 		c.returned++
 	default:
@@ -70,90 +71,90 @@
 	}
 }
 
-// serve lets the target answer what it has had for long enough, as many as its slots
-// at a time.
-func (c *crowd) serve() {
+// serve answers the requests that have been at the target for their service time.
+func (c *openLoopLoad) serve() {
 	for client, sent := range c.sentAt {
 		r := c.flows.get(keyOf(client))
-		if r == nil || r.runningAt.IsZero() || c.now.Sub(r.runningAt) < c.workOf(r) {
+		if r == nil || r.runningAt.IsZero() || c.now.Sub(r.runningAt) < c.serviceTimeOf(r) {
 			continue
 		}
 		delete(c.sentAt, client)
-		if c.now.Sub(sent) <= load(2).Objective {
+		if c.now.Sub(sent) <= routeEnvelope(2).Objective {
 			c.inTime++
 		} else {
 			c.late++
 		}
 		c.targetSends(client, flow.ACK, uint32(501+10*c.answered[client]), 10)
-		if c.answered[client]++; c.answered[client] < c.each {
+		if c.answered[client]++; c.answered[client] < c.requestsPerFlow {
 			c.sentAt[client] = c.now
-			c.asks(client)
+			c.sendRequest(client)
 		}
 	}
 }
 
-// workOf is how long a request stays at the target: those beyond the slots share them.
-func (c *crowd) workOf(r *record) time.Duration {
+// serviceTimeOf returns how long a request stays at the target: requests beyond the number of
+// slots share the slots.
+func (c *openLoopLoad) serviceTimeOf(r *record) time.Duration {
 	shared := max(float64(r.concurrent)/float64(c.target.slots()), 1)
-	return time.Duration(shared * float64(c.work))
+	return time.Duration(shared * float64(c.serviceTime))
 }
 
-// TestInAnOverloadWhatIsTakenIsInTime: 2.4 times what a target can answer, for six
-// seconds. From a deadline's quarter and two windows on what is taken is answered within its
-// objective, the rest goes on at once; calm again, all are taken.
-func TestInAnOverloadWhatIsTakenIsInTime(t *testing.T) {
-	c := newCrowd(longThere(), 30*time.Millisecond)
+// TestOverloadedTargetAnswersAdmittedRequestsInTime offers 2.4 times the target's capacity for six
+// seconds. After a quarter of the deadline and two windows, admitted requests are answered within
+// their objective and the others are passed on at once. After the overload all are admitted again.
+func TestOverloadedTargetAnswersAdmittedRequestsInTime(t *testing.T) {
+	c := newOpenLoopLoad(newSettledFixture(), 30*time.Millisecond)
 	const capacity = 4 / 0.030
-	c.play(3*time.Second, 0.5*capacity)
+	c.run(3*time.Second, 0.5*capacity)
 	require.Zero(t, c.returned+c.postponed+c.late)
-	c.play(1500*time.Millisecond, 2.4*capacity)
+	c.run(1500*time.Millisecond, 2.4*capacity)
 	require.True(t, c.overload.active)
 	c.offered, c.returned, c.postponed, c.inTime, c.late = 0, 0, 0, 0, 0
-	c.play(4500*time.Millisecond, 2.4*capacity)
-	require.Zero(t, c.postponed, "nothing is left to its next opening packet")
+	c.run(4500*time.Millisecond, 2.4*capacity)
+	require.Zero(t, c.postponed, "no flow is postponed")
 	require.Greater(t, float64(c.inTime), 0.9*4.5*capacity)
 	require.Greater(t, float64(c.returned), 0.5*float64(c.offered))
-	c.play(500*time.Millisecond, 0.5*capacity)
+	c.run(500*time.Millisecond, 0.5*capacity)
 	require.False(t, c.overload.active)
 	c.returned, c.late = 0, 0
-	c.play(3*time.Second, 0.5*capacity)
+	c.run(3*time.Second, 0.5*capacity)
 	require.Zero(t, c.returned+c.postponed+c.late)
 }
 
-// TestFlowsThatOthersPassOnMakeAnOverload: a target whose only flows come from full ones has
-// as much to do as one that balancers choose.
-func TestFlowsThatOthersPassOnMakeAnOverload(t *testing.T) {
-	c := newCrowd(longThere(), 30*time.Millisecond)
+// TestPassedOnFlowsCountTowardsOverload: flows that other targets pass on count as offered load
+// like flows that balancers send directly.
+func TestPassedOnFlowsCountTowardsOverload(t *testing.T) {
+	c := newOpenLoopLoad(newSettledFixture(), 30*time.Millisecond)
 	c.hops = 1
 	const capacity = 4 / 0.030
-	c.play(3*time.Second, 0.5*capacity)
+	c.run(3*time.Second, 0.5*capacity)
 	require.False(t, c.overload.active)
-	c.play(1500*time.Millisecond, 2.4*capacity)
+	c.run(1500*time.Millisecond, 2.4*capacity)
 	require.True(t, c.overload.active)
 	require.InEpsilon(t, 2.4*capacity, c.overload.Load(c.now).Arrived, 0.1)
 }
 
-// TestFlowsThatOthersTakeMakeNoOverload: a target that is chosen first by more than it can
-// answer is full, and others have what it passes on.
-func TestFlowsThatOthersTakeMakeNoOverload(t *testing.T) {
-	c := newCrowd(longThere(), 30*time.Millisecond)
-	c.others = []flow.Candidate{{Target: nextIP, Service: service}}
+// TestFlowsServedElsewhereDoNotCountTowardsOverload: a target that is offered more flows than it
+// can answer is full but not overloaded while other candidates get the rest.
+func TestFlowsServedElsewhereDoNotCountTowardsOverload(t *testing.T) {
+	c := newOpenLoopLoad(newSettledFixture(), 30*time.Millisecond)
+	c.candidates = []flow.Candidate{{Target: nextIP, Service: service}}
 	const capacity = 4 / 0.030
-	c.play(4*time.Second, 2.4*capacity)
+	c.run(4*time.Second, 2.4*capacity)
 	require.NotZero(t, c.returned)
 	require.Zero(t, c.tally.overloads)
 }
 
-// TestTwoFullTargetsEndAFlowsWay: an overloaded target passes a flow on, but not one that
-// another has passed on to it.
-func TestTwoFullTargetsEndAFlowsWay(t *testing.T) {
-	c := newCrowd(longThere(), 30*time.Millisecond)
+// TestFlowIsReturnedAfterTwoFullTargets: an overloaded target passes on a flow from a balancer, but
+// returns one that another target has passed on.
+func TestFlowIsReturnedAfterTwoFullTargets(t *testing.T) {
+	c := newOpenLoopLoad(newSettledFixture(), 30*time.Millisecond)
 	const capacity = 4 / 0.030
-	c.play(3*time.Second, 0.5*capacity)
-	c.play(1500*time.Millisecond, 2.4*capacity)
+	c.run(3*time.Second, 0.5*capacity)
+	c.run(1500*time.Millisecond, 2.4*capacity)
 	require.True(t, c.overload.active)
 	for hops, to := range []flow.IPv4{nextIP, balancerIP} {
-		env := load(2)
+		env := routeEnvelope(2)
 		env.Balancer, env.Hops = balancerIP, uint8(hops)
 		env.SetCandidates([]flow.Candidate{{Target: nextIP, Service: service}})
 		for c.deliver(env, packet(keyOf(c.client), flow.SYN, 0, "")); c.flows.get(keyOf(c.client)) != nil; c.deliver(env, packet(keyOf(c.client), flow.SYN, 0, "")) {
@@ -163,24 +164,24 @@
 	}
 }
 
-// TestBalancersHearOfAnOverloadAtOnce, of both zones, and of its end: one deadline later
-// whoever came before it was told has been answered or has gone.
-func TestBalancersHearOfAnOverloadAtOnce(t *testing.T) {
-	f := longThere()
+// TestOverloadIsAnnouncedAtOnce: balancers of both zones learn of the start of an overload at once,
+// and of its end within one deadline, when all earlier requests were answered or have expired.
+func TestOverloadIsAnnouncedAtOnce(t *testing.T) {
+	f := newSettledFixture()
 	f.beacon(balancerIP, f.opts.Zone, 0)
 	f.beacon(nextIP, f.opts.Zone+1, 0)
-	c := newCrowd(f, 30*time.Millisecond)
+	c := newOpenLoopLoad(f, 30*time.Millisecond)
 	const capacity = 4 / 0.030
-	c.play(3*time.Second, 0.5*capacity)
-	require.Equal(t, map[flow.IPv4]bool{balancerIP: false, nextIP: false}, f.heardOverloaded())
-	c.play(1500*time.Millisecond, 2.4*capacity)
-	require.Equal(t, map[flow.IPv4]bool{balancerIP: true, nextIP: true}, f.heardOverloaded())
-	c.play(load(2).Deadline, 0.5*capacity)
-	require.Equal(t, map[flow.IPv4]bool{balancerIP: false, nextIP: false}, f.heardOverloaded())
+	c.run(3*time.Second, 0.5*capacity)
+	require.Equal(t, map[flow.IPv4]bool{balancerIP: false, nextIP: false}, f.announcedOverload())
+	c.run(1500*time.Millisecond, 2.4*capacity)
+	require.Equal(t, map[flow.IPv4]bool{balancerIP: true, nextIP: true}, f.announcedOverload())
+	c.run(routeEnvelope(2).Deadline, 0.5*capacity)
+	require.Equal(t, map[flow.IPv4]bool{balancerIP: false, nextIP: false}, f.announcedOverload())
 }
 
-// heardOverloaded returns what each balancer heard last of the target's load.
-func (f *fixture) heardOverloaded() map[flow.IPv4]bool {
+// announcedOverload returns the overload state last announced to each balancer.
+func (f *fixture) announcedOverload() map[flow.IPv4]bool {
 	out := map[flow.IPv4]bool{}
 	for _, s := range f.port.OfKind(envelope.Announce) {
 		if a, err := fleet.DecodeAnnouncement(s.Raw); err == nil {
@@ -190,66 +191,66 @@
 	return out
 }
 
-// TestSlowUploadsAreNoOverload: their bodies keep more of them at the target than it has
-// slots, while it works on few. Balancers would refuse what an idle target can answer. The
-// first seconds, in which the agent has seen no answer yet, are left out.
+// TestSlowUploadsAreNoOverload: the target has more slow uploads than slots but works on few of
+// them, so balancers must not refuse requests. The first 5 seconds are left out, because the
+// agent has seen no answer yet.
 func TestSlowUploadsAreNoOverload(t *testing.T) {
 	const period, gap, work, packets = 107 * time.Millisecond, 30 * time.Millisecond, 5 * time.Millisecond, 67
-	f := longThere()
-	f.uploads(5*time.Second, period, gap, work, packets)
+	f := newSettledFixture()
+	f.runUploads(5*time.Second, period, gap, work, packets)
 	f.tally.overloads = 0
-	f.uploads(20*time.Second, period, gap, work, packets)
+	f.runUploads(20*time.Second, period, gap, work, packets)
 	require.Greater(t, f.peak, 2*f.target.slots())
 	require.Zero(t, f.tally.overloads)
 	require.Less(t, f.overload.Load(f.now).FullShare, 0.1)
 }
 
-// TestALastCandidateSendsAFlowToOneThatCanTakeIt: that it takes none itself, as it is
-// overloaded or leaving, is no reason to refuse what another one would have served.
-func TestALastCandidateSendsAFlowToOneThatCanTakeIt(t *testing.T) {
+// TestLastCandidateRedirectsFlowToTheShortestWait: if the last candidate admits no flow itself,
+// because it is overloaded or draining, another target may still serve it.
+func TestLastCandidateRedirectsFlowToTheShortestWait(t *testing.T) {
 	for name, prepare := range map[string]func(f *fixture){
-		"overloaded": func(f *fixture) { f.fill(); f.overload.active = true },
+		"overloaded": func(f *fixture) { f.fillTarget(); f.overload.active = true },
 		"draining":   func(f *fixture) { f.beat(true) },
 	} {
 		f := newFixture()
 		prepare(f)
-		e := load(2)
+		e := routeEnvelope(2)
 		e.Objective = time.Millisecond
 		e.ShortestWaitTarget, e.ShortestWaitTime = nextIP, 10*time.Millisecond
-		f.opens(100, e, 0)
+		f.openFlow(100, e, 0)
 		sent := f.port.Last()
 		require.Equal(t, nextIP, sent.To, name)
 		require.Equal(t, envelope.Deliver, sent.Kind, name)
 		require.NotZero(t, sent.Env.Flags&envelope.ShortestWait, name)
 		e.Flags = envelope.ShortestWait
-		f.opens(101, e, 0)
-		require.Equal(t, envelope.Returned, f.port.Last().Kind, "%s: it was sent on once", name)
+		f.openFlow(101, e, 0)
+		require.Equal(t, envelope.Returned, f.port.Last().Kind, "%s: it was redirected before", name)
 	}
 }
 
-// TestAnOverloadByLongFlowsIsTold as one by flows of one request each: what their later
-// requests bring is answered, and arrives, too.
-func TestAnOverloadByLongFlowsIsTold(t *testing.T) {
-	const each, capacity = 5, 4 / 0.030
-	c := newCrowd(longThere(), 30*time.Millisecond)
-	c.each = each
-	c.play(3*time.Second, 0.5*capacity/each)
+// TestOverloadByLaterRequestsIsDetected: later requests of open flows count as arrivals and
+// answers like the first requests of new flows.
+func TestOverloadByLaterRequestsIsDetected(t *testing.T) {
+	const requestsPerFlow, capacity = 5, 4 / 0.030
+	c := newOpenLoopLoad(newSettledFixture(), 30*time.Millisecond)
+	c.requestsPerFlow = requestsPerFlow
+	c.run(3*time.Second, 0.5*capacity/requestsPerFlow)
 	require.Zero(t, c.tally.overloads)
-	c.play(2*load(2).Deadline+2*backlog.OverloadWindow, 2.4*capacity/each)
+	c.run(2*routeEnvelope(2).Deadline+2*backlog.OverloadWindow, 2.4*capacity/requestsPerFlow)
 	require.Equal(t, 1, c.tally.overloads, "as soon as its backlog has lasted for two deadlines")
 }
 
-// TestLateRequestsAreNotAheadInAnOverload: those that cannot meet their objective any more
-// let a new one go first, and its wait leaves them out.
-func TestLateRequestsAreNotAheadInAnOverload(t *testing.T) {
+// TestExpectedWaitExcludesLateRequestsInAnOverload: queued requests that can no longer meet their
+// objective are served after a new one, so its expected wait does not include them.
+func TestExpectedWaitExcludesLateRequestsInAnOverload(t *testing.T) {
 	f := newFixture()
-	f.fill()
+	f.fillTarget()
 	alone := f.expectedWait(f.now)
 	for client := 100; client < 110; client++ {
-		f.opens(client, load(2), 2)
-		f.asks(client)
+		f.openFlow(client, routeEnvelope(2), 2)
+		f.sendRequest(client)
 	}
-	f.pass(load(2).Objective)
+	f.pass(routeEnvelope(2).Objective)
 	require.Equal(t, 10, f.queue.Len())
 	require.Greater(t, f.expectedWait(f.now), 2*alone)
 	f.overload.active = true
--- a/agent/packetfront/pace_test.go
+++ b/agent/packetfront/pace_test.go
@@ -9,8 +9,8 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// after lets a target act on a request some time after it came.
-func after(took time.Duration, a answer) answer {
+// delayed lets a target act on a request the given time after its arrival.
+func delayed(took time.Duration, a answer) answer {
 	return func(f *fixture, client int) {
 		f.now = f.now.Add(took)
 		a(f, client)
@@ -18,34 +18,35 @@
 }
 
 var (
-	served  = says("HTTP/1.1 200 OK")
-	failed  = says("HTTP/1.1 500 Internal")
-	shed    = says("HTTP/1.1 503 Busy")
-	nothing answer
+	served   = answerWith("HTTP/1.1 200 OK")
+	failed   = answerWith("HTTP/1.1 500 Internal")
+	shed     = answerWith("HTTP/1.1 503 Busy")
+	noAnswer answer
 )
 
-// paced returns an agent whose target has answered many requests in 40 ms each.
-func paced() *fixture {
+// newObservedFixture returns an agent whose target has answered 40 requests in 40 ms each.
+func newObservedFixture() *fixture {
 	f := newFixture()
 	for i := range 40 {
-		f.requestAtOnce(i, after(40*time.Millisecond, served))
+		f.requestWithoutACK(i, delayed(40*time.Millisecond, served))
 	}
 	return f
 }
 
-// TestATargetThatFailsFastDoesNotLookFast: what is not served says nothing of the pace.
-func TestATargetThatFailsFastDoesNotLookFast(t *testing.T) {
+// TestFailuresDoNotChangeTheServiceEstimate: a target that fails, sheds or resets fast must not
+// look fast.
+func TestFailuresDoNotChangeTheServiceEstimate(t *testing.T) {
 	for name, a := range map[string]answer{
-		"errors in 1 ms": after(time.Millisecond, failed),
-		"sheds in 1 ms":  after(time.Millisecond, shed),
-		"resets in 1 ms": after(time.Millisecond, resets),
-		"hangs":          nothing,
+		"errors in 1 ms": delayed(time.Millisecond, failed),
+		"sheds in 1 ms":  delayed(time.Millisecond, shed),
+		"resets in 1 ms": delayed(time.Millisecond, resetFlow),
+		"hangs":          noAnswer,
 	} {
-		f := paced()
+		f := newObservedFixture()
 		before := f.announcement(f.now).LoadReport
 		require.NotZero(t, before.AnswerInterval, name)
 		for i := range 40 {
-			f.requestAtOnce(100+i, a)
+			f.requestWithoutACK(100+i, a)
 		}
 		after := f.announcement(f.now).LoadReport
 		require.Equal(t, before.AnswerInterval, after.AnswerInterval, name)
@@ -53,40 +54,41 @@
 	}
 }
 
-// TestATargetThatFailsFromItsStartHasNoPace: it is taken for typical, and its failures are
-// judged by themselves.
-func TestATargetThatFailsFromItsStartHasNoPace(t *testing.T) {
+// TestFailuresAloneGiveNoServiceEstimate: a target that has only failed reports no load, so it is
+// treated as typical; its failures get it ejected.
+func TestFailuresAloneGiveNoServiceEstimate(t *testing.T) {
 	f := newFixture()
 	for i := range 40 {
-		f.requestAtOnce(i, after(time.Millisecond, failed))
+		f.requestWithoutACK(i, delayed(time.Millisecond, failed))
 	}
 	require.Zero(t, f.announcement(f.now).AnswerInterval)
 	require.True(t, f.announcement(f.now).Ejected)
 }
 
-// TestATargetThatWasSlowIsTriedAgain: one that took 7 times as long for 6 s is not said to be slow
-// any more once it has been idle for a while, and is observed anew by the next requests.
-func TestATargetThatWasSlowIsTriedAgain(t *testing.T) {
-	f := paced()
+// TestServiceEstimateOfAnIdleTargetExpires: a target that took 7 times as long for 6 s is no longer
+// announced as slow once it has been idle for a while, and the next requests give a new estimate.
+func TestServiceEstimateOfAnIdleTargetExpires(t *testing.T) {
+	f := newObservedFixture()
 	usual := f.announcement(f.now).AnswerInterval
 	slowUntil := f.now.Add(6 * time.Second)
 	for i := 100; f.now.Before(slowUntil); i++ {
-		f.requestAtOnce(i, after(280*time.Millisecond, served))
+		f.requestWithoutACK(i, delayed(280*time.Millisecond, served))
 	}
 	require.Greater(t, f.announcement(f.now).AnswerInterval, 5*usual)
 	f.now = f.now.Add(estimateTTL + time.Millisecond)
 	f.Tick(f.now)
-	require.Equal(t, fleet.LoadReport{}, f.announcement(f.now).LoadReport, "taken for typical, so it gets flows")
+	require.Equal(t, fleet.LoadReport{}, f.announcement(f.now).LoadReport, "treated as typical, so it gets flows")
 	for i := range 8 {
-		f.requestAtOnce(1000+i, after(40*time.Millisecond, served))
+		f.requestWithoutACK(1000+i, delayed(40*time.Millisecond, served))
 	}
 	require.InDelta(t, float64(usual), float64(f.announcement(f.now).AnswerInterval), float64(usual)/10)
 }
 
-// TestABusyTargetKeepsItsPace, however long its answer takes.
-func TestABusyTargetKeepsItsPace(t *testing.T) {
-	f := paced()
-	f.ask(100)
+// TestServiceEstimateOfABusyTargetDoesNotExpire: the estimate stays valid while an answer is
+// pending, however long it takes.
+func TestServiceEstimateOfABusyTargetDoesNotExpire(t *testing.T) {
+	f := newObservedFixture()
+	f.openAndRequest(100)
 	f.now = f.now.Add(estimateTTL + time.Millisecond)
 	f.Tick(f.now)
 	require.NotZero(t, f.announcement(f.now).AnswerInterval)
--- a/agent/packetfront/reusedports_test.go
+++ b/agent/packetfront/reusedports_test.go
@@ -10,39 +10,39 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// TestALaterFlowBetweenTheSamePortsHasItsOwnAge, also when the one before never opened: it
-// would be given up by the other one's deadline.
-func TestALaterFlowBetweenTheSamePortsHasItsOwnAge(t *testing.T) {
+// TestFlowOnReusedPortsHasItsOwnAge: the deadline of a later flow between the same ports counts from
+// its own SYN, also if the earlier flow never opened here.
+func TestFlowOnReusedPortsHasItsOwnAge(t *testing.T) {
 	for name, before := range map[string]func(f *fixture){
-		"the target did not answer": func(f *fixture) { f.deliver(load(2), packet(keyOf(100), flow.SYN, 0, "")) },
-		"another target took it":    func(f *fixture) { f.opens(100, load(2), 0) },
+		"the target did not answer": func(f *fixture) { f.deliver(routeEnvelope(2), packet(keyOf(100), flow.SYN, 0, "")) },
+		"another target took it":    func(f *fixture) { f.openFlow(100, routeEnvelope(2), 0) },
 	} {
-		// Its request comes at once, within the time of a prompt one, and after it.
+		// The request comes at once, within firstRequestWindow, and after it.
 		for _, pause := range []time.Duration{0, 600 * time.Millisecond, time.Second} {
 			f := newFixture()
 			before(f)
 			f.pass(2 * time.Second)
-			f.deliver(load(2), packet(keyOf(100), flow.SYN, 0, ""))
+			f.deliver(routeEnvelope(2), packet(keyOf(100), flow.SYN, 0, ""))
 			f.targetSends(100, flow.SYN|flow.ACK, 1_000_000, 0)
 			f.pass(pause)
 			f.deliver(envelope.Envelope{}, packet(keyOf(100), flow.ACK, 1_000_000, "request"))
-			require.Contains(t, f.atTarget(), 100, "%s, after %s", name, pause)
+			require.Contains(t, f.deliveredRequests(), 100, "%s, after %s", name, pause)
 		}
 	}
 }
 
-// TestALaterFlowBetweenTheSamePortsStartsAnew, whatever the one before had with the
-// target: its requests are timed, and wait, by themselves.
-func TestALaterFlowBetweenTheSamePortsStartsAnew(t *testing.T) {
+// TestFlowOnReusedPortsInheritsNoRequest: a running or queued request of an earlier flow between
+// the same ports affects neither the timing nor the queueing of the later flow's requests.
+func TestFlowOnReusedPortsInheritsNoRequest(t *testing.T) {
 	again := func(f *fixture) {
-		f.deliver(load(2), packet(keyOf(100), flow.SYN, 0, ""))
+		f.deliver(routeEnvelope(2), packet(keyOf(100), flow.SYN, 0, ""))
 		f.targetSends(100, flow.SYN|flow.ACK, 1_000_000, 0)
 	}
 	request := packet(keyOf(100), flow.ACK, 1_000_000, "request")
-	t.Run("the target had a request", func(t *testing.T) {
+	t.Run("the earlier request was running", func(t *testing.T) {
 		f := newFixture()
-		f.opens(100, load(2), 0)
-		f.asks(100)
+		f.openFlow(100, routeEnvelope(2), 0)
+		f.sendRequest(100)
 		f.pass(2 * time.Second)
 		again(f)
 		f.deliver(envelope.Envelope{}, request)
@@ -52,41 +52,41 @@
 		require.Equal(t, 20*time.Millisecond, f.estimate.ResponseTime())
 		require.Zero(t, f.Busy())
 	})
-	t.Run("a request waited", func(t *testing.T) {
+	t.Run("the earlier request was queued", func(t *testing.T) {
 		f := newFixture()
-		f.fill()
-		f.opens(100, load(2), 0)
-		f.asks(100)
+		f.fillTarget()
+		f.openFlow(100, routeEnvelope(2), 0)
+		f.sendRequest(100)
 		f.pass(2 * time.Second)
 		again(f)
 		f.deliver(envelope.Envelope{}, request)
 		f.pass(time.Second)
 		for i := range f.targetLimit() {
-			f.answers(i)
+			f.sendAnswer(i)
 		}
-		require.Equal(t, 1, count(f.atTarget(), 100))
+		require.Equal(t, 1, countOf(f.deliveredRequests(), 100))
 		require.Zero(t, f.tally.gaveUp)
 	})
 }
 
-// TestAFlowThatBeginsAnewBetweenTheSamePortsIsServed: what was known of the one before
-// does not count.
-func TestAFlowThatBeginsAnewBetweenTheSamePortsIsServed(t *testing.T) {
+// TestFlowOnReusedPortsOfAnAbandonedOneIsServed: requests of a later flow between the same ports are
+// not withheld because the earlier flow was abandoned.
+func TestFlowOnReusedPortsOfAnAbandonedOneIsServed(t *testing.T) {
 	for name, end := range map[string]func(f *fixture){
-		"its client had left":     func(f *fixture) { f.deliver(envelope.Envelope{}, fin(100)) },
-		"its deadline had passed": func(f *fixture) { f.asks(100); f.pass(2600 * time.Millisecond) },
+		"its client had left":     func(f *fixture) { f.deliver(envelope.Envelope{}, finPacket(100)) },
+		"its deadline had passed": func(f *fixture) { f.sendRequest(100); f.pass(2600 * time.Millisecond) },
 	} {
 		f := newFixture()
-		f.fill()
-		f.opens(100, load(2), 2)
+		f.fillTarget()
+		f.openFlow(100, routeEnvelope(2), 2)
 		end(f)
 		for i := range f.targetLimit() {
-			f.answers(i)
+			f.sendAnswer(i)
 		}
 		f.pass(2600 * time.Millisecond)
-		f.deliver(load(2), packet(keyOf(100), flow.SYN, 0, ""))
+		f.deliver(routeEnvelope(2), packet(keyOf(100), flow.SYN, 0, ""))
 		f.targetSends(100, flow.SYN|flow.ACK, 1_000_000, 0)
 		f.deliver(envelope.Envelope{}, packet(keyOf(100), flow.ACK, 1_000_000, "request"))
-		require.Contains(t, f.atTarget(), 100, name)
+		require.Contains(t, f.deliveredRequests(), 100, name)
 	}
 }
--- a/agent/packetfront/withheld_test.go
+++ b/agent/packetfront/withheld_test.go
@@ -10,93 +10,93 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// TestARepeatedRequestOfAClientThatHasLeftIsNotGivenToTheTarget: a client's end goes on to
-// repeat what was not acknowledged for seconds after its caller has gone.
-func TestARepeatedRequestOfAClientThatHasLeftIsNotGivenToTheTarget(t *testing.T) {
+// TestRetransmittedRequestOfAClientThatLeftIsWithheld: a client's stack retransmits unacknowledged
+// data for seconds after the caller has gone.
+func TestRetransmittedRequestOfAClientThatLeftIsWithheld(t *testing.T) {
 	for name, leave := range map[string]func(f *fixture){
-		"it ended the flow while it waited":           func(f *fixture) { f.asks(100); f.deliver(envelope.Envelope{}, fin(100)) },
-		"it ended the flow and its request came late": func(f *fixture) { f.deliver(envelope.Envelope{}, fin(100)) },
-		"its deadline passed while it waited":         func(f *fixture) { f.asks(100); f.pass(2600 * time.Millisecond) },
+		"FIN while its request was queued":             func(f *fixture) { f.sendRequest(100); f.deliver(envelope.Envelope{}, finPacket(100)) },
+		"FIN before its request arrived":               func(f *fixture) { f.deliver(envelope.Envelope{}, finPacket(100)) },
+		"deadline passed while its request was queued": func(f *fixture) { f.sendRequest(100); f.pass(2600 * time.Millisecond) },
 	} {
 		f := newFixture()
-		f.fill()
-		f.opens(100, load(2), 0)
+		f.fillTarget()
+		f.openFlow(100, routeEnvelope(2), 0)
 		leave(f)
 		for i := range f.targetLimit() {
-			f.answers(i)
+			f.sendAnswer(i)
 		}
 		f.pass(pendingOpenTTL)
 		require.Zero(t, f.Busy(), name)
 		for range 3 {
 			f.pass(1600 * time.Millisecond)
-			f.asks(100)
+			f.sendRequest(100)
 		}
-		require.NotContains(t, f.atTarget(), 100, name)
-		require.Zero(t, f.Busy(), "%s: it is no load", name)
+		require.NotContains(t, f.deliveredRequests(), 100, name)
+		require.Zero(t, f.Busy(), "%s: it does not count as load", name)
 		require.Equal(t, 1, f.tally.withheld, "%s: it is counted once", name)
 	}
 }
 
-// TestARequestThatComesAfterItsDeadlineIsNotGivenToTheTarget: the target took so long for the
-// handshake.
-func TestARequestThatComesAfterItsDeadlineIsNotGivenToTheTarget(t *testing.T) {
+// TestRequestThatArrivesAfterItsDeadlineIsWithheld: a slow handshake of the target may use up the
+// deadline.
+func TestRequestThatArrivesAfterItsDeadlineIsWithheld(t *testing.T) {
 	f := newFixture()
-	f.deliver(load(2), packet(keyOf(100), flow.SYN, 0, ""))
+	f.deliver(routeEnvelope(2), packet(keyOf(100), flow.SYN, 0, ""))
 	f.pass(2600 * time.Millisecond)
 	f.targetSends(100, flow.SYN|flow.ACK, 500, 0)
-	f.asks(100)
-	require.Empty(t, f.atTarget())
+	f.sendRequest(100)
+	require.Empty(t, f.deliveredRequests())
 	require.Equal(t, 1, f.tally.withheld)
 }
 
-// TestAWithheldRequestThatComesAgainIsWithheld, however long after: its client did not open
-// the flow ahead of it.
-func TestAWithheldRequestThatComesAgainIsWithheld(t *testing.T) {
+// TestRetransmissionOfAWithheldRequestIsWithheld: a retransmission later than firstRequestWindow
+// must not be taken for the first request of a flow that was opened ahead.
+func TestRetransmissionOfAWithheldRequestIsWithheld(t *testing.T) {
 	f := newFixture()
-	e := load(2)
+	e := routeEnvelope(2)
 	e.Deadline = 500 * time.Millisecond
-	f.opens(100, e, 2)
+	f.openFlow(100, e, 2)
 	for range 3 {
-		f.asks(100)
+		f.sendRequest(100)
 		f.pass(firstRequestWindow + 100*time.Millisecond)
 	}
-	require.NotContains(t, f.atTarget(), 100)
+	require.NotContains(t, f.deliveredRequests(), 100)
 	require.Equal(t, 1, f.tally.withheld)
 }
 
-// TestTheRestOfARequestIsNotGivenToTheTargetOnceItsClientHasLeft: the target would run it
-// when it is whole.
-func TestTheRestOfARequestIsNotGivenToTheTargetOnceItsClientHasLeft(t *testing.T) {
+// TestRestOfARequestIsWithheldOnceItsClientHasLeft: the target would execute the request once it is
+// complete.
+func TestRestOfARequestIsWithheldOnceItsClientHasLeft(t *testing.T) {
 	f := newFixture()
-	f.opens(100, load(2), 0)
-	f.deliver(envelope.Envelope{}, data(100, 1, "one"))
-	f.deliver(envelope.Envelope{}, fin(100))
-	f.deliver(envelope.Envelope{}, data(100, 4, "two"))
-	require.Equal(t, []int{100}, f.atTarget())
+	f.openFlow(100, routeEnvelope(2), 0)
+	f.deliver(envelope.Envelope{}, dataPacket(100, 1, "one"))
+	f.deliver(envelope.Envelope{}, finPacket(100))
+	f.deliver(envelope.Envelope{}, dataPacket(100, 4, "two"))
+	require.Equal(t, []int{100}, f.deliveredRequests())
 	require.Equal(t, 1, f.tally.unwanted)
 }
 
-// TestALaterRequestOfAFlowIsWithheldAfterItsDeadline: the age of a request on a flow that
-// stays open begins when the agent sees it first, not with each repetition.
+// TestALaterRequestOfAFlowIsWithheldAfterItsDeadline: the age of a later request counts from its
+// first packet, not from each retransmission.
 func TestALaterRequestOfAFlowIsWithheldAfterItsDeadline(t *testing.T) {
 	f := newFixture()
-	f.opens(100, load(2), 0)
-	f.asks(100)
-	f.answers(100)
-	f.fill()
-	f.deliver(envelope.Envelope{}, data(100, 8, "again"))
+	f.openFlow(100, routeEnvelope(2), 0)
+	f.sendRequest(100)
+	f.sendAnswer(100)
+	f.fillTarget()
+	f.deliver(envelope.Envelope{}, dataPacket(100, 8, "again"))
 	require.Equal(t, 1, f.queue.Len())
 	f.pass(2600 * time.Millisecond)
 	require.Zero(t, f.queue.Len())
 	for i := range f.targetLimit() {
-		f.answers(i)
+		f.sendAnswer(i)
 	}
-	f.deliver(envelope.Envelope{}, data(100, 8, "again"))
-	require.Equal(t, 1, count(f.atTarget(), 100))
+	f.deliver(envelope.Envelope{}, dataPacket(100, 8, "again"))
+	require.Equal(t, 1, countOf(f.deliveredRequests(), 100))
 }
 
-// count returns how often a client is among others.
-func count(clients []int, client int) int {
+// countOf returns how often a client occurs in a list.
+func countOf(clients []int, client int) int {
 	n := 0
 	for _, c := range clients {
 		if c == client {
@@ -106,54 +106,55 @@
 	return n
 }
 
-// TestAnAgentThatWasFrozenGivesNoExpiredRequest: a target's answers come before its next
-// tick.
-func TestAnAgentThatWasFrozenGivesNoExpiredRequest(t *testing.T) {
+// TestAgentResumedAfterAFreezeDispatchesNoExpiredRequest: an answer of the target may arrive before
+// the next tick and must not dispatch a queued request whose deadline has passed.
+func TestAgentResumedAfterAFreezeDispatchesNoExpiredRequest(t *testing.T) {
 	f := newFixture()
-	f.fill()
-	f.opens(100, load(2), 0)
-	f.asks(100)
+	f.fillTarget()
+	f.openFlow(100, routeEnvelope(2), 0)
+	f.sendRequest(100)
 	f.now = f.now.Add(2600 * time.Millisecond)
-	f.answers(0)
-	require.NotContains(t, f.atTarget(), 100)
+	f.sendAnswer(0)
+	require.NotContains(t, f.deliveredRequests(), 100)
 }
 
-// TestAFlowThatWasOpenedAheadOfItsFirstRequestIsServed: the request is as old as its own
-// first packet.
-func TestAFlowThatWasOpenedAheadOfItsFirstRequestIsServed(t *testing.T) {
+// TestFlowOpenedAheadOfItsFirstRequestIsServed: the age of the first request counts from its own
+// first packet if the flow was opened ahead of it.
+func TestFlowOpenedAheadOfItsFirstRequestIsServed(t *testing.T) {
 	f := newFixture()
-	f.opens(100, load(2), 0)
-	f.opens(101, load(2), 0)
+	f.openFlow(100, routeEnvelope(2), 0)
+	f.openFlow(101, routeEnvelope(2), 0)
 	f.pass(2600 * time.Millisecond)
-	f.asks(100)
-	require.Equal(t, []int{100}, f.atTarget())
-	f.answers(100)
-	f.fill()
-	f.asks(101)
+	f.sendRequest(100)
+	require.Equal(t, []int{100}, f.deliveredRequests())
+	f.sendAnswer(100)
+	f.fillTarget()
+	f.sendRequest(101)
 	f.pass(2400 * time.Millisecond)
-	require.Equal(t, 1, f.queue.Len(), "it waits to its own deadline")
+	require.Equal(t, 1, f.queue.Len(), "it is queued until its own deadline")
 	f.pass(200 * time.Millisecond)
 	require.Zero(t, f.queue.Len())
 }
 
-// TestARequestThatEndsItsDirectionIsServed: such a client waits for its answer.
-func TestARequestThatEndsItsDirectionIsServed(t *testing.T) {
+// TestRequestWithFINIsServed: a client that sends its request with a FIN still waits for the answer.
+func TestRequestWithFINIsServed(t *testing.T) {
 	f := newFixture()
-	f.opens(100, load(2), 0)
+	f.openFlow(100, routeEnvelope(2), 0)
 	for range 2 {
 		f.deliver(envelope.Envelope{}, packet(keyOf(100), flow.ACK|flow.FIN, 500, "request"))
 	}
-	require.Equal(t, []int{100, 100}, f.atTarget(), "also when it is repeated")
+	require.Equal(t, []int{100, 100}, f.deliveredRequests(), "also when it is retransmitted")
 	require.Equal(t, 1, f.Busy())
 }
 
-// TestAnAgentThatHasJustStartedWithholdsToo what it saw the end of.
-func TestAnAgentThatHasJustStartedWithholdsToo(t *testing.T) {
+// TestRestartedAgentWithholdsRequestsOfClientsThatLeft: an agent without a record of the flow sees
+// the client's FIN and must withhold its later data.
+func TestRestartedAgentWithholdsRequestsOfClientsThatLeft(t *testing.T) {
 	f := newFixture()
 	f.target.sawStart = false
-	f.deliver(envelope.Envelope{}, fin(100))
+	f.deliver(envelope.Envelope{}, finPacket(100))
 	f.targetSends(100, flow.ACK, 500, 0)
-	f.asks(100)
-	require.Empty(t, f.atTarget())
+	f.sendRequest(100)
+	require.Empty(t, f.deliveredRequests())
 	require.Equal(t, 1, f.tally.withheld)
 }
