--- a/agent/packetfront/acks.go
+++ b/agent/packetfront/acks.go
@@ -8,85 +8,89 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Repetition of announcements that a balancer has not acknowledged.
+// Retries of announcements that a balancer has not acknowledged.
 const (
-	// ackPause is how long an agent waits for the acknowledgement of a change of
-	// its target's state: far more than a round trip.
-	ackPause = 50 * time.Millisecond
-	// ackTries bounds the repetitions; the periodic announcement follows.
-	ackTries = 5
+	// ackTimeout is how long an agent waits for the acknowledgement of a change of its
+	// target's state before it repeats the announcement: far more than a round trip.
+	ackTimeout = 50 * time.Millisecond
+	// maxAckRetries bounds the retries; the periodic announcements follow.
+	maxAckRetries = 5
 )
 
-// acks tells which balancers know of the last change of the target's state. One
-// that does not would send the target's flows elsewhere and take them for over.
+// acks tracks which balancers have acknowledged the last change of the target's state. A
+// balancer that has missed a change might send the target's flows elsewhere and take
+// them for ended.
 type acks struct {
-	// change is the sequence number of the first announcement of that state.
-	change uint32
-	peers  map[flow.IPv4]*ack
-	// open tells that there may be balancers to tell again.
-	open bool
+	// changeSeq is the sequence number of the first announcement of the current state.
+	changeSeq uint32
+	peers     map[flow.IPv4]*ackState
+	// pending is set while there may be balancers without an acknowledgement.
+	pending bool
 }
 
-type ack struct {
-	// heard is the last of this process's announcements that the balancer has.
-	heard uint32
-	tries int
-	next  time.Time
+type ackState struct {
+	// acknowledged is the sequence number of the last announcement of this process that the
+	// balancer has received.
+	acknowledged uint32
+	retries      int
+	retryAt      time.Time
 }
 
-func newAcks() acks { return acks{peers: map[flow.IPv4]*ack{}} }
+func newAcks() acks { return acks{peers: map[flow.IPv4]*ackState{}} }
 
-// changed notes that the announcements from seq on tell another state.
-func (a *acks) changed(seq uint32) {
-	a.change, a.open = seq, true
+// stateChanged records that the announcements from seq on carry another state.
+func (a *acks) stateChanged(seq uint32) {
+	a.changeSeq, a.pending = seq, true
 	for _, p := range a.peers {
-		p.tries = 0
+		p.retries = 0
 	}
 }
 
-// sent notes an announcement to a balancer.
+// sent records an announcement to a balancer.
 func (a *acks) sent(now time.Time, to flow.IPv4) {
 	p, known := a.peers[to]
 	if !known {
-		p = &ack{}
-		a.peers[to], a.open = p, true
+		p = &ackState{}
+		a.peers[to], a.pending = p, true
 	}
-	p.next = now.Add(ackPause)
+	p.retryAt = now.Add(ackTimeout)
 }
 
-// heard notes what a balancer has of this process, whose epoch is given.
-func (a *acks) heard(from flow.IPv4, epoch uint64, m *fleet.Beacon) {
-	if p, known := a.peers[from]; known && m.LastReceived.Incarnation == epoch {
-		p.heard = m.LastReceived.Seq
+// received records which announcement of this process, given by its incarnation, a
+// balancer has received last.
+func (a *acks) received(from flow.IPv4, incarnation uint64, m *fleet.Beacon) {
+	if p, known := a.peers[from]; known && m.LastReceived.Incarnation == incarnation {
+		p.acknowledged = m.LastReceived.Seq
 	}
 }
 
-// knows tells whether the balancer that sent a beacon has the last change of this
-// process, whose epoch is given.
-func (a *acks) knows(epoch uint64, m *fleet.Beacon) bool {
-	return m.LastReceived.Incarnation == epoch && int32(m.LastReceived.Seq-a.change) >= 0
+// isAcknowledgedBy reports whether a beacon acknowledges the last change of state of this
+// process, given by its incarnation.
+func (a *acks) isAcknowledgedBy(incarnation uint64, m *fleet.Beacon) bool {
+	return m.LastReceived.Incarnation == incarnation && int32(m.LastReceived.Seq-a.changeSeq) >= 0
 }
 
-// wants tells whether a balancer has not acknowledged the last change.
-func (a *acks) wants(ip flow.IPv4) bool {
+// needsAck reports whether a balancer has not acknowledged the last change of state.
+func (a *acks) needsAck(ip flow.IPv4) bool {
 	p, known := a.peers[ip]
-	return !known || int32(p.heard-a.change) < 0
+	return !known || int32(p.acknowledged-a.changeSeq) < 0
 }
 
-// due returns the balancers that have to be told again, in an order that repeats.
-func (a *acks) due(now time.Time) []flow.IPv4 {
-	if !a.open {
+// dueForRetry returns the balancers to which the announcement is to be repeated now, sorted
+// by address, and counts the retries.
+func (a *acks) dueForRetry(now time.Time) []flow.IPv4 {
+	if !a.pending {
 		return nil
 	}
 	var out []flow.IPv4
-	a.open = false
+	a.pending = false
 	for ip, p := range a.peers {
-		if !a.wants(ip) || p.tries >= ackTries {
+		if !a.needsAck(ip) || p.retries >= maxAckRetries {
 			continue
 		}
-		a.open = true
-		if !now.Before(p.next) {
-			p.tries++
+		a.pending = true
+		if !now.Before(p.retryAt) {
+			p.retries++
 			out = append(out, ip)
 		}
 	}
@@ -94,5 +98,5 @@
 	return out
 }
 
-// forget drops a balancer.
+// forget removes a balancer.
 func (a *acks) forget(ip flow.IPv4) { delete(a.peers, ip) }
--- a/agent/packetfront/acks_test.go
+++ b/agent/packetfront/acks_test.go
@@ -9,8 +9,8 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// announced counts the announcements to a balancer and returns the last state.
-func (f *fixture) announced(t *testing.T, ip flow.IPv4) (count int, last fleet.State) {
+// announcementsTo returns the number of announcements to a balancer and the last state.
+func (f *fixture) announcementsTo(t *testing.T, ip flow.IPv4) (count int, last fleet.State) {
 	t.Helper()
 	for _, s := range f.port.Nodes {
 		if s.To != ip {
@@ -23,54 +23,56 @@
 	return count, last
 }
 
-// TestAChangeOfStateIsRepeatedUntilItIsAcknowledged by each balancer.
+// TestAChangeOfStateIsRepeatedUntilItIsAcknowledged: an announcement may be lost, so that a
+// change is repeated to each balancer that has not acknowledged it.
 func TestAChangeOfStateIsRepeatedUntilItIsAcknowledged(t *testing.T) {
 	f := newFixture()
 	for _, ip := range []flow.IPv4{balancerIP, nextIP} {
 		f.beacon(ip, 0, 0)
 		f.beacon(ip, 0, f.Core.seq)
 	}
-	f.pass(ackPause)
+	f.pass(ackTimeout)
 	f.port.Nodes = nil
-	f.pass(ackPause)
-	require.Empty(t, f.port.Nodes, "all is acknowledged")
+	f.pass(ackTimeout)
+	require.Empty(t, f.port.Nodes, "every balancer has acknowledged the last change")
 
 	f.beat(true)
 	f.beacon(balancerIP, 0, f.Core.seq)
 	for range 3 {
-		f.pass(ackPause)
+		f.pass(ackTimeout)
 	}
-	count, _ := f.announced(t, balancerIP)
+	count, _ := f.announcementsTo(t, balancerIP)
 	require.Equal(t, 1, count)
-	count, last := f.announced(t, nextIP)
-	require.Equal(t, 4, count, "none of them was acknowledged")
+	count, last := f.announcementsTo(t, nextIP)
+	require.Equal(t, 4, count, "no announcement was acknowledged")
 	require.Equal(t, fleet.Draining, last)
 	f.beacon(nextIP, 0, f.Core.seq-1)
-	f.pass(ackPause)
-	count, _ = f.announced(t, nextIP)
-	require.Equal(t, 4, count, "any announcement of that state will do")
+	f.pass(ackTimeout)
+	count, _ = f.announcementsTo(t, nextIP)
+	require.Equal(t, 4, count, "any announcement of that state acknowledges the change")
 }
 
-// TestAnAcknowledgementOfAFormerProcessIsNone.
-func TestAnAcknowledgementOfAFormerProcessIsNone(t *testing.T) {
+// TestAcknowledgementOfAFormerIncarnationIsIgnored: sequence numbers of the agent's former
+// process do not acknowledge announcements of the current one.
+func TestAcknowledgementOfAFormerIncarnationIsIgnored(t *testing.T) {
 	f := newFixture()
 	f.beacon(balancerIP, 0, 0)
 	f.port.Nodes = nil
 	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 99}, LastReceived: fleet.MessageID{Incarnation: 77, Seq: 1000}}
 	f.HandleNode(f.now, balancerIP, m.Append(nil))
-	f.pass(ackPause)
-	count, _ := f.announced(t, balancerIP)
+	f.pass(ackTimeout)
+	count, _ := f.announcementsTo(t, balancerIP)
 	require.Equal(t, 1, count)
 }
 
-// TestRepetitionsAreBounded: a balancer that is gone is not told for ever.
-func TestRepetitionsAreBounded(t *testing.T) {
+// TestAnnouncementRetriesAreBounded: a balancer that does not answer gets no endless retries.
+func TestAnnouncementRetriesAreBounded(t *testing.T) {
 	f := newFixture()
 	f.beacon(balancerIP, 0, 0)
 	f.port.Nodes = nil
 	for range 10 {
-		f.pass(ackPause)
+		f.pass(ackTimeout)
 	}
-	count, _ := f.announced(t, balancerIP)
-	require.Equal(t, ackTries, count)
+	count, _ := f.announcementsTo(t, balancerIP)
+	require.Equal(t, maxAckRetries, count)
 }
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -21,7 +21,7 @@
 	nextIP     = flow.IPv4(0x0a000002)
 )
 
-// port records what a core sends.
+// port records the packets and datagrams that a core sends.
 type port struct {
 	envelopetest.Recorder
 
@@ -32,7 +32,7 @@
 func (p *port) ToTarget(packet []byte)         { p.target = append(p.target, append([]byte(nil), packet...)) }
 func (p *port) ToClient(_ flow.IPv4, _ []byte) { p.client++ }
 
-// quiet hears nothing.
+// quiet discards all events.
 type quiet struct{}
 
 func (quiet) Delivered()                                         {}
@@ -56,7 +56,7 @@
 func (quiet) Probed(flow.IPv4, time.Duration)                    {}
 func (quiet) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
 
-// tally counts the requests that were for nobody, and the overloads that stood.
+// tally counts abandoned requests and overloads.
 type tally struct {
 	quiet
 
@@ -73,16 +73,16 @@
 	}
 }
 
-// fixture is a core with a target of four slots that the agent saw start.
+// fixture is the core of an agent that saw its target start. The target has four slots.
 type fixture struct {
 	*Core
 	port  *port
 	tally *tally
 	now   time.Time
 	seq   uint64
-	// client is the last of those that offers makes up.
+	// client is the last client of the flows that offers opens.
 	client int
-	// peak is the most requests that the target had at once while uploads was played.
+	// peak is the maximum number of requests that the target had at once during uploads.
 	peak int
 }
 
@@ -98,7 +98,7 @@
 	return f
 }
 
-// registered lets the store take the agent's entry.
+// registered makes the store confirm the agent's entry.
 func (f *fixture) registered() {
 	f.Presence(f.now)
 	f.PresenceStored(f.now, fleet.EntryPresent)
@@ -114,11 +114,11 @@
 	f.Tick(f.now)
 }
 
-// beacon lets a balancer say that it has the agent's announcements up to a
-// sequence number.
-func (f *fixture) beacon(ip flow.IPv4, zone flow.Tag, heard uint32) {
+// beacon delivers a beacon in which a balancer acknowledges the agent's announcements up to
+// a sequence number.
+func (f *fixture) beacon(ip flow.IPv4, zone flow.Tag, acknowledged uint32) {
 	f.seq++
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: uint32(f.seq)}, Zone: zone, LastReceived: fleet.MessageID{Incarnation: f.opts.Incarnation, Seq: heard}}
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: uint32(f.seq)}, Zone: zone, LastReceived: fleet.MessageID{Incarnation: f.opts.Incarnation, Seq: acknowledged}}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
@@ -126,28 +126,28 @@
 	return flow.Key{ClientIP: flow.IPv4(0x64400000 + client), ClientPort: 1024, FrontIP: 7, FrontPort: 80}
 }
 
-// packet writes a client's packet.
+// packet returns a client's packet.
 func packet(k flow.Key, flags flow.Flags, ack uint32, data string) []byte {
 	return platformtest.FromClient(k, flags, 0, ack, []byte(data))
 }
 
-// deliver hands a packet to the agent as a balancer would.
+// deliver sends a packet to the agent as a balancer does.
 func (f *fixture) deliver(e envelope.Envelope, packet []byte) {
 	e.Kind, e.Balancer = envelope.Deliver, balancerIP
 	f.HandleNode(f.now, balancerIP, append(e.Append(nil), packet...))
 }
 
-func (f *fixture) syn(client int, copies uint32, priority uint8) {
-	f.deliver(envelope.Envelope{Service: service, Priority: priority}, packet(keyOf(client), flow.SYN, copies, ""))
+func (f *fixture) syn(client int, retransmissions uint32, priority uint8) {
+	f.deliver(envelope.Envelope{Service: service, Priority: priority}, packet(keyOf(client), flow.SYN, retransmissions, ""))
 }
 
-// targetSends hands a packet of the target to the agent.
+// targetSends delivers a packet of the target to the agent.
 func (f *fixture) targetSends(client int, flags flow.Flags, seq uint32, length int) {
 	k := keyOf(client)
 	f.HandleTarget(f.now, &flow.Header{Src: k.FrontIP, SrcPort: k.FrontPort, Dst: k.ClientIP, DstPort: k.ClientPort, Flags: flags, Seq: seq, Len: length}, make([]byte, platform.HeadLen+length))
 }
 
-// bounce returns the last packet that the target got.
+// bounce makes the target bounce the last packet that it received.
 func (f *fixture) bounce() {
 	p := append([]byte(nil), f.port.target[len(f.port.target)-1]...)
 	platformtest.Bounce(p)
@@ -158,7 +158,7 @@
 	f.HandleTarget(f.now, &h, p)
 }
 
-// owners are the balancers that were told that a flow is held here.
+// owners returns the receivers of the owner messages that were sent.
 func (f *fixture) owners() []flow.IPv4 {
 	var out []flow.IPv4
 	for _, s := range f.port.Nodes {
@@ -169,7 +169,9 @@
 	return out
 }
 
-func TestNewFlowsGoToTheTargetThatTakesThem(t *testing.T) {
+// TestNewFlowsAreDeliveredOnlyToAReadyTarget guards against new flows at a target that is
+// draining, has ended or serves another service; they go to the next candidate.
+func TestNewFlowsAreDeliveredOnlyToAReadyTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare func(f *fixture)
 		service flow.Tag
@@ -197,7 +199,7 @@
 	}
 }
 
-func TestLateHeartbeatsChangeNothing(t *testing.T) {
+func TestLateHeartbeatsAreIgnored(t *testing.T) {
 	f := newFixture()
 	f.beat(true)
 	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Sequence: 1})
@@ -208,7 +210,7 @@
 	require.Equal(t, fleet.Ready, f.target.state(), "the former target's")
 }
 
-func TestABouncedPacketGoesOnUnmarked(t *testing.T) {
+func TestBouncedPacketIsPassedOnUnmarked(t *testing.T) {
 	f := newFixture()
 	e := envelope.Envelope{Service: service}
 	e.SetCandidates([]flow.Candidate{{Target: nextIP, Service: service}})
@@ -219,7 +221,7 @@
 	require.Equal(t, nextIP, last.To)
 	require.Equal(t, syn, last.Raw[len(last.Raw)-len(syn):])
 	f.bounce()
-	require.Len(t, f.port.Nodes, 1, "a second bounce of the same packet is not known")
+	require.Len(t, f.port.Nodes, 1, "a second bounce of the same packet is dropped")
 }
 
 func TestLastCandidateReturnsThePacket(t *testing.T) {
@@ -228,10 +230,10 @@
 	last := f.port.Last()
 	require.Equal(t, balancerIP, last.To)
 	require.Equal(t, envelope.Returned, last.Kind)
-	require.Equal(t, envelope.Search|envelope.SearchExhausted, last.Env.Flags, "sure: the agent saw its target start")
+	require.Equal(t, envelope.Search|envelope.SearchExhausted, last.Env.Flags, "not uncertain: the agent saw its target start")
 }
 
-func TestAFreshAgentAsksItsTarget(t *testing.T) {
+func TestRestartedAgentDeliversUnknownFlowsToItsTarget(t *testing.T) {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, platform.Codec{}, quiet{})
 	f.Probed(f.now, ProbeAccepted)
@@ -239,12 +241,13 @@
 	require.Len(t, f.port.target, 1)
 	f.bounce()
 	require.Equal(t, envelope.Returned, f.port.Last().Kind)
-	require.Zero(t, f.port.Last().Env.Flags&envelope.Uncertain, "a bounce is a certain no")
+	require.Zero(t, f.port.Last().Env.Flags&envelope.Uncertain, "a bounce is certain: the target does not hold the flow")
 }
 
-// TestALateSYNDoesNotSetAFlowBack: the target answers it again; the flow stays
-// open and is remembered (found by the stateful test).
-func TestALateSYNDoesNotSetAFlowBack(t *testing.T) {
+// TestRetransmittedSYNKeepsAnOpenFlowOpen: the target answers a late retransmission of the
+// SYN again, which must not set an open flow back to half open, or its record would
+// expire early.
+func TestRetransmittedSYNKeepsAnOpenFlowOpen(t *testing.T) {
 	f := newFixture()
 	f.syn(1, 0, 0)
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
@@ -258,9 +261,9 @@
 	require.Equal(t, open, f.flows.get(keyOf(1)).stage)
 }
 
-// TestARefusedCopyKeepsTheHalfOpenFlow: a target may refuse a copy of a SYN whose
-// flow it holds.
-func TestARefusedCopyKeepsTheHalfOpenFlow(t *testing.T) {
+// TestBouncedSYNRetransmissionKeepsTheHalfOpenFlow: a target may bounce a retransmission of
+// the SYN of a flow that it holds half open.
+func TestBouncedSYNRetransmissionKeepsTheHalfOpenFlow(t *testing.T) {
 	f := newFixture()
 	f.syn(1, 0, 0)
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
@@ -282,7 +285,7 @@
 		f.Probed(f.now, ProbeRefused)
 		require.Equal(t, []flow.Key{keyOf(1)}, f.port.Resets)
 	})
-	t.Run("a silent probe proves nothing", func(t *testing.T) {
+	t.Run("a probe without an answer", func(t *testing.T) {
 		f := open()
 		f.Probed(f.now, ProbeSilent)
 		require.Empty(t, f.port.Resets)
@@ -296,12 +299,12 @@
 		f.pass(deregistrationGrace)
 		require.Len(t, f.port.Resets, 1)
 	})
-	t.Run("it has left, still listens, and the agent stood still", func(t *testing.T) {
+	t.Run("it has left, still listens, and the agent was suspended", func(t *testing.T) {
 		f := open()
 		f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
 		f.Probed(f.now, ProbeAccepted)
 		f.pass(2 * deregistrationGrace)
-		require.Empty(t, f.port.Resets, "no probe has told that it does not")
+		require.Empty(t, f.port.Resets, "no probe has failed")
 		f.Probed(f.now, ProbeAccepted)
 		f.pass(deregistrationGrace / 2)
 		require.Empty(t, f.port.Resets)
@@ -334,8 +337,9 @@
 	require.Zero(t, f.Busy())
 }
 
-// TestATargetThatSpeaksIsThere, whatever a probe said before.
-func TestATargetThatSpeaksIsThere(t *testing.T) {
+// TestHeartbeatAfterARefusedProbeMarksTheTargetUp: the target may have started since the
+// probe.
+func TestHeartbeatAfterARefusedProbeMarksTheTargetUp(t *testing.T) {
 	f := newFixture()
 	f.Probed(f.now, ProbeRefused)
 	require.Equal(t, fleet.Gone, f.announcement(f.now).State)
@@ -345,21 +349,21 @@
 	require.Len(t, f.port.target, 1)
 }
 
-func TestProbesAreWantedInDoubtOnly(t *testing.T) {
+func TestTargetIsProbedOnlyWhenOverdue(t *testing.T) {
 	f := newFixture()
 	f.pass(answerTimeout * 2)
 	require.False(t, f.WantsProbe(f.now))
 	f.syn(1, 0, 0)
 	f.pass(answerTimeout + time.Millisecond)
-	require.True(t, f.WantsProbe(f.now), "it owes an answer")
+	require.True(t, f.WantsProbe(f.now), "an answer is overdue")
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
 	require.False(t, f.WantsProbe(f.now))
 	f.pass(4 * time.Second)
-	require.True(t, f.WantsProbe(f.now), "its heartbeats fail to come")
+	require.True(t, f.WantsProbe(f.now), "its heartbeats are overdue")
 }
 
-// FuzzHandleNode: whatever arrives between nodes, only whole envelopes around
-// whole packets reach the target.
+// FuzzHandleNode feeds arbitrary datagrams from a node: only valid packets in valid
+// envelopes may reach the target.
 func FuzzHandleNode(f *testing.F) {
 	f.Add([]byte("nonsense"))
 	e := envelope.Envelope{Kind: envelope.Deliver, Service: service + 1, Count: 1}
--- a/agent/packetfront/evacuations_test.go
+++ b/agent/packetfront/evacuations_test.go
@@ -14,21 +14,21 @@
 // ownZone is the zone of the fixture's agent in these tests.
 const ownZone = "a"
 
-// evacuations are those of a revision.
+// evacuations returns the evacuations of a revision.
 func evacuations(revision int64, zones ...string) flow.Evacuations {
 	e, _ := flow.NewEvacuations(revision, zones)
 	return e
 }
 
-// hearsOf lets a balancer say which zones are emptied, by its message of a number.
+// hearsOf delivers a balancer's beacon with a sequence number and evacuations.
 func (f *fixture) hearsOf(balancer flow.IPv4, seq uint32, e flow.Evacuations) {
 	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(balancer), Seq: seq}, Evacuations: e, Period: time.Hour}
 	f.HandleNode(f.now, balancer, m.Append(nil))
 }
 
-// takes offers the target a new flow that another target may have, too, and tells
-// whether it got it.
-func (f *fixture) takes(t *testing.T, client int) bool {
+// acceptsNewFlow delivers the SYN of a flow with a further candidate and reports whether the
+// target got it. Otherwise the flow must have been passed on to that candidate.
+func (f *fixture) acceptsNewFlow(t *testing.T, client int) bool {
 	t.Helper()
 	before := len(f.port.target)
 	e := envelope.Envelope{Service: service}
@@ -41,26 +41,27 @@
 	return false
 }
 
-// TestAnAgentOfAnEmptiedZonePassesNewFlowsOn, whatever the balancers believe.
-func TestAnAgentOfAnEmptiedZonePassesNewFlowsOn(t *testing.T) {
+// TestAgentInAnEvacuatedZonePassesNewFlowsOn: balancers that do not have the evacuation yet
+// still send new flows there. Only a newer revision changes the set.
+func TestAgentInAnEvacuatedZonePassesNewFlowsOn(t *testing.T) {
 	f := newFixture()
 	f.opts.Zone = flow.TagOf(ownZone)
-	require.True(t, f.takes(t, 1))
+	require.True(t, f.acceptsNewFlow(t, 1))
 	f.hearsOf(balancerIP, 1, evacuations(9, "b", ownZone))
-	require.False(t, f.takes(t, 2))
+	require.False(t, f.acceptsNewFlow(t, 2))
 	f.hearsOf(balancerIP, 2, evacuations(8))
-	require.False(t, f.takes(t, 3), "a balancer that is behind")
+	require.False(t, f.acceptsNewFlow(t, 3), "a balancer with an older revision")
 	f.hearsOf(balancerIP, 3, evacuations(10, "b"))
-	require.True(t, f.takes(t, 4), "taken back")
+	require.True(t, f.acceptsNewFlow(t, 4), "the evacuation has ended")
 	f.hearsOf(balancerIP, 4, evacuations(11, ownZone))
-	require.False(t, f.takes(t, 5), "again")
+	require.False(t, f.acceptsNewFlow(t, 5), "evacuated again")
 	f.hearsOf(balancerIP, 4, evacuations(12))
-	require.False(t, f.takes(t, 6), "a message that was overtaken")
+	require.False(t, f.acceptsNewFlow(t, 6), "a stale beacon")
 }
 
-// TestWithoutAnotherCandidateAnEmptiedTargetReturnsTheFlow: its balancer refuses it at
-// once.
-func TestWithoutAnotherCandidateAnEmptiedTargetReturnsTheFlow(t *testing.T) {
+// TestAgentInAnEvacuatedZoneReturnsAFlowWithoutCandidates: it is returned to its balancer,
+// which refuses it at once.
+func TestAgentInAnEvacuatedZoneReturnsAFlowWithoutCandidates(t *testing.T) {
 	f := newFixture()
 	f.opts.Zone = flow.TagOf(ownZone)
 	f.hearsOf(balancerIP, 1, evacuations(9, ownZone))
@@ -70,8 +71,9 @@
 	require.Empty(t, f.port.target)
 }
 
-// TestPacketsOfOpenFlowsReachAnEmptiedTarget.
-func TestPacketsOfOpenFlowsReachAnEmptiedTarget(t *testing.T) {
+// TestPacketsOfOpenFlowsReachATargetInAnEvacuatedZone: an evacuation must not break open
+// flows.
+func TestPacketsOfOpenFlowsReachATargetInAnEvacuatedZone(t *testing.T) {
 	f := newFixture()
 	f.opts.Zone = flow.TagOf(ownZone)
 	f.syn(1, 0, 0)
@@ -83,19 +85,19 @@
 	require.Empty(t, f.port.Resets)
 }
 
-// TestAnAgentTellsABalancerThatLacksAnEvacuation: all balancers may have restarted while
-// the store is away. One that knows as much is told nothing.
-func TestAnAgentTellsABalancerThatLacksAnEvacuation(t *testing.T) {
+// TestAgentSendsEvacuationsToABalancerThatLacksThem: all balancers may have restarted while
+// the store is unavailable. A balancer with the same revision is sent nothing.
+func TestAgentSendsEvacuationsToABalancerThatLacksThem(t *testing.T) {
 	f := newFixture()
 	f.hearsOf(balancerIP, 1, evacuations(9, "b"))
 	f.port.Nodes = nil
 	f.hearsOf(balancerIP, 2, evacuations(9, "b"))
 	require.Empty(t, f.port.OfKind(envelope.Evacuated))
 	f.hearsOf(nextIP, 1, flow.Evacuations{})
-	told := f.port.OfKind(envelope.Evacuated)
-	require.Len(t, told, 1)
-	require.Equal(t, nextIP, told[0].To)
-	got, err := fleet.DecodeEvacuations(told[0].Raw)
+	sent := f.port.OfKind(envelope.Evacuated)
+	require.Len(t, sent, 1)
+	require.Equal(t, nextIP, sent[0].To)
+	got, err := fleet.DecodeEvacuations(sent[0].Raw)
 	require.NoError(t, err)
 	require.Equal(t, evacuations(9, "b"), got)
 }
--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -8,75 +8,84 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// DropReason is why a packet went nowhere.
+// DropReason is why a packet was dropped.
 type DropReason string
 
-// The reasons.
+// The reasons for a drop.
 const (
 	DropMalformed DropReason = "malformed"
-	// DropBounced is a bounced packet of which nothing is known any more.
+	// DropBounced: the target bounced a packet whose delivery is no longer recorded.
 	DropBounced DropReason = "bounced"
 )
 
-// DropReasons lists all reasons.
+// DropReasons lists all reasons for a drop.
 var DropReasons = []DropReason{DropMalformed, DropBounced}
 
-// Abandoned is why nobody waits for a request any more.
+// Abandoned is why no client waits for a request any more.
 type Abandoned string
 
-// The reasons.
+// The reasons for abandonment.
 const (
-	// ClientLeft is a request whose client has ended the flow.
+	// ClientLeft: the client has ended the flow.
 	ClientLeft Abandoned = "client has left"
-	// DeadlinePassed is a request that nobody has got within its route's deadline.
+	// DeadlinePassed: the request was not delivered to the target within its route's deadline.
 	DeadlinePassed Abandoned = "deadline has passed"
 )
 
-// AbandonedReasons lists all reasons.
+// AbandonedReasons lists all reasons for abandonment.
 var AbandonedReasons = []Abandoned{ClientLeft, DeadlinePassed}
 
-// Events hears of what the core decides; the shell logs and counts.
+// Events is notified of the core's decisions, in order to log and count them.
 type Events interface {
+	// Delivered is a packet sent to the target.
 	Delivered()
-	// Request is the first packet of a request, delivered to the target.
+	// Request is a request whose first packet was delivered to the target. busy is the number
+	// of requests that the target has then, this one included; slots is its concurrency.
 	Request(key flow.Key, requestID []byte, busy, slots int)
-	// Queued is a request for which the target has no slot at the moment; wait is
-	// how long it is expected to.
-	Queued(key flow.Key, requestID []byte, held int, wait time.Duration)
-	// Postponed is a new flow that waits for its client's next opening packet; wait
-	// is what it would have waited at the best target.
+	// Queued is a request that waits for a free slot of the target. queued is the number of
+	// requests that were waiting before it, wait its expected wait.
+	Queued(key flow.Key, requestID []byte, queued int, wait time.Duration)
+	// Postponed is a new flow left to its client's next retransmission of the SYN; wait is
+	// its expected wait at this target, which has the shortest wait of its candidates.
 	Postponed(key flow.Key, wait time.Duration)
-	// Expired is a request that waited until its client had gone.
+	// Expired is a queued request that was abandoned after it had waited for the given time.
 	Expired(key flow.Key, waited time.Duration)
-	// Withheld is a request that came, or came again, when nobody waited for it any
-	// more, and was not given to the target; each is told of once.
+	// Withheld is a request, or a repetition of one, that arrived after it was abandoned and
+	// was not delivered to the target. Each request is reported once.
 	Withheld(key flow.Key, requestID []byte, reason Abandoned)
-	// Unwanted is a request whose client left while the target had it, for as long.
-	Unwanted(key flow.Key, had time.Duration)
+	// Unwanted is a request whose client left after the target had had it for the given time.
+	Unwanted(key flow.Key, after time.Duration)
+	// PassedOn is a new flow that this target does not take; hops is how often the flow was
+	// passed on before.
 	PassedOn(key flow.Key, reason string, hops int)
-	// Bounced is a packet that the target did not take.
+	// Bounced is a packet that the target returned because it does not hold the flow, or
+	// refuses it; opening states that it was a SYN.
 	Bounced(key flow.Key, opening bool)
+	// Reset is a flow reset at its client.
 	Reset(key flow.Key, reason string)
 	Dropped(reason DropReason)
+	// TargetReport is a change of, or a report from, the target; what describes it.
 	TargetReport(what string, b fleet.Heartbeat)
 	// Failed is a request that the target answered with a failure or a reset.
 	Failed()
-	// Ejected tells that the target gets no new flows because it fails, or that this
-	// has ended; trials and failures are those of the time before.
+	// Ejected is the start of an ejection, during which the target gets no new flows because
+	// its requests fail, or its end. trials and failures are the outcomes that led to it.
 	Ejected(ejected bool, trials, failures int)
-	// OnProbation tells that the target is up again after so many unplanned ends in a row
-	// and gets no new flows for a while.
-	OnProbation(ends int, proof time.Duration)
-	// Overloaded tells that an overload of the target stands, or that this has ended; held
-	// requests wait, a new one would for wait.
-	Overloaded(stands bool, load backlog.Load, held int, wait time.Duration)
+	// OnProbation is a target that is up again after a number of consecutive crashes and gets
+	// no new flows for the time of its probation.
+	OnProbation(crashes int, probation time.Duration)
+	// Overloaded is the start or the end of an overload of the target. queued is the number of
+	// requests that wait for a slot, wait the expected wait of a new one.
+	Overloaded(active bool, load backlog.Load, queued int, wait time.Duration)
+	// PeerChanged is a balancer that became known or was forgotten.
 	PeerChanged(ip flow.IPv4, what string)
-	// ZoneRelayed tells that another zone is told through relays from now on, or
-	// directly again, and how many of its balancers were heard lately.
+	// ZoneRelayed is a change between relayed and direct announcements to another zone;
+	// balancers is the number of its balancers from which a message was received recently.
 	ZoneRelayed(zone flow.Tag, balancers int, relayed bool)
-	// Probed is a balancer of another zone whose messages are not relayed any more.
-	Probed(ip flow.IPv4, silent time.Duration)
-	// EvacuationsChanged tells that other zones than formerly are emptied; from is who
-	// told it.
+	// Probed is an overdue balancer of another zone that was probed because its relayed
+	// messages have stopped arriving; unseen is the time since its last message.
+	Probed(ip flow.IPv4, unseen time.Duration)
+	// EvacuationsChanged is a change of the evacuated zones; from is the address of the
+	// balancer that sent it.
 	EvacuationsChanged(now, former flow.Evacuations, from string)
 }
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -25,23 +25,23 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// Times of the shell.
+// Timing of the front.
 const (
-	// tickPeriod drives the core.
+	// tickPeriod is the interval between calls of Core.Tick.
 	tickPeriod = 50 * time.Millisecond
 	// probeTimeout bounds a connection to the target, which is on the same VM.
 	probeTimeout = 250 * time.Millisecond
-	// isolationCheckPeriod is how often an agent looks whether it knows a balancer.
+	// isolationCheckPeriod is the interval between checks whether any balancer is known.
 	isolationCheckPeriod = 500 * time.Millisecond
-	// storeTimeout bounds a call at the store, which answers in milliseconds.
+	// storeTimeout bounds a call to the store, which answers in milliseconds.
 	storeTimeout = 900 * time.Millisecond
 )
 
-// Front is an agent's packet front: sockets and the lock around a Core.
+// Front is an agent's packet front: the sockets and the lock around a Core.
 type Front struct {
 	cfg Settings
 	log *zap.Logger
-	// registry is the store as far as it lists the nodes.
+	// registry is the store, for reads of the registry of nodes.
 	registry store.Store
 	reg      *prometheus.Registry
 
@@ -51,17 +51,18 @@
 	clientPort         uint16
 	target             netip.AddrPort
 
-	// mu guards core, observer and kept; nothing else is locked under it.
+	// mu guards core, observer, isolation and configCopy; no other lock is taken while it
+	// is held.
 	mu       sync.Mutex
 	core     *Core
 	observer *observer
-	// sent counts what goes to other nodes.
+	// sent counts the datagrams to other nodes.
 	sent      *telemetry.SentTraffic
 	isolation fleet.IsolationTimer
 	entry     *registry.Registration
-	// configCopy is the copy of the configuration, nil before the first.
+	// configCopy is the agent's copy of the configuration, nil before the first fetch.
 	configCopy *configcopy.Copy
-	// peers fetches it from balancers.
+	// peers fetches configuration copies from balancers.
 	peers *configcopy.Client
 }
 
@@ -93,8 +94,8 @@
 	return f, nil
 }
 
-// ToNode implements Port. A datagram that cannot be sent is lost like any other;
-// so in the methods below.
+// ToNode implements Port. Send errors are ignored, here and in the methods below: a
+// datagram may be lost anyway.
 func (f *Front) ToNode(node flow.IPv4, head, packet []byte) {
 	if kind, err := envelope.KindOf(head); err == nil {
 		f.sent.Count(kind.Index(), f.core.ReceiverZone(node), len(head)+len(packet))
@@ -116,8 +117,8 @@
 	f.ToClient(key.ClientIP, platform.AppendReset(b[:0], key, seq))
 }
 
-// Run serves until ctx ends. An agent stops at once: it is back soon, and a target
-// beside it keeps its flows.
+// Run serves until ctx ends. It then stops at once, without draining: the agent usually
+// restarts soon, and its target keeps its flows meanwhile.
 func (f *Front) Run(ctx context.Context) error {
 	f.log.Info("start", zap.String("zone", f.cfg.Zone), zap.String(telemetry.FieldService, f.cfg.Service),
 		zap.Strings("seeds", f.cfg.Seeds))
@@ -144,7 +145,7 @@
 		group.Go(work, "metrics", func(ctx context.Context) error { return telemetry.ServeMetrics(ctx, f.cfg.Metrics, f.reg) })
 	}
 	<-ctx.Done()
-	f.stop()
+	f.deregister()
 	stop()
 	group.Wait()
 	f.log.Info("stop")
@@ -156,7 +157,7 @@
 	f.updatePresence()
 }
 
-// updatePresence keeps the agent's entry in the registry as its target is.
+// updatePresence requests the registry entry that the target's state calls for.
 func (f *Front) updatePresence() {
 	presence := fleet.EntryUnchanged
 	f.locked(func(now time.Time) { presence = f.core.Presence(now) })
@@ -165,18 +166,18 @@
 	}
 }
 
-// stop takes the agent out of the registry unless its target may live on, and tells the
-// balancers.
-func (f *Front) stop() {
-	leaves := false
-	f.locked(func(time.Time) { leaves = f.core.RemovesEntry() })
-	if leaves {
+// deregister removes the agent's registry entry if its target has ended, and announces
+// the stop to the balancers.
+func (f *Front) deregister() {
+	removeEntry := false
+	f.locked(func(time.Time) { removeEntry = f.core.RemovesEntry() })
+	if removeEntry {
 		f.entry.Deregister()
 	}
 	f.locked(f.core.Stop)
 }
 
-// Reload implements process.Reloader: the seeds are taken over.
+// Reload implements process.Reloader. Only the seeds are applied.
 func (f *Front) Reload(cfg Settings) []string {
 	f.locked(func(time.Time) { f.core.SetSeeds(flow.ParseAddrs(cfg.Seeds)) })
 	return []string{"seeds"}
@@ -219,15 +220,15 @@
 	f.locked(func(time.Time) { f.observer.ReportRefused(err.Field, err.Fault) })
 }
 
-// Pauses between probes of a target: short while it is expected to come up.
+// Pauses between probes of a target: short for the first ones after the agent's start,
+// when the target is expected to come up.
 const (
-	probePause     = 15 * time.Millisecond
-	probePauseLong = 50 * time.Millisecond
-	quickProbes    = 40
+	fastProbePause = 15 * time.Millisecond
+	slowProbePause = 50 * time.Millisecond
+	maxFastProbes  = 40
 )
 
-// probeTarget connects to the target whenever the core wants to know whether it
-// lives.
+// probeTarget connects to the target whenever the core needs to know whether it is up.
 func (f *Front) probeTarget(ctx context.Context) error {
 	for tries := 0; ctx.Err() == nil; tries++ {
 		wanted := false
@@ -237,10 +238,10 @@
 			f.locked(func(now time.Time) { f.core.Probed(now, p) })
 			f.updatePresence()
 		}
-		if wanted && tries < quickProbes {
-			worker.Sleep(ctx, probePause)
+		if wanted && tries < maxFastProbes {
+			worker.Sleep(ctx, fastProbePause)
 		} else {
-			worker.Sleep(ctx, probePauseLong)
+			worker.Sleep(ctx, slowProbePause)
 		}
 	}
 	return nil
@@ -255,15 +256,15 @@
 	if err != nil {
 		return ProbeSilent
 	}
-	// Nothing was sent; there is nothing to lose on this connection.
+	// The error does not matter: nothing was sent on this connection.
 	_ = conn.Close()
 	return ProbeAccepted
 }
 
-// followRegistry reads the balancers from the store while none is known.
+// followRegistry reads the balancers from the registry while none is known.
 func (f *Front) followRegistry(ctx context.Context) error {
 	return worker.Every(ctx, isolationCheckPeriod, func() {
-		if !f.isolated() {
+		if !f.registryReadDue() {
 			return
 		}
 		balancers, err := registry.List(ctx, f.registry, fleet.RoleBalancer)
@@ -278,8 +279,9 @@
 	})
 }
 
-// isolated tells that no balancer has been known for a while.
-func (f *Front) isolated() (due bool) {
+// registryReadDue reports whether the registry is to be read because no balancer has been
+// known for a while.
+func (f *Front) registryReadDue() (due bool) {
 	f.locked(func(now time.Time) { due = f.isolation.Due(now, f.core.Balancers() == 0) })
 	return due
 }
--- a/agent/packetfront/front_test.go
+++ b/agent/packetfront/front_test.go
@@ -19,8 +19,7 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// startFront runs an agent at 127.0.90.1 before a store; the returned function
-// stops it.
+// startFront runs an agent at 127.0.90.1 with a store; the returned function stops it.
 func startFront(t *testing.T, store string) (f *Front, stop func()) {
 	t.Helper()
 	at := func(port int) string { return fmt.Sprintf("127.0.90.1:%d", port) }
@@ -32,9 +31,9 @@
 	return f, worker.Start(f.Run)
 }
 
-// TestAStoppedAgentStaysRegisteredBesideALivingTarget, and not beside none: its
-// VM goes then.
-func TestAStoppedAgentStaysRegisteredBesideALivingTarget(t *testing.T) {
+// TestStoppedAgentStaysRegisteredWhileItsTargetListens: the target may still hold flows. An
+// agent without a target removes its entry when it stops, because its VM is going away.
+func TestStoppedAgentStaysRegisteredWhileItsTargetListens(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	server := httptest.NewServer(platformtest.Store(s))
 	defer server.Close()
@@ -44,22 +43,22 @@
 		require.NoError(t, err)
 		return len(got.Entries)
 	}
-	known := func(f *Front, want fleet.State) func() bool {
-		return func() (yes bool) {
-			f.locked(func(now time.Time) { yes = f.core.announcement(now).State == want })
-			return yes && entries() == 1
+	announces := func(f *Front, want fleet.State) func() bool {
+		return func() (matches bool) {
+			f.locked(func(now time.Time) { matches = f.core.announcement(now).State == want })
+			return matches && entries() == 1
 		}
 	}
 	target, err := net.Listen("tcp4", "127.0.90.1:22013")
 	require.NoError(t, err)
 	f, stop := startFront(t, address)
-	require.Eventually(t, known(f, fleet.Ready), 5*time.Second, 5*time.Millisecond)
+	require.Eventually(t, announces(f, fleet.Ready), 5*time.Second, 5*time.Millisecond)
 	stop()
 	require.Equal(t, 1, entries())
 
 	require.NoError(t, target.Close())
 	f, stop = startFront(t, address)
-	require.Eventually(t, known(f, fleet.Gone), 5*time.Second, 5*time.Millisecond)
+	require.Eventually(t, announces(f, fleet.Gone), 5*time.Second, 5*time.Millisecond)
 	stop()
 	require.Zero(t, entries())
 }
--- a/agent/packetfront/keepconfig.go
+++ b/agent/packetfront/keepconfig.go
@@ -13,34 +13,34 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// An agent keeps a copy of the newest configuration that a balancer has, as it came: when
-// all balancers have restarted and the store is away, nobody else has one. It is in no
-// hurry: a version that it lacks for a few seconds matters only if just then all
-// balancers end.
+// An agent keeps a copy of the newest configuration that any balancer has, in the form in
+// which it was fetched: when all balancers have restarted and the store is unavailable, no
+// other node has one. Fetching is not urgent: a version that is missing for a few seconds
+// matters only if all balancers end in that time.
 
-// Times of keeping the configuration.
+// Timing of the configuration copies.
 const (
-	// copyDelay and keepSpread are how long after a version was heard of an agent fetches
-	// it: the agents of a zone ask one after the other, for the link and the processor
-	// of the balancer that is asked may be small.
+	// An agent fetches a version copyDelay after it learns of it, plus a part of copySpread
+	// of its own: fetches by the agents of a zone are spread out, because the link and the
+	// processor of the balancer may be small.
 	copyDelay  = 500 * time.Millisecond
 	copySpread = 2 * time.Second
 	// copyRetryPause is the pause after a fetch that failed.
 	copyRetryPause = 2 * time.Second
-	// copyPeriod is how often an agent looks whether it lacks a version.
-	copyPeriod = 200 * time.Millisecond
+	// copyCheckPeriod is the interval between checks for a newer version.
+	copyCheckPeriod = 200 * time.Millisecond
 )
 
-// configCopy is the version that the agent has a copy of, and the fetch of the next one.
+// configCopy holds the version of the agent's copy and the state of the next fetch.
 type configCopy struct {
 	version int64
-	// newest is the newest version that a balancer has, dueAt when it is fetched.
+	// newest is the newest version that a balancer has, dueAt when it is to be fetched next.
 	newest int64
 	dueAt  time.Time
 }
 
-// CopySource returns a balancer to fetch a newer configuration from than the agent has, and
-// its version, when that is due.
+// CopySource returns a balancer from which a newer configuration is to be fetched now, and
+// that configuration's version.
 func (c *Core) CopySource(now time.Time) (from flow.IPv4, version int64, due bool) {
 	from, version, newer := c.view.PreferredConfigSource(c.configCopy.version, c.opts.Zone)
 	if !newer {
@@ -57,8 +57,8 @@
 	return from, version, true
 }
 
-// CopyStored notes that the agent has a copy of a version, or of a later one, and tells
-// whether it replaces the one before.
+// CopyStored records that a copy of a version, or of a later one, was fetched, and reports
+// whether it replaces the agent's copy.
 func (c *Core) CopyStored(version int64) bool {
 	if version <= c.configCopy.version {
 		return false
@@ -67,9 +67,9 @@
 	return true
 }
 
-// copyConfig fetches copies for as long as the agent runs.
+// copyConfig fetches newer configuration copies until ctx ends.
 func (f *Front) copyConfig(ctx context.Context) error {
-	return worker.Every(ctx, copyPeriod, func() {
+	return worker.Every(ctx, copyCheckPeriod, func() {
 		var from flow.IPv4
 		var version int64
 		due := false
@@ -95,7 +95,7 @@
 	f.log.Info("copy of the configuration kept", append(fields, zap.Int(telemetry.FieldBytes, len(stored.Compressed())))...)
 }
 
-// currentCopy returns the currentCopy that is kept, nil before the first.
+// currentCopy returns the agent's copy of the configuration, nil before the first fetch.
 func (f *Front) currentCopy() (stored *configcopy.Copy) {
 	f.locked(func(time.Time) { stored = f.configCopy })
 	return stored
--- a/agent/packetfront/keepconfig_test.go
+++ b/agent/packetfront/keepconfig_test.go
@@ -11,8 +11,9 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// has lets a balancer say which configuration it has.
-func (f *fixture) has(balancer flow.IPv4, zone flow.Tag, version int64, link uint16) {
+// receiveConfigVersion delivers a balancer's beacon with its configuration version and link
+// capacity in Mbit/s.
+func (f *fixture) receiveConfigVersion(balancer flow.IPv4, zone flow.Tag, version int64, link uint16) {
 	f.seq++
 	m := fleet.Beacon{
 		MessageID: fleet.MessageID{Incarnation: uint64(balancer), Seq: uint32(f.seq)}, Zone: zone, ConfigVersion: version,
@@ -21,27 +22,27 @@
 	f.HandleNode(f.now, balancer, m.Append(nil))
 }
 
-// latest is the longest that an agent waits before it fetches a version.
-const latest = copyDelay + copySpread
+// maxCopyDelay is the maximum delay before an agent fetches a version.
+const maxCopyDelay = copyDelay + copySpread
 
-// TestAnAgentKeepsTheNewestConfiguration: it asks a balancer of its own zone, one with a
-// wide link, after a delay of its own, and says in its announcements what it has.
-func TestAnAgentKeepsTheNewestConfiguration(t *testing.T) {
+// TestAgentFetchesTheNewestConfiguration: it fetches from a balancer of the local zone with a
+// link of sufficient capacity, after a delay of its own, and announces its version.
+func TestAgentFetchesTheNewestConfiguration(t *testing.T) {
 	f := newFixture()
-	near := f.opts.Zone
-	f.has(balancerIP, near+1, 8, 1000)
-	f.has(balancerIP+1, near, 8, 14)
-	f.has(balancerIP+2, near, 8, 200)
-	f.has(balancerIP+3, near, 7, 1000)
+	localZone := f.opts.Zone
+	f.receiveConfigVersion(balancerIP, localZone+1, 8, 1000)
+	f.receiveConfigVersion(balancerIP+1, localZone, 8, 14)
+	f.receiveConfigVersion(balancerIP+2, localZone, 8, 200)
+	f.receiveConfigVersion(balancerIP+3, localZone, 7, 1000)
 	_, _, due := f.CopySource(f.now)
-	require.False(t, due, "not at once: all agents have heard it")
-	f.now = f.now.Add(latest)
+	require.False(t, due, "not at once, because all agents learn of it at the same time")
+	f.now = f.now.Add(maxCopyDelay)
 	from, version, due := f.CopySource(f.now)
 	require.True(t, due)
 	require.Equal(t, balancerIP+2, from)
 	require.EqualValues(t, 8, version)
 	_, _, due = f.CopySource(f.now)
-	require.False(t, due, "it is on its way, or did not come")
+	require.False(t, due, "the fetch is under way, or has failed")
 	f.now = f.now.Add(copyRetryPause)
 	_, _, due = f.CopySource(f.now)
 	require.True(t, due)
@@ -55,11 +56,11 @@
 	require.NoError(t, err)
 	require.EqualValues(t, 8, a.ConfigVersion)
 
-	require.False(t, f.CopyStored(7), "one that comes late")
-	f.has(balancerIP+3, near, 9, 14)
+	require.False(t, f.CopyStored(7), "a copy of an older version that arrives late")
+	f.receiveConfigVersion(balancerIP+3, localZone, 9, 14)
 	_, _, due = f.CopySource(f.now)
 	require.False(t, due)
-	f.now = f.now.Add(latest)
+	f.now = f.now.Add(maxCopyDelay)
 	from, version, due = f.CopySource(f.now)
 	require.True(t, due)
 	require.Equal(t, balancerIP+3, from)
--- a/agent/packetfront/life_test.go
+++ b/agent/packetfront/life_test.go
@@ -12,137 +12,141 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// Lives of a target that starts again under its ID.
+// Incarnations of a target that restarts with the same ID.
 var (
-	firstLife  = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_700_000_000_000}
-	secondLife = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_700_000_060_000}
-	// steppedLife started after the first one on a clock that was stepped back.
-	steppedLife = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_699_999_990_000}
-	// silentLife does not say when it started.
-	silentLife = fleet.Incarnation{TargetID: "i-2"}
+	firstIncarnation  = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_700_000_000_000}
+	secondIncarnation = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_700_000_060_000}
+	// steppedBackIncarnation started after the first one, on a clock that was stepped back.
+	steppedBackIncarnation = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_699_999_990_000}
+	// undatedIncarnation does not report its start time.
+	undatedIncarnation = fleet.Incarnation{TargetID: "i-2"}
 )
 
-const heartbeatPause = 1200 * time.Millisecond
+const testHeartbeatPeriod = 1200 * time.Millisecond
 
-// report lets a life report after a pause, and tells whether it was believed.
+// report delivers a heartbeat of an incarnation after a pause and reports whether it was
+// accepted.
 func (f *fixture) report(after time.Duration, l fleet.Incarnation, sequence uint64, draining bool) bool {
 	f.now = f.now.Add(after)
 	return f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: l, Slots: 4, Draining: draining, Sequence: sequence})
 }
 
-// afterALife is an agent that had 300 heartbeats of a life.
-func afterALife(l fleet.Incarnation) *fixture {
+// agentAfterHeartbeats returns an agent that has received 300 heartbeats of an incarnation,
+// the last of them draining.
+func agentAfterHeartbeats(l fleet.Incarnation) *fixture {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-	f.opts.HeartbeatPeriod = heartbeatPause
+	f.opts.HeartbeatPeriod = testHeartbeatPeriod
 	f.Probed(f.now, ProbeAccepted)
 	for i := range uint64(300) {
-		f.report(heartbeatPause, l, i+1, i == 299)
+		f.report(testHeartbeatPeriod, l, i+1, i == 299)
 	}
 	f.registered()
 	return f
 }
 
-// TestATargetThatStartsAgainUnderItsIDIsBelieved: its counts start anew. However little
-// its reports tell of the order, it is shut out for two of them at most.
-func TestATargetThatStartsAgainUnderItsIDIsBelieved(t *testing.T) {
+// TestRestartedTargetWithTheSameIDIsAccepted: its sequence starts over, so that its heartbeats
+// look like delayed ones. At most two of them may be rejected, even if the start times do
+// not show the order of the incarnations.
+func TestRestartedTargetWithTheSameIDIsAccepted(t *testing.T) {
 	for name, c := range map[string]struct {
 		former, next fleet.Incarnation
-		seen         bool
-		shutOut      uint64
+		endSeen      bool
+		maxRejected  uint64
 	}{
-		"unseen, born later":                  {firstLife, secondLife, false, 0},
-		"seen, born later":                    {firstLife, secondLife, true, 0},
-		"unseen, on a clock stepped back":     {firstLife, steppedLife, false, 2},
-		"seen, on a clock stepped back":       {firstLife, steppedLife, true, 0},
-		"unseen, born in the same ms":         {firstLife, firstLife, false, 2},
-		"seen, born in the same ms":           {firstLife, firstLife, true, 0},
-		"unseen, it does not say when":        {silentLife, silentLife, false, 2},
-		"seen, it does not say when":          {silentLife, silentLife, true, 0},
-		"unseen, it says so from now on only": {silentLife, secondLife, false, 0},
+		"unseen, born later":                  {firstIncarnation, secondIncarnation, false, 0},
+		"seen, born later":                    {firstIncarnation, secondIncarnation, true, 0},
+		"unseen, on a clock stepped back":     {firstIncarnation, steppedBackIncarnation, false, 2},
+		"seen, on a clock stepped back":       {firstIncarnation, steppedBackIncarnation, true, 0},
+		"unseen, born in the same ms":         {firstIncarnation, firstIncarnation, false, 2},
+		"seen, born in the same ms":           {firstIncarnation, firstIncarnation, true, 0},
+		"unseen, no start time":               {undatedIncarnation, undatedIncarnation, false, 2},
+		"seen, no start time":                 {undatedIncarnation, undatedIncarnation, true, 0},
+		"unseen, start time only from now on": {undatedIncarnation, secondIncarnation, false, 0},
 	} {
 		for _, down := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
-			f := afterALife(c.former)
+			f := agentAfterHeartbeats(c.former)
 			f.now = f.now.Add(down)
-			if c.seen {
+			if c.endSeen {
 				f.Probed(f.now, ProbeRefused)
 				f.Probed(f.now, ProbeAccepted)
 			}
-			believed := uint64(0)
+			accepted := uint64(0)
 			for i := range uint64(4) {
-				pause := heartbeatPause
+				pause := testHeartbeatPeriod
 				if i == 0 {
 					pause = 50 * time.Millisecond
 				}
-				if f.report(pause, c.next, i+1, false) && believed == 0 {
-					believed = i + 1
+				if f.report(pause, c.next, i+1, false) && accepted == 0 {
+					accepted = i + 1
 				}
 			}
-			require.NotZero(t, believed, "%s, down for %v", name, down)
-			require.LessOrEqual(t, believed-1, c.shutOut, "%s, down for %v", name, down)
-			require.Equal(t, fleet.Ready, f.target.state(), "%s: the life before was draining", name)
+			require.NotZero(t, accepted, "%s, down for %v", name, down)
+			require.LessOrEqual(t, accepted-1, c.maxRejected, "%s, down for %v", name, down)
+			require.Equal(t, fleet.Ready, f.target.state(), "%s: the former incarnation was draining", name)
 			require.Equal(t, c.next, f.target.incarnation, name)
-			require.True(t, f.report(heartbeatPause, c.next, 9, true), name)
-			require.Equal(t, fleet.Draining, f.target.state(), "%s: its own drain counts", name)
+			require.True(t, f.report(testHeartbeatPeriod, c.next, 9, true), name)
+			require.Equal(t, fleet.Draining, f.target.state(), "%s: its own draining counts", name)
 		}
 	}
 }
 
-// TestAFreshAgentBelievesTheLifeThatGoesOn: it started meanwhile and knows neither.
-func TestAFreshAgentBelievesTheLifeThatGoesOn(t *testing.T) {
-	for name, late := range map[string]fleet.Incarnation{"born before": firstLife, "born after, on a clock stepped back since": {TargetID: "i-2", StartedMillis: secondLife.StartedMillis + 5}} {
-		f := freshAgent()
+// TestRestartedAgentAcceptsTheIncarnationThatKeepsReporting: delayed heartbeats of a former
+// incarnation may be the first ones that a restarted agent receives.
+func TestRestartedAgentAcceptsTheIncarnationThatKeepsReporting(t *testing.T) {
+	for name, late := range map[string]fleet.Incarnation{"born before": firstIncarnation, "born after, on a clock stepped back since": {TargetID: "i-2", StartedMillis: secondIncarnation.StartedMillis + 5}} {
+		f := restartedAgent()
 		require.True(t, f.report(0, late, 298, true), name)
 		require.True(t, f.report(10*time.Millisecond, late, 299, true), name)
 		require.Equal(t, fleet.Draining, f.target.state(), name)
-		believed := 0
+		accepted := 0
 		for i := range uint64(3) {
-			if f.report(heartbeatPause, secondLife, 40+i, false) {
-				believed++
+			if f.report(testHeartbeatPeriod, secondIncarnation, 40+i, false) {
+				accepted++
 			}
 		}
-		require.NotZero(t, believed, name)
-		require.Equal(t, secondLife, f.target.incarnation, name)
+		require.NotZero(t, accepted, name)
+		require.Equal(t, secondIncarnation, f.target.incarnation, name)
 		require.Equal(t, fleet.Ready, f.target.state(), name)
 	}
 }
 
-// TestLateWordsOfAFormerLifeChangeNothing: reports and farewells that were held up,
-// while the present life goes on.
-func TestLateWordsOfAFormerLifeChangeNothing(t *testing.T) {
+// TestLateReportsOfAFormerIncarnationAreIgnored: heartbeats and deregistrations of a former
+// incarnation arrive late while the current one continues to report.
+func TestLateReportsOfAFormerIncarnationAreIgnored(t *testing.T) {
 	for name, late := range map[string]func(f *fixture, i uint64){
-		"reports, one after the other":                     func(f *fixture, i uint64) { f.report(0, firstLife, 301+i, true) },
-		"reports of an unknown life":                       func(f *fixture, i uint64) { f.report(0, steppedLife, 301+i, true) },
-		"reports of an unknown life that claims few calls": func(f *fixture, i uint64) { f.report(0, steppedLife, 1+i%4, true) },
-		"reports that do not say when":                     func(f *fixture, i uint64) { f.report(0, silentLife, 301+i, true) },
-		"an earlier one of the own life":                   func(f *fixture, i uint64) { f.report(0, secondLife, 2+i/8, true) },
-		"its farewell":                                     func(f *fixture, _ uint64) { f.Leave(f.now, firstLife) },
-		"the farewell of another target":                   func(f *fixture, _ uint64) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) },
+		"successive reports":                                    func(f *fixture, i uint64) { f.report(0, firstIncarnation, 301+i, true) },
+		"reports of an unknown incarnation":                     func(f *fixture, i uint64) { f.report(0, steppedBackIncarnation, 301+i, true) },
+		"reports of an unknown incarnation with a low sequence": func(f *fixture, i uint64) { f.report(0, steppedBackIncarnation, 1+i%4, true) },
+		"reports without a start time":                          func(f *fixture, i uint64) { f.report(0, undatedIncarnation, 301+i, true) },
+		"earlier reports of the current incarnation":            func(f *fixture, i uint64) { f.report(0, secondIncarnation, 2+i/8, true) },
+		"its deregistration":                                    func(f *fixture, _ uint64) { f.Leave(f.now, firstIncarnation) },
+		"the deregistration of another target":                  func(f *fixture, _ uint64) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) },
 	} {
-		f := afterALife(firstLife)
-		require.True(t, f.report(heartbeatPause, secondLife, 1, false), name)
+		f := agentAfterHeartbeats(firstIncarnation)
+		require.True(t, f.report(testHeartbeatPeriod, secondIncarnation, 1, false), name)
 		for i := range uint64(20) {
-			require.True(t, f.report(heartbeatPause/2, secondLife, 10+i, false), name)
-			f.now = f.now.Add(heartbeatPause / 4)
+			require.True(t, f.report(testHeartbeatPeriod/2, secondIncarnation, 10+i, false), name)
+			f.now = f.now.Add(testHeartbeatPeriod / 4)
 			late(f, 2*i)
-			f.now = f.now.Add(heartbeatPause / 4)
+			f.now = f.now.Add(testHeartbeatPeriod / 4)
 			late(f, 2*i+1)
 			require.Equal(t, fleet.Ready, f.target.state(), name)
-			require.Equal(t, secondLife, f.target.incarnation, name)
+			require.Equal(t, secondIncarnation, f.target.incarnation, name)
 		}
 	}
 }
 
-// TestAFarewellThatDoesNotSayWhichLifeEndsNoLivingFlow: it may be a former life's. The
-// target still listens, and its next report proves that it has not left.
-func TestAFarewellThatDoesNotSayWhichLifeEndsNoLivingFlow(t *testing.T) {
-	f := afterALife(firstLife)
-	require.True(t, f.report(heartbeatPause, secondLife, 1, false))
+// TestDeregistrationWithoutAStartTimeResetsNoLiveFlow: it may be from a former incarnation.
+// The target still listens, and its next heartbeat shows that it has not left.
+func TestDeregistrationWithoutAStartTimeResetsNoLiveFlow(t *testing.T) {
+	f := agentAfterHeartbeats(firstIncarnation)
+	require.True(t, f.report(testHeartbeatPeriod, secondIncarnation, 1, false))
 	f.syn(1, 0, 0)
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
 	f.targetSends(1, flow.ACK, 500, 10)
-	f.Leave(f.now, silentLife)
-	require.Equal(t, fleet.Gone, f.target.state(), "no new flows, in case that it is true")
+	f.Leave(f.now, undatedIncarnation)
+	require.Equal(t, fleet.Gone, f.target.state(), "no new flows, in case the target has left")
 	for range 20 {
 		require.True(t, f.WantsProbe(f.now))
 		f.Probed(f.now, ProbeAccepted)
@@ -150,16 +154,16 @@
 		require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now))
 	}
 	require.Empty(t, f.port.Resets)
-	require.True(t, f.report(0, secondLife, 2, false))
+	require.True(t, f.report(0, secondIncarnation, 2, false))
 	require.Equal(t, fleet.Ready, f.target.state())
 	require.Empty(t, f.port.Resets)
 }
 
-// TestFlowsOfAFormerLifeEndAndThoseOfThePresentStay: an unseen restart. The target
-// bounces what it does not hold, and only that is reset.
-func TestFlowsOfAFormerLifeEndAndThoseOfThePresentStay(t *testing.T) {
-	for name, seen := range map[string]bool{"seen": true, "unseen": false} {
-		f := afterALife(firstLife)
+// TestRestartResetsOnlyFlowsOfTheFormerIncarnation: after a restart that the agent did not
+// see, the target bounces packets of flows that it does not hold, and only these are reset.
+func TestRestartResetsOnlyFlowsOfTheFormerIncarnation(t *testing.T) {
+	for name, endSeen := range map[string]bool{"seen": true, "unseen": false} {
+		f := agentAfterHeartbeats(firstIncarnation)
 		open := func(client int, seq uint32) {
 			f.syn(client, 0, 0)
 			f.targetSends(client, flow.SYN|flow.ACK, seq, 0)
@@ -167,15 +171,15 @@
 		}
 		f.target.heartbeat.Draining = false
 		open(1, 500)
-		if seen {
+		if endSeen {
 			f.Probed(f.now, ProbeRefused)
 			f.Probed(f.now, ProbeAccepted)
 		}
-		require.True(t, f.report(heartbeatPause, secondLife, 1, false), name)
+		require.True(t, f.report(testHeartbeatPeriod, secondIncarnation, 1, false), name)
 		open(2, 900)
 		f.deliver(envelope.Envelope{Service: service}, packet(keyOf(2), flow.ACK, 910, "x"))
 		f.deliver(envelope.Envelope{Service: service}, packet(keyOf(1), flow.ACK, 510, "x"))
-		if !seen {
+		if !endSeen {
 			f.bounce()
 		}
 		require.Equal(t, []flow.Key{keyOf(1)}, f.port.Resets[:1], name)
@@ -185,106 +189,105 @@
 	}
 }
 
-// TestIncarnationsTellLives: a balancer sees that the target is another one.
-func TestIncarnationsTellLives(t *testing.T) {
-	require.NotEqual(t, firstLife.Tag(), secondLife.Tag())
-	require.NotEqual(t, firstLife.Tag(), silentLife.Tag())
-	f := afterALife(firstLife)
-	require.Equal(t, firstLife.Tag(), f.announcement(f.now).TargetIncarnation)
-	f.report(heartbeatPause, secondLife, 1, false)
-	require.Equal(t, secondLife.Tag(), f.announcement(f.now).TargetIncarnation)
+// TestIncarnationTagChangesWithTheTargetsRestart: balancers detect a restart by the announced
+// tag.
+func TestIncarnationTagChangesWithTheTargetsRestart(t *testing.T) {
+	require.NotEqual(t, firstIncarnation.Tag(), secondIncarnation.Tag())
+	require.NotEqual(t, firstIncarnation.Tag(), undatedIncarnation.Tag())
+	f := agentAfterHeartbeats(firstIncarnation)
+	require.Equal(t, firstIncarnation.Tag(), f.announcement(f.now).TargetIncarnation)
+	f.report(testHeartbeatPeriod, secondIncarnation, 1, false)
+	require.Equal(t, secondIncarnation.Tag(), f.announcement(f.now).TargetIncarnation)
 }
 
-// TestThePresentLifeIsKnownAfterThreeHeartbeats: targets crash and start again under
-// their ID or another one, seen or not, on a clock that is stepped, while reports and
-// farewells of dead lives arrive at any moment and agents start anew. The oracle knows
-// who lives.
-func TestThePresentLifeIsKnownAfterThreeHeartbeats(t *testing.T) {
+// TestCurrentIncarnationIsKnownAfterThreeHeartbeats: targets crash and restart with the same
+// ID or another one, seen by the agent or not, on a clock that may be stepped, while
+// heartbeats and deregistrations of former incarnations arrive at any time and agents
+// restart. The model knows the current incarnation.
+func TestCurrentIncarnationIsKnownAfterThreeHeartbeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		says := rapid.Bool().Draw(t, "says when it was born")
+		dated := rapid.Bool().Draw(t, "reports its start time")
 		f := newFixture()
-		f.opts.HeartbeatPeriod = heartbeatPause
+		f.opts.HeartbeatPeriod = testHeartbeatPeriod
 		f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 		f.Probed(f.now, ProbeAccepted)
 		clock := int64(1_700_000_000_000)
-		var lives []liveTarget
-		begin := func(id string) {
-			l := liveTarget{Incarnation: fleet.Incarnation{TargetID: id}}
-			if says {
+		var incarnations []runningTarget
+		start := func(id string) {
+			l := runningTarget{Incarnation: fleet.Incarnation{TargetID: id}}
+			if dated {
 				l.StartedMillis = clock
 			}
-			lives = append(lives, l)
+			incarnations = append(incarnations, l)
 		}
-		begin("i-0")
+		start("i-0")
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			present := &lives[len(lives)-1]
+			current := &incarnations[len(incarnations)-1]
 			pause := time.Duration(rapid.IntRange(0, 600).Draw(t, "ms")) * time.Millisecond
 			f.now, clock = f.now.Add(pause), clock+pause.Milliseconds()
-			switch rapid.SampledFrom([]string{"late", "late farewell", "stepped", "restart", "replaced", "agent", "beat", "beat", "beat"}).Draw(t, "step") {
+			switch rapid.SampledFrom([]string{"late", "late deregistration", "stepped", "restart", "replaced", "agent", "beat", "beat", "beat"}).Draw(t, "step") {
 			case "late":
-				if old := &lives[rapid.IntRange(0, len(lives)-1).Draw(t, "life")]; old != present {
+				if old := &incarnations[rapid.IntRange(0, len(incarnations)-1).Draw(t, "incarnation")]; old != current {
 					old.sequence++
 					f.report(0, old.Incarnation, old.sequence, true)
 				}
-			case "late farewell":
-				if old := lives[rapid.IntRange(0, len(lives)-1).Draw(t, "life")]; old.Incarnation != present.Incarnation {
+			case "late deregistration":
+				if old := incarnations[rapid.IntRange(0, len(incarnations)-1).Draw(t, "incarnation")]; old.Incarnation != current.Incarnation {
 					f.Leave(f.now, old.Incarnation)
 				}
 			case "stepped":
 				clock += int64(rapid.IntRange(-5000, 5000).Draw(t, "step"))
 			case "restart", "replaced":
-				id := present.TargetID
+				id := current.TargetID
 				if rapid.Bool().Draw(t, "another ID") {
-					id = "i-" + string(rune('0'+len(lives)))
+					id = "i-" + string(rune('0'+len(incarnations)))
 				}
 				if rapid.Bool().Draw(t, "seen") {
 					f.Probed(f.now, ProbeRefused)
 					f.Probed(f.now, ProbeAccepted)
 				}
-				begin(id)
+				start(id)
 			case "agent":
 				f.opts.Incarnation++
 				f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 				f.Probed(f.now, ProbeAccepted)
 			case "beat":
-				f.beatOfLife(present)
+				f.heartbeatOf(current)
 			}
 			f.Tick(f.now)
 		}
-		present := &lives[len(lives)-1]
+		current := &incarnations[len(incarnations)-1]
 		for range 3 {
-			f.now = f.now.Add(heartbeatPause)
+			f.now = f.now.Add(testHeartbeatPeriod)
 			f.Probed(f.now, ProbeAccepted)
 			f.Tick(f.now)
-			f.beatOfLife(present)
+			f.heartbeatOf(current)
 		}
-		require.Equal(t, present.Incarnation, f.target.incarnation)
-		require.Equal(t, present.sequence, f.target.sequence)
+		require.Equal(t, current.Incarnation, f.target.incarnation)
+		require.Equal(t, current.sequence, f.target.sequence)
 		require.Equal(t, fleet.Ready, f.target.state())
 	})
 }
 
-// liveTarget is a life that reports.
-type liveTarget struct {
+// runningTarget is an incarnation with the sequence of its last heartbeat.
+type runningTarget struct {
 	fleet.Incarnation
 	sequence uint64
 }
 
-func (f *fixture) beatOfLife(l *liveTarget) {
+func (f *fixture) heartbeatOf(l *runningTarget) {
 	l.sequence++
 	f.report(0, l.Incarnation, l.sequence, false)
 }
 
-// TestAPacketIsNoProofOfATargetThatRefusesConnections.
-//
-// Seen: 162 requests on open flows lost after all processes had been killed, in the 4 s
-// from their return on; every search for their flows went on without an outcome.
-// How: four targets had said farewell a moment before the kill. Their VMs were taken away
-// a second after the agents were back, and all balancers took these for draining.
-// Cause: a target that has exited is heard for two seconds yet. The fresh agent, whose
-// probe had been refused, took its packets for a target that lives, gave it new flows,
-// which it bounced, and said "draining" with its last word.
-func TestAPacketIsNoProofOfATargetThatRefusesConnections(t *testing.T) {
+// TestPacketAfterARefusedProbeDoesNotMarkTheTargetUp: packets of a target that has exited
+// still arrive for two seconds. A restarted agent whose probe had been refused took them
+// for a running target, delivered new flows to it, which were bounced, and announced
+// "draining" when it stopped. After a kill and restart of all processes this lost 162
+// requests on open flows within 4 s: four targets had deregistered just before the kill,
+// and their VMs were removed a second after the agents' restart, but all balancers took
+// these targets for draining, so that searches for their flows ended without an outcome.
+func TestPacketAfterARefusedProbeDoesNotMarkTheTargetUp(t *testing.T) {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, platformCodec, quiet{})
 	f.Probed(f.now, ProbeRefused)
--- a/agent/packetfront/nodes.go
+++ b/agent/packetfront/nodes.go
@@ -8,7 +8,8 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// handleBeacon notes a balancer; a new one hears of the target at once.
+// handleBeacon records a balancer. A new one is sent an announcement at once unless it has
+// the last change of state already.
 func (c *Core) handleBeacon(now time.Time, from flow.IPv4, datagram []byte) error {
 	m, err := fleet.DecodeBeacon(datagram)
 	if err != nil {
@@ -18,53 +19,53 @@
 	if change != fleet.Stale {
 		c.compareEvacuations(now, from, m.Evacuations)
 	}
-	c.acks.heard(from, c.opts.Incarnation, &m)
+	c.acks.received(from, c.opts.Incarnation, &m)
 	if change == fleet.Joined {
 		c.events.PeerChanged(from, "joined")
 	}
-	knowing := change == fleet.Joined && c.acks.knows(c.opts.Incarnation, &m)
-	if (change == fleet.Joined && !knowing) || (change == fleet.Unchanged && m.WantPeers) {
+	acked := change == fleet.Joined && c.acks.isAcknowledgedBy(c.opts.Incarnation, &m)
+	if (change == fleet.Joined && !acked) || (change == fleet.Unchanged && m.WantPeers) {
 		c.announceTo(now, from, false)
 	}
 	return nil
 }
 
-// compareEvacuations takes over later evacuations than the agent knows, or tells a
-// balancer those that it lacks: agents live on when all balancers have restarted while
-// the store is away.
-func (c *Core) compareEvacuations(now time.Time, from flow.IPv4, heard flow.Evacuations) {
+// compareEvacuations adopts newer evacuations from a balancer, or sends it the agent's if
+// these are newer: the agents still have them when all balancers have restarted while the
+// store is unavailable.
+func (c *Core) compareEvacuations(now time.Time, from flow.IPv4, received flow.Evacuations) {
 	former := c.evacuations
-	newer, differ := c.evacuations.ReplaceIfNewer(heard)
+	newer, differ := c.evacuations.ReplaceIfNewer(received)
 	switch {
 	case newer:
-		if heard.Has(c.opts.Zone) != former.Has(c.opts.Zone) || former.Revision == 0 {
-			// The targets of a zone may have become cold meanwhile.
+		if received.Has(c.opts.Zone) != former.Has(c.opts.Zone) || former.Revision == 0 {
+			// The zone's targets may have become cold since.
 			c.cold.suspectedAt = now
 		}
 		if differ {
-			c.events.EvacuationsChanged(heard, former, from.String())
+			c.events.EvacuationsChanged(received, former, from.String())
 		}
-	case former.Newer(heard):
+	case former.Newer(received):
 		c.port.ToNode(from, fleet.AppendEvacuations(c.buf[:0], former), nil)
 	}
 }
 
 // handlePeers announces the target to balancers that are not known yet.
 func (c *Core) handlePeers(now time.Time, datagram []byte) error {
-	names, err := fleet.DecodeNodeList(datagram)
+	nodes, err := fleet.DecodeNodeList(datagram)
 	if err != nil {
 		return err
 	}
-	// Their answers must not name peers again: each answer would be answered.
-	c.contact(now, names.Balancers, false)
+	// The balancers must not answer with peers, or each answer would cause another.
+	c.contact(now, nodes.Balancers, false)
 	return nil
 }
 
-// Contact announces the target to balancers that the store names.
+// Contact announces the target to balancers from the registry.
 func (c *Core) Contact(now time.Time, balancers []flow.IPv4) { c.contact(now, balancers, true) }
 
-// contact announces the target to balancers that are not known yet; they answer with
-// a beacon.
+// contact announces the target to those of the balancers that are not known yet; they answer
+// with a beacon.
 func (c *Core) contact(now time.Time, balancers []flow.IPv4, wantPeers bool) {
 	for _, ip := range balancers {
 		if !c.view.HasBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
@@ -73,11 +74,11 @@
 	}
 }
 
-// Tick does what is due.
+// Tick performs all work that is due at the given time.
 func (c *Core) Tick(now time.Time) {
 	c.introduce(now)
 	c.join(now)
-	if left := c.target.deregisteredAt; !left.IsZero() && now.Sub(left) > deregistrationGrace && !c.target.mayListen(now) {
+	if deregisteredAt := c.target.deregisteredAt; !deregisteredAt.IsZero() && now.Sub(deregisteredAt) > deregistrationGrace && !c.target.mayListen(now) {
 		c.endFlows(now, "its target has left")
 	}
 	c.checkHealth(now)
@@ -90,8 +91,8 @@
 	c.announceDue(now)
 }
 
-// expire forgets flows and balancers once a second. What their requests held is free for
-// those that wait.
+// expire removes idle flows and overdue balancers once per second. Slots that the requests
+// of these flows occupied become free for queued requests.
 func (c *Core) expire(now time.Time) {
 	if now.Before(c.nextExpire) {
 		return
@@ -106,66 +107,67 @@
 	}
 }
 
-// join announces the target to the seeds while no balancer is known. While the
-// registry does not have the target either, the seeds hear of it again and again:
-// balancers that start have only each other to learn of it from.
+// join announces the target to the seeds while no balancer is known. It also does so
+// while the target is not in the registry, from which balancers that start would
+// otherwise learn of it; without an entry they can learn of it only from other balancers.
 func (c *Core) join(now time.Time) {
-	alone, unlisted := len(c.view.Balancers()) == 0, c.target.up && c.registration != fleet.RegistrationPresent
-	if !c.introduced || !(alone || unlisted) || now.Before(c.nextJoin) {
+	isolated, unregistered := len(c.view.Balancers()) == 0, c.target.up && c.registration != fleet.RegistrationPresent
+	if !c.introduced || !(isolated || unregistered) || now.Before(c.nextJoin) {
 		return
 	}
 	c.nextJoin = now.Add(joinPeriod)
-	if !alone {
+	if !isolated {
 		c.nextJoin = now.Add(unregisteredPeriod)
 	}
 	for _, ip := range c.opts.Seeds {
-		c.announceTo(now, ip, alone)
+		c.announceTo(now, ip, isolated)
 	}
 }
 
-// announceDue repeats the announcement each period, seldom to other zones, and at
-// once where a change of state was not acknowledged. When the load has changed
-// the balancers of the own zone hear of it earlier: they send most of it, and
-// bytes between zones are dear.
+// announceDue repeats the announcement each period, less often to other zones, and sooner
+// to balancers that have not acknowledged a change of state. A change of load is announced
+// early to the balancers of the local zone only: they send most of the load, and
+// cross-zone traffic is expensive.
 func (c *Core) announceDue(now time.Time) {
-	for _, ip := range c.acks.due(now) {
+	for _, ip := range c.acks.dueForRetry(now) {
 		c.announceTo(now, ip, false)
 	}
 	if !now.Before(c.nextCrossZone) {
 		c.announceCrossZone(now)
 	}
-	near, _ := c.view.BalancersByZone(c.opts.Zone)
+	sameZone, _ := c.view.BalancersByZone(c.opts.Zone)
 	if !now.Before(c.nextSameZone) {
 		c.nextSameZone = fleet.NextSendTime(now, fleet.SameZonePeriod, c.opts.Self)
-		c.announceToAll(now, near)
+		c.announceToAll(now, sameZone)
 		return
 	}
-	step := c.flows.busy - int(c.lastAnnouncement.Outstanding)
-	if (step >= loadChangeStep || step <= -loadChangeStep) && now.Sub(c.lastAnnouncedAt) >= minAnnouncePause {
-		c.announceToAll(now, near)
+	loadChange := c.flows.busy - int(c.lastAnnouncement.Outstanding)
+	if (loadChange >= loadChangeStep || loadChange <= -loadChangeStep) && now.Sub(c.lastAnnouncedAt) >= minAnnouncePause {
+		c.announceToAll(now, sameZone)
 	}
 }
 
-// announceChange tells every balancer at once when the target's state changed.
+// announceChange announces a change of the target's state to all balancers at once.
 func (c *Core) announceChange(now time.Time) {
 	next := c.announcement(now)
-	if c.onlyIdentified(now, next) {
+	if c.onlyIdentityAdded(now, next) {
 		c.nextSameZone, c.nextCrossZone = now, now
 		return
 	}
 	if next.State != c.lastAnnouncement.State || next.TargetIncarnation != c.lastAnnouncement.TargetIncarnation ||
 		next.Slots != c.lastAnnouncement.Slots || next.Ejected != c.lastAnnouncement.Ejected ||
 		(next.Registration != c.lastAnnouncement.Registration && next.Registration == fleet.RegistrationRemoved) {
-		c.acks.changed(c.seq + 1)
+		c.acks.stateChanged(c.seq + 1)
 		c.announceAll(now)
 	}
 }
 
-// onlyIdentified tells whether nothing has changed but that the target has said who it is and
-// how much it can do. It is as ready as it was, so where other zones are told through
-// relays, which all agents would do at once after the return of all callers, this goes the
-// same way.
-func (c *Core) onlyIdentified(now time.Time, next fleet.Announcement) bool {
+// onlyIdentityAdded reports whether the target's incarnation, and perhaps its slots, have
+// become known while its state, ejection and registration are unchanged, and another zone
+// is reached through relays. The target is as ready as before, so that a periodic
+// announcement, due at once and through relays, suffices: after a restart of all processes
+// all agents would otherwise send this change directly to every balancer at the same time.
+func (c *Core) onlyIdentityAdded(now time.Time, next fleet.Announcement) bool {
 	former := c.lastAnnouncement
 	return former.TargetIncarnation == 0 && next.TargetIncarnation != 0 &&
 		next.State == former.State && next.Ejected == former.Ejected && next.Registration == former.Registration &&
@@ -173,12 +175,12 @@
 }
 
 func (c *Core) announceAll(now time.Time) {
-	near, far := c.view.BalancersByZone(c.opts.Zone)
+	sameZone, otherZones := c.view.BalancersByZone(c.opts.Zone)
 	c.crossZonePeriod = c.relays.planner.Plan(now, c.view).Period
 	c.nextSameZone, c.nextCrossZone = fleet.NextSendTime(now, fleet.SameZonePeriod, c.opts.Self), fleet.NextSendTime(now, c.crossZonePeriod, c.opts.Self)
-	c.announceToAll(now, near)
-	c.announceToAll(now, far)
-	// Also where nobody is known yet: those who are met later are told the same.
+	c.announceToAll(now, sameZone)
+	c.announceToAll(now, otherZones)
+	// Set also if no balancer is known yet: the state is sent to balancers that join later.
 	c.lastAnnouncement = c.announcement(now)
 }
 
@@ -193,9 +195,10 @@
 	}
 }
 
-// Stop tells the balancers that no packet will be delivered for a while, and
-// the clients of a target that has left that their flows are over. An entry that is
-// still in the registry beside a target that has ended is left to the balancers.
+// Stop announces to the balancers that no packets will be delivered for a while, and resets
+// the flows of a target that has deregistered. If the target has ended and its registry
+// entry could not be removed, the entry is announced as abandoned, for the balancers to
+// remove.
 func (c *Core) Stop(now time.Time) {
 	c.leaving = true
 	if !c.target.deregisteredAt.IsZero() {
@@ -210,13 +213,13 @@
 func (c *Core) announcement(now time.Time) fleet.Announcement {
 	state := c.target.state()
 	if c.target.absent() || (c.target.sawStart && c.awaitsRegistration(now)) {
-		// Balancers need not ask here for open flows.
+		// No flow can be open here, so that balancers need not search this target.
 		state = fleet.Gone
 	}
 	if c.leaving && state == fleet.Ready {
 		state = fleet.Draining
 	}
-	room, cold := c.coldHeadroom(now)
+	headroom, cold := c.coldHeadroom(now)
 	return fleet.Announcement{
 		Zone: c.opts.Zone, Service: c.opts.Service,
 		TargetIncarnation: c.incarnation(),
@@ -229,12 +232,13 @@
 		Registration:      c.registration,
 		ConfigVersion:     c.configCopy.version,
 		Cold:              cold,
-		Headroom:          uint16(min(room, 1<<16-1)),
+		Headroom:          uint16(min(headroom, 1<<16-1)),
 		LoadReport:        c.loadReport(now),
 	}
 }
 
-// loadReport are what the balancers hear of the target's work.
+// loadReport returns the target's load report for the balancers, empty before the first
+// observation.
 func (c *Core) loadReport(now time.Time) fleet.LoadReport {
 	if !c.estimate.Observed() {
 		return fleet.LoadReport{}
@@ -242,7 +246,7 @@
 	return fleet.LoadReport{QueueDelay: c.expectedWait(now), AnswerInterval: c.estimate.AnswerInterval(), ResponseTime: c.estimate.ResponseTime(), Overloaded: c.overload.active}
 }
 
-// incarnation tells the target's life from others, zero while it is not known.
+// incarnation returns the tag of the target's incarnation, zero while it is unknown.
 func (c *Core) incarnation() flow.Tag {
 	if c.target.incarnation.TargetID == "" {
 		return 0
@@ -250,56 +254,56 @@
 	return c.target.incarnation.Tag()
 }
 
-// registrationTimeout is how long an agent with a target waits for its entry in the
-// registry before it offers the target all the same: the store answers in
-// milliseconds, and may be away for long.
+// registrationTimeout is how long an agent waits for its registry entry before it announces
+// the target without one: the store answers in milliseconds, but may be unavailable for
+// long.
 const registrationTimeout = 250 * time.Millisecond
 
-// setTargetKnown notes that something is known of the target.
+// setTargetKnown records that the target's state is known, from the target itself or a probe.
 func (c *Core) setTargetKnown(now time.Time) {
 	c.targetKnown = true
 	c.introduce(now)
 }
 
-// PresenceStored notes that the registry shows what it is to show of the agent.
-func (c *Core) PresenceStored(now time.Time, p fleet.EntryState) {
+// PresenceStored records that the registry entry has been brought to the given state.
+func (c *Core) PresenceStored(now time.Time, shown fleet.EntryState) {
 	switch {
-	case p != c.wantedPresence:
-		// It is to show something else by now.
+	case shown != c.wantedPresence:
+		// Another state has been requested since.
 		return
-	case p == fleet.EntryPresent:
+	case shown == fleet.EntryPresent:
 		c.registration = fleet.RegistrationPresent
-	case p == fleet.EntryAbsent:
+	case shown == fleet.EntryAbsent:
 		c.registration = fleet.RegistrationRemoved
 	}
 	c.introduce(now)
 	c.announceChange(now)
 }
 
-// awaitsRegistration tells that the target is there and the agent is not registered
-// yet: a target takes no flow before balancers that have not heard of it can find
+// awaitsRegistration reports whether the target is up and its registry entry is still
+// awaited: a target takes no flows before balancers to which it was not announced can find
 // it in the registry.
 func (c *Core) awaitsRegistration(now time.Time) bool {
 	return c.target.up && c.registration != fleet.RegistrationPresent && now.Sub(c.target.upSince) < registrationTimeout
 }
 
-// introduce lets the balancers hear of the agent once it knows its target. What it
-// said before would only be its own ignorance, and would stand for long if it was
-// the last thing that a balancer heard.
+// introduce sends the first announcements once the agent knows its target's state. An
+// earlier announcement would carry an unknown state, which balancers would keep for long
+// if it was the last one that they received.
 func (c *Core) introduce(now time.Time) {
 	if c.introduced || !c.targetKnown || c.awaitsRegistration(now) {
 		return
 	}
 	c.introduced = true
-	c.acks.changed(c.seq + 1)
+	c.acks.stateChanged(c.seq + 1)
 	for _, ip := range c.opts.Seeds {
 		c.announceTo(now, ip, true)
 	}
 	c.announceAll(now)
 }
 
-// periodTo is how soon a balancer hears of this agent again.
-func (c *Core) periodTo(ip flow.IPv4) time.Duration {
+// announcePeriodTo returns the period of the announcements to a balancer.
+func (c *Core) announcePeriodTo(ip flow.IPv4) time.Duration {
 	if zone, known := c.view.ZoneOf(ip); known && zone == c.opts.Zone {
 		return fleet.SameZonePeriod
 	}
@@ -315,13 +319,13 @@
 	c.port.ToNode(to, a.Append(c.buf[:0]), nil)
 }
 
-// announcementTo is the next announcement, as a balancer gets it.
+// announcementTo returns the next announcement to a balancer and records it as sent.
 func (c *Core) announcementTo(now time.Time, to flow.IPv4) fleet.Announcement {
 	a := c.announcement(now)
 	c.seq++
 	a.MessageID = fleet.MessageID{Incarnation: c.opts.Incarnation, Seq: c.seq}
-	a.Period = c.periodTo(to)
-	a.WantReply = c.acks.wants(to)
+	a.Period = c.announcePeriodTo(to)
+	a.WantReply = c.acks.needsAck(to)
 	c.acks.sent(now, to)
 	return a
 }
--- a/agent/packetfront/nodes_test.go
+++ b/agent/packetfront/nodes_test.go
@@ -20,8 +20,9 @@
 	require.Equal(t, fleet.Draining, a.State)
 }
 
-// TestLoadIsAnnouncedEarlyInTheOwnZone: elsewhere it is repeated each second.
-func TestLoadIsAnnouncedEarlyInTheOwnZone(t *testing.T) {
+// TestLoadChangeIsAnnouncedEarlyInTheLocalZone: other zones get only the
+// periodic announcement, which is sent each second here.
+func TestLoadChangeIsAnnouncedEarlyInTheLocalZone(t *testing.T) {
 	f := newFixture()
 	for ip, zone := range map[flow.IPv4]flow.Tag{balancerIP: f.opts.Zone, nextIP: f.opts.Zone + 1} {
 		f.beacon(ip, zone, 0)
@@ -39,20 +40,19 @@
 	require.Len(t, f.port.Nodes, 3)
 }
 
-// TestTheRegistryEntryStaysWhileTheTargetMayLive: an agent that stops beside a target
-// that is not known to have ended is soon back, and its flows must not be taken
-// for over meanwhile.
-func TestTheRegistryEntryStaysWhileTheTargetMayLive(t *testing.T) {
+// TestTargetEndedOnlyIfItsEndIsCertain: otherwise an agent that stops is expected to restart
+// soon, and its target's flows must not be taken for ended meanwhile.
+func TestTargetEndedOnlyIfItsEndIsCertain(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare func(f *fixture)
 		ended   bool
 	}{
-		"a target that reports":          {func(*fixture) {}, false},
-		"a target that is silent":        {func(f *fixture) { f.Probed(f.now, ProbeSilent) }, false},
-		"a target that drains":           {func(f *fixture) { f.beat(true) }, false},
-		"a target that has left":         {func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }, true},
-		"nothing listens there":          {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, true},
-		"another target came after that": {func(f *fixture) { f.Probed(f.now, ProbeRefused); f.Probed(f.now, ProbeAccepted) }, false},
+		"a target that reports":                 {func(*fixture) {}, false},
+		"a target that does not answer a probe": {func(f *fixture) { f.Probed(f.now, ProbeSilent) }, false},
+		"a target that drains":                  {func(f *fixture) { f.beat(true) }, false},
+		"a target that has left":                {func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }, true},
+		"no process listens":                    {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, true},
+		"another target started after that":     {func(f *fixture) { f.Probed(f.now, ProbeRefused); f.Probed(f.now, ProbeAccepted) }, false},
 	} {
 		f := newFixture()
 		c.prepare(f)
@@ -60,8 +60,9 @@
 	}
 }
 
-// TestOtherZonesHearOfATargetLessOften, and are told how soon they hear again.
-func TestOtherZonesHearOfATargetLessOften(t *testing.T) {
+// TestAnnouncementsToOtherZonesAreLessFrequent: each announcement carries the period of its
+// receiver's zone, and a change of state is sent to all zones at once.
+func TestAnnouncementsToOtherZonesAreLessFrequent(t *testing.T) {
 	f := newFixture()
 	const farBalancers = 8
 	for i := range flow.IPv4(farBalancers) {
@@ -90,12 +91,12 @@
 	require.Equal(t, 5, counts[nextIP])
 	f.port.Nodes = nil
 	f.beat(true)
-	require.Len(t, f.port.Nodes, farBalancers+1, "a change is told to all at once")
+	require.Len(t, f.port.Nodes, farBalancers+1, "a change is announced to all at once")
 }
 
-// TestNothingIsSaidBeforeTheTargetIsKnown: an agent that has just started and is
-// taken away again must not leave its ignorance behind.
-func TestNothingIsSaidBeforeTheTargetIsKnown(t *testing.T) {
+// TestNothingIsAnnouncedBeforeTheTargetIsKnown: an agent that is removed just after its start
+// must not leave an unknown state behind at the balancers.
+func TestNothingIsAnnouncedBeforeTheTargetIsKnown(t *testing.T) {
 	for name, c := range map[string]struct {
 		learn func(f *fixture)
 		want  fleet.State
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestAnAgentDoesNotWaitForTheRegistryForLong: the store may be away.
-func TestAnAgentDoesNotWaitForTheRegistryForLong(t *testing.T) {
+// TestAnnouncementIsSentAfterTheRegistrationTimeout: the store may be unavailable.
+func TestAnnouncementIsSentAfterTheRegistrationTimeout(t *testing.T) {
 	f := newFixture()
 	f.opts.Seeds = []flow.IPv4{nextIP}
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
@@ -135,9 +136,9 @@
 	require.NotEmpty(t, f.port.Nodes)
 }
 
-// TestTheRegistryFollowsTheTarget: an entry comes with the target, and goes as soon as
-// it is certain that the target has ended.
-func TestTheRegistryFollowsTheTarget(t *testing.T) {
+// TestRegistryEntryFollowsTheTargetsState: the entry is added when the target is up and removed
+// as soon as it is certain that the target has ended.
+func TestRegistryEntryFollowsTheTargetsState(t *testing.T) {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now))
@@ -149,7 +150,7 @@
 	f.Probed(f.now, ProbeAccepted)
 	require.Equal(t, fleet.EntryPresent, f.Presence(f.now))
 	f.Probed(f.now, ProbeSilent)
-	require.Equal(t, fleet.EntryPresent, f.Presence(f.now), "silence proves nothing")
+	require.Equal(t, fleet.EntryPresent, f.Presence(f.now), "a probe without an answer changes nothing")
 	f.beat(false)
 	f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
 	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now), "it may send its last packets")
@@ -159,9 +160,9 @@
 	require.False(t, f.WantsProbe(f.now))
 }
 
-// TestATargetWhoseExitIsNotSeenLeavesTheRegistryAfterItsGrace: nothing answers a
-// probe where it has left.
-func TestATargetWhoseExitIsNotSeenLeavesTheRegistryAfterItsGrace(t *testing.T) {
+// TestDeregisteredTargetLeavesTheRegistryAfterTheGracePeriod: probes of a target whose exit was
+// not seen may get no answer at all.
+func TestDeregisteredTargetLeavesTheRegistryAfterTheGracePeriod(t *testing.T) {
 	f := newFixture()
 	f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
 	f.Probed(f.now, ProbeSilent)
@@ -171,15 +172,15 @@
 	require.Equal(t, fleet.EntryAbsent, f.Presence(f.now))
 }
 
-// TestATargetThatGoesDownAndUpByTurnsIsNotWrittenEachTime: one that was there for long
-// and ends is taken off at once.
-func TestATargetThatGoesDownAndUpByTurnsIsNotWrittenEachTime(t *testing.T) {
+// TestFlappingTargetIsNotWrittenToTheRegistryEachTime: the entry of a target that was up only
+// briefly is kept for a while. That of a target that was up for long is removed at once.
+func TestFlappingTargetIsNotWrittenToTheRegistryEachTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		up   time.Duration
 		want fleet.EntryState
 	}{
-		"there for long":  {presenceHoldTime + 1, fleet.EntryAbsent},
-		"there for short": {presenceHoldTime, fleet.EntryUnchanged},
+		"up for long": {presenceHoldTime + 1, fleet.EntryAbsent},
+		"up briefly":  {presenceHoldTime, fleet.EntryUnchanged},
 	} {
 		f := newFixture()
 		f.now = f.now.Add(c.up)
@@ -189,7 +190,7 @@
 	}
 }
 
-func TestOwnersAreToldAfterASearch(t *testing.T) {
+func TestOwnerMessageIsSentAfterASearch(t *testing.T) {
 	f := newFixture()
 	f.syn(1, 0, 0)
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
@@ -199,15 +200,15 @@
 	require.Len(t, f.port.target, 2)
 }
 
-// TestAFreshAgentTellsTheOwnerOnceItsTargetAnswers: it does not know the flow, its
-// target does.
-func TestAFreshAgentTellsTheOwnerOnceItsTargetAnswers(t *testing.T) {
-	f := freshAgent()
+// TestRestartedAgentSendsTheOwnerMessageOnceItsTargetAnswers: only the answer shows the agent
+// that its target holds the flow.
+func TestRestartedAgentSendsTheOwnerMessageOnceItsTargetAnswers(t *testing.T) {
+	f := restartedAgent()
 	f.deliver(envelope.Envelope{Flags: envelope.Search}, packet(keyOf(1), flow.ACK, 500, ""))
 	require.Len(t, f.port.target, 1)
 	require.Empty(t, f.owners())
 	f.targetSends(1, flow.ACK, 500, 10)
 	require.Equal(t, []flow.IPv4{balancerIP}, f.owners())
 	f.targetSends(1, flow.ACK, 510, 10)
-	require.Len(t, f.owners(), 1, "told once")
+	require.Len(t, f.owners(), 1, "sent once")
 }
--- a/agent/packetfront/notes.go
+++ b/agent/packetfront/notes.go
@@ -5,23 +5,24 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// ringSize bounds the packets whose way is remembered until the target bounces
-// them: a target answers within milliseconds, and at 10,000 packets a second the
-// ring lasts for 200 ms.
+// ringSize bounds the delivered packets whose envelopes are recorded in case the target
+// bounces them: a target answers within milliseconds, and at 10,000 packets per second
+// the ring covers 200 ms.
 const (
 	ringBits = 11
 	ringSize = 1 << ringBits
 )
 
-// pendingDelivery is the way that a delivered packet may still go.
+// pendingDelivery is the envelope of a delivered packet, with the candidates that the
+// packet goes to if the target bounces it.
 type pendingDelivery struct {
 	generation uint32
 	key        flow.Key
 	env        envelope.Envelope
 }
 
-// deliveryRing is a ring of the last delivered packets whose target may not take them.
-// The echo field of a packet carries the index and a generation.
+// deliveryRing records the last delivered packets that the target may bounce. The echo
+// field of a packet, which the target returns, holds the entry's index and generation.
 type deliveryRing struct {
 	ring []pendingDelivery
 	next uint32
@@ -29,23 +30,24 @@
 
 func newDeliveryRing() *deliveryRing { return &deliveryRing{ring: make([]pendingDelivery, ringSize)} }
 
-// put remembers a packet's way and returns the echo that finds it, never zero.
-func (n *deliveryRing) put(key flow.Key, env *envelope.Envelope) uint32 {
-	slot := n.next % ringSize
-	n.next++
-	e := &n.ring[slot]
+// put records a packet's envelope and returns the echo that identifies the entry, never
+// zero.
+func (r *deliveryRing) put(key flow.Key, env *envelope.Envelope) uint32 {
+	index := r.next % ringSize
+	r.next++
+	e := &r.ring[index]
 	e.generation++
 	if e.generation >= 1<<(32-ringBits) {
 		e.generation = 1
 	}
 	e.key, e.env = key, *env
-	return e.generation<<ringBits | slot
+	return e.generation<<ringBits | index
 }
 
-// take returns the way of a bounced packet once, nil when it was overwritten or
-// never delivered.
-func (n *deliveryRing) take(echo uint32, key flow.Key) *envelope.Envelope {
-	e := &n.ring[echo%ringSize]
+// take returns the envelope of a bounced packet once. It returns nil if the entry was
+// overwritten or the packet was never delivered.
+func (r *deliveryRing) take(echo uint32, key flow.Key) *envelope.Envelope {
+	e := &r.ring[echo%ringSize]
 	if echo == 0 || e.generation != echo>>ringBits || e.key != key || e.env.Kind != envelope.Deliver {
 		return nil
 	}
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -12,7 +12,7 @@
 	"github.com/poppywall/poppywall/telemetry"
 )
 
-// Log field names of the packet front; shared ones stand in package telemetry.
+// Log field names of the packet front; shared ones are in package telemetry.
 const (
 	fieldFlow     = "flow"
 	fieldRequest  = "request"
@@ -23,62 +23,62 @@
 	fieldTargetID = "target_id"
 )
 
-// Lines a second of each kind; what is above is counted and said with the next
-// line of the kind.
+// Maximum log lines per second of each kind. Suppressed lines are counted, and the count
+// is logged with the next line of the kind.
 const (
-	requestLines = 200
-	passLines    = 50
-	reportLines  = 20
-	otherLines   = 50
-	// goneLines are apart from passLines, which overload uses up.
-	goneLines = 50
+	requestLines   = 200
+	admissionLines = 50
+	reportLines    = 20
+	otherLines     = 50
+	// abandonedLines has a budget of its own, because an overload exhausts admissionLines.
+	abandonedLines = 50
 )
 
-// observer logs and counts what the core decides. It is called under the
-// front's lock.
+// observer logs and counts the core's decisions. It is called with the front's lock
+// held.
 type observer struct {
 	telemetry.Lines
 
-	requests, passes, reports, other, gone telemetry.Budget
+	requests, admissions, reports, other, abandoned telemetry.Budget
 
-	delivered, requested, waited, postponed, gaveUp, unwanted, passedOn, bounced, resets prometheus.Counter
-	failed, ejections, unproven, asked                                                   prometheus.Counter
-	refusedReports                                                                       *prometheus.CounterVec
-	drops                                                                                map[DropReason]prometheus.Counter
-	withheld                                                                             map[Abandoned]prometheus.Counter
-	load                                                                                 prometheus.Histogram
-	emptied                                                                              *telemetry.ZoneGauges
-	overloads                                                                            prometheus.Counter
-	overloaded                                                                           prometheus.Gauge
+	delivered, requested, queued, postponed, expired, unwanted, passedOn, bounced, resets prometheus.Counter
+	failed, ejections, probations, probed                                                 prometheus.Counter
+	refusedReports                                                                        *prometheus.CounterVec
+	drops                                                                                 map[DropReason]prometheus.Counter
+	withheld                                                                              map[Abandoned]prometheus.Counter
+	load                                                                                  prometheus.Histogram
+	evacuated                                                                             *telemetry.ZoneGauges
+	overloads                                                                             prometheus.Counter
+	overloaded                                                                            prometheus.Gauge
 }
 
 func newObserver(log *zap.Logger, reg *prometheus.Registry) *observer {
 	c := telemetry.Counters{Registry: reg, Subsystem: "packetagent"}
 	o := &observer{
-		Lines:     telemetry.Lines{Log: log, Now: time.Now},
-		requests:  telemetry.Budget{PerSecond: requestLines},
-		passes:    telemetry.Budget{PerSecond: passLines},
-		reports:   telemetry.Budget{PerSecond: reportLines},
-		other:     telemetry.Budget{PerSecond: otherLines},
-		gone:      telemetry.Budget{PerSecond: goneLines},
-		delivered: c.Counter("delivered_packets_total", "Packets handed to the target."),
-		requested: c.Counter("requests_total", "Requests whose first packet was handed to the target."),
-		waited:    c.Counter("waiting_requests_total", "Requests that waited for a slot of the target."),
-		postponed: c.Counter("postponed_flows_total", "New flows left to their client's next opening packet."),
-		gaveUp:    c.Counter("given_up_requests_total", "Requests that waited until their client had gone."),
+		Lines:      telemetry.Lines{Log: log, Now: time.Now},
+		requests:   telemetry.Budget{PerSecond: requestLines},
+		admissions: telemetry.Budget{PerSecond: admissionLines},
+		reports:    telemetry.Budget{PerSecond: reportLines},
+		other:      telemetry.Budget{PerSecond: otherLines},
+		abandoned:  telemetry.Budget{PerSecond: abandonedLines},
+		delivered:  c.Counter("delivered_packets_total", "Packets handed to the target."),
+		requested:  c.Counter("requests_total", "Requests whose first packet was handed to the target."),
+		queued:     c.Counter("waiting_requests_total", "Requests that waited for a slot of the target."),
+		postponed:  c.Counter("postponed_flows_total", "New flows left to their client's next opening packet."),
+		expired:    c.Counter("given_up_requests_total", "Requests that waited until their client had gone."),
 		withheld: telemetry.ByReason(c, "withheld_requests_total",
 			"Requests that came when nobody waited for them any more and were not handed to the target, by reason.", AbandonedReasons),
-		unwanted:  c.Counter("unwanted_requests_total", "Requests whose client left while the target had them."),
-		passedOn:  c.Counter("passed_on_packets_total", "Packets that the agent did not hand to the target."),
-		bounced:   c.Counter("bounced_packets_total", "Packets that the target did not take."),
-		resets:    c.Counter("reset_flows_total", "Flows reset because their target has ended."),
-		failed:    c.Counter("failed_requests_total", "Requests that the target answered with a failure or a reset."),
-		ejections: c.Counter("ejections_total", "Times that the target was taken out because it fails."),
-		unproven:  c.Counter("unproven_starts_total", "Starts of a target that had ended unplanned a moment ago."),
-		asked:     c.Counter("asked_nodes_total", "Balancers of other zones that were asked because no relay named them any more."),
-		drops:     telemetry.ByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
-		emptied:   telemetry.NewZoneGauges(c),
-		overloads: c.Counter("overloads_total", "Times that an overload of the target stood."),
+		unwanted:   c.Counter("unwanted_requests_total", "Requests whose client left while the target had them."),
+		passedOn:   c.Counter("passed_on_packets_total", "Packets that the agent did not hand to the target."),
+		bounced:    c.Counter("bounced_packets_total", "Packets that the target did not take."),
+		resets:     c.Counter("reset_flows_total", "Flows reset because their target has ended."),
+		failed:     c.Counter("failed_requests_total", "Requests that the target answered with a failure or a reset."),
+		ejections:  c.Counter("ejections_total", "Times that the target was taken out because it fails."),
+		probations: c.Counter("unproven_starts_total", "Starts of a target that had ended unplanned a moment ago."),
+		probed:     c.Counter("asked_nodes_total", "Balancers of other zones that were asked because no relay named them any more."),
+		drops:      telemetry.ByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
+		evacuated:  telemetry.NewZoneGauges(c),
+		overloads:  c.Counter("overloads_total", "Times that an overload of the target stood."),
 		load: c.Histogram("load_at_request",
 			"Requests that the target works on or has queued when another one comes.", []float64{0, 1, 2, 4, 8, 16, 32, 64}),
 	}
@@ -105,47 +105,47 @@
 }
 
 // Queued implements Events.
-func (o *observer) Queued(key flow.Key, requestID []byte, held int, wait time.Duration) {
-	o.waited.Inc()
-	o.Write(&o.passes, "request waits for a slot", zap.Stringer(fieldFlow, key), zap.ByteString(fieldRequest, requestID),
-		zap.Int("held", held), zap.Duration("wait", wait))
+func (o *observer) Queued(key flow.Key, requestID []byte, queued int, wait time.Duration) {
+	o.queued.Inc()
+	o.Write(&o.admissions, "request waits for a slot", zap.Stringer(fieldFlow, key), zap.ByteString(fieldRequest, requestID),
+		zap.Int("held", queued), zap.Duration("wait", wait))
 }
 
 // Postponed implements Events.
 func (o *observer) Postponed(key flow.Key, wait time.Duration) {
 	o.postponed.Inc()
-	o.Write(&o.passes, "new flow postponed", zap.Stringer(fieldFlow, key), zap.Duration("wait", wait))
+	o.Write(&o.admissions, "new flow postponed", zap.Stringer(fieldFlow, key), zap.Duration("wait", wait))
 }
 
 // Expired implements Events.
 func (o *observer) Expired(key flow.Key, waited time.Duration) {
-	o.gaveUp.Inc()
-	o.Write(&o.gone, "request's client has gone", zap.Stringer(fieldFlow, key), zap.Duration("waited", waited))
+	o.expired.Inc()
+	o.Write(&o.abandoned, "request's client has gone", zap.Stringer(fieldFlow, key), zap.Duration("waited", waited))
 }
 
 // Withheld implements Events.
 func (o *observer) Withheld(key flow.Key, requestID []byte, reason Abandoned) {
 	o.withheld[reason].Inc()
-	o.Write(&o.gone, "request withheld", zap.Stringer(fieldFlow, key), zap.ByteString(fieldRequest, requestID),
+	o.Write(&o.abandoned, "request withheld", zap.Stringer(fieldFlow, key), zap.ByteString(fieldRequest, requestID),
 		zap.String(fieldReason, string(reason)))
 }
 
 // Unwanted implements Events.
-func (o *observer) Unwanted(key flow.Key, had time.Duration) {
+func (o *observer) Unwanted(key flow.Key, after time.Duration) {
 	o.unwanted.Inc()
-	o.Write(&o.gone, "request's client left while the target had it", zap.Stringer(fieldFlow, key), zap.Duration("had", had))
+	o.Write(&o.abandoned, "request's client left while the target had it", zap.Stringer(fieldFlow, key), zap.Duration("had", after))
 }
 
 // PassedOn implements Events.
 func (o *observer) PassedOn(key flow.Key, reason string, hops int) {
 	o.passedOn.Inc()
-	o.Write(&o.passes, "new flow passed on", zap.Stringer(fieldFlow, key), zap.String(fieldReason, reason), zap.Int(fieldHops, hops))
+	o.Write(&o.admissions, "new flow passed on", zap.Stringer(fieldFlow, key), zap.String(fieldReason, reason), zap.Int(fieldHops, hops))
 }
 
 // Bounced implements Events.
 func (o *observer) Bounced(key flow.Key, opening bool) {
 	o.bounced.Inc()
-	o.Write(&o.passes, "packet bounced by target", zap.Stringer(fieldFlow, key), zap.Bool("opening", opening))
+	o.Write(&o.admissions, "packet bounced by target", zap.Stringer(fieldFlow, key), zap.Bool("opening", opening))
 }
 
 // Reset implements Events.
@@ -180,22 +180,22 @@
 }
 
 // OnProbation implements Events.
-func (o *observer) OnProbation(ends int, proof time.Duration) {
-	o.unproven.Inc()
-	o.Write(&o.reports, "target up again, not proven", zap.Int("ends", ends), zap.Duration("proof", proof))
+func (o *observer) OnProbation(crashes int, probation time.Duration) {
+	o.probations.Inc()
+	o.Write(&o.reports, "target up again, not proven", zap.Int("ends", crashes), zap.Duration("proof", probation))
 }
 
 // Overloaded implements Events.
-func (o *observer) Overloaded(stands bool, load backlog.Load, held int, wait time.Duration) {
+func (o *observer) Overloaded(active bool, load backlog.Load, queued int, wait time.Duration) {
 	what := "overload has ended"
 	o.overloaded.Set(0)
-	if stands {
+	if active {
 		what = "overload stands"
 		o.overloaded.Set(1)
 		o.overloads.Inc()
 	}
 	o.Log.Info(what, zap.Float64("arrived_per_s", load.Arrived), zap.Float64("answered_per_s", load.Answered),
-		zap.Float64("full", load.FullShare), zap.Duration("behind", load.Lag), zap.Duration("lasted", load.BacklogAge), zap.Int("held", held), zap.Duration("wait", wait))
+		zap.Float64("full", load.FullShare), zap.Duration("behind", load.Lag), zap.Duration("lasted", load.BacklogAge), zap.Int("held", queued), zap.Duration("wait", wait))
 }
 
 // PeerChanged implements Events.
@@ -205,7 +205,7 @@
 
 // EvacuationsChanged implements Events.
 func (o *observer) EvacuationsChanged(now, former flow.Evacuations, from string) {
-	o.emptied.Changed(o.Log, now.Zones(), former.Zones(), now.Revision, from)
+	o.evacuated.Changed(o.Log, now.Zones(), former.Zones(), now.Revision, from)
 }
 
 // ZoneRelayed implements Events.
@@ -215,6 +215,6 @@
 
 // Probed implements Events.
 func (o *observer) Probed(ip flow.IPv4, silent time.Duration) {
-	o.asked.Inc()
+	o.probed.Inc()
 	o.Write(&o.other, "balancer not relayed any more, asked", zap.Stringer(telemetry.FieldPeer, ip), zap.Duration("silent", silent))
 }
--- a/agent/packetfront/presence.go
+++ b/agent/packetfront/presence.go
@@ -6,18 +6,17 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// presenceHoldTime is how long a target has to be away before its agent's entry in the
-// registry goes if it was there for less: one that goes down and up by turns costs
-// no writes. The end of any other target is told at once, for balancers that start
-// just then wait for every agent on the list.
+// presenceHoldTime is how long a target that was up for no longer than this has to be down
+// before its agent's registry entry is removed, so that a flapping target causes no
+// writes. The entry of any other target is removed at once, because balancers that start
+// wait for every agent in the registry.
 const presenceHoldTime = 2 * time.Second
 
-// TargetEnded tells whether the target has ended for certain, so that no flow can be
-// open here.
+// TargetEnded reports whether the target has deregistered or is known to have ended.
 func (c *Core) TargetEnded() bool { return !c.target.deregisteredAt.IsZero() || c.target.absent() }
 
-// RemovesEntry tells whether the agent, which is about to stop, has to take its entry out
-// of the registry: its target has ended.
+// RemovesEntry reports whether the agent, which is about to stop, has to remove its registry
+// entry because its target has ended.
 func (c *Core) RemovesEntry() bool {
 	if !c.TargetEnded() || c.registration == fleet.RegistrationRemoved {
 		return false
@@ -26,28 +25,27 @@
 	return true
 }
 
-// Presence tells what the agent's entry in the registry is to show: it is there
-// while the target may live.
+// Presence returns the state that the agent's registry entry is to have: it is present as
+// long as the target may be up.
 func (c *Core) Presence(now time.Time) fleet.EntryState {
-	h, wanted := &c.target, fleet.EntryUnchanged
+	t, wanted := &c.target, fleet.EntryUnchanged
 	switch {
-	case h.up && h.deregisteredAt.IsZero():
+	case t.up && t.deregisteredAt.IsZero():
 		wanted = fleet.EntryPresent
-	case h.absent() && h.staysAway(now):
+	case t.absent() && t.staysDown(now):
 		wanted = fleet.EntryAbsent
 	}
 	if wanted != fleet.EntryUnchanged && wanted != c.wantedPresence {
-		// Until the store has answered its answer may be either.
+		// The state of the entry is unknown until the store has answered.
 		c.wantedPresence, c.registration = wanted, fleet.RegistrationUnknown
 	}
 	return wanted
 }
 
-// staysAway tells whether a target that has ended is not expected back at once: it
-// has said farewell, was there for long before, or has been away for long. One that
-// this process has never seen may be about to start; until then the agent answers
-// for it.
-func (h *target) staysAway(now time.Time) bool {
-	steady := !h.upSince.IsZero() && h.downSince.Sub(h.upSince) > presenceHoldTime
-	return !h.deregisteredAt.IsZero() || steady || now.Sub(h.downSince) > presenceHoldTime
+// staysDown reports whether a target that has ended is not expected back at once: it has
+// deregistered, or was up or has been down for longer than presenceHoldTime. A target that
+// this process has never seen may be about to start; its entry is kept until then.
+func (t *target) staysDown(now time.Time) bool {
+	wasLongUp := !t.upSince.IsZero() && t.downSince.Sub(t.upSince) > presenceHoldTime
+	return !t.deregisteredAt.IsZero() || wasLongUp || now.Sub(t.downSince) > presenceHoldTime
 }
--- a/agent/packetfront/probe.go
+++ b/agent/packetfront/probe.go
@@ -6,76 +6,76 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// WantsProbe tells whether the target should be probed by a connection: it is not
-// known to be up, its heartbeats fail to come, it owes answers, or it has said
-// farewell and its end was not seen yet.
+// WantsProbe reports whether the target should be probed by a connection: it is not known
+// to be up, its heartbeat or an answer is overdue, or it has deregistered and its end was
+// not seen yet.
 func (c *Core) WantsProbe(now time.Time) bool {
-	h := &c.target
-	if !h.deregisteredAt.IsZero() {
-		return !h.flowsEnded
+	t := &c.target
+	if !t.deregisteredAt.IsZero() {
+		return !t.flowsEnded
 	}
-	if !h.up {
+	if !t.up {
 		return true
 	}
-	if now.Sub(h.probedAt) < answerTimeout {
+	if now.Sub(t.probedAt) < answerTimeout {
 		return false
 	}
-	silent := !h.awaitingSince.IsZero() && now.Sub(h.awaitingSince) > answerTimeout
-	missed := time.Duration(probeAfterMissedHeartbeats * float64(c.opts.HeartbeatPeriod))
-	return silent || (h.incarnation.TargetID != "" && now.Sub(h.heartbeatAt) > missed && now.Sub(h.probedAt) > c.opts.HeartbeatPeriod)
+	unanswered := !t.awaitingSince.IsZero() && now.Sub(t.awaitingSince) > answerTimeout
+	maxHeartbeatGap := time.Duration(probeAfterMissedHeartbeats * float64(c.opts.HeartbeatPeriod))
+	return unanswered || (t.incarnation.TargetID != "" && now.Sub(t.heartbeatAt) > maxHeartbeatGap && now.Sub(t.probedAt) > c.opts.HeartbeatPeriod)
 }
 
-// Probe is the outcome of a connection to the target.
+// Probe is the outcome of an attempt to connect to the target.
 type Probe uint8
 
 // The outcomes.
 const (
-	// ProbeAccepted: something listens.
+	// ProbeAccepted: a process listens.
 	ProbeAccepted Probe = iota
-	// ProbeRefused: nothing listens; a target that lives always does.
+	// ProbeRefused: no process listens, so that the target is down; a running one always listens.
 	ProbeRefused
-	// ProbeSilent: no answer, which proves nothing.
+	// ProbeSilent: no answer, which does not show whether the target is up.
 	ProbeSilent
 )
 
-// Probed takes the outcome of a probe.
+// Probed handles the outcome of a probe.
 func (c *Core) Probed(now time.Time, p Probe) {
-	h := &c.target
-	h.probedAt, h.lastProbeFailed = now, p != ProbeAccepted
+	t := &c.target
+	t.probedAt, t.lastProbeFailed = now, p != ProbeAccepted
 	if p == ProbeAccepted {
-		h.acceptedAt = now
+		t.acceptedAt = now
 	}
 	defer c.setTargetKnown(now)
 	switch {
-	case p == ProbeAccepted && !h.up:
+	case p == ProbeAccepted && !t.up:
 		c.targetUp(now)
-		h.heartbeat = fleet.Heartbeat{Slots: h.heartbeat.Slots}
-		h.sawStart = h.probeRefused
-		c.events.TargetReport("target listens", h.heartbeat)
+		t.heartbeat = fleet.Heartbeat{Slots: t.heartbeat.Slots}
+		t.sawStart = t.probeRefused
+		c.events.TargetReport("target listens", t.heartbeat)
 		c.announceChange(now)
 	case p == ProbeAccepted:
-		h.awaitingSince = time.Time{}
+		t.awaitingSince = time.Time{}
 	case p == ProbeRefused:
 		c.targetRefused(now)
 	}
 }
 
-// targetRefused notes that no target listens.
+// targetRefused records that no target listens, and resets the flows of one that was up.
 func (c *Core) targetRefused(now time.Time) {
-	h := &c.target
-	h.probeRefused = true
-	if h.downSince.IsZero() {
-		h.downSince = now
+	t := &c.target
+	t.probeRefused = true
+	if t.downSince.IsZero() {
+		t.downSince = now
 	}
-	if !h.up {
+	if !t.up {
 		return
 	}
-	if h.deregisteredAt.IsZero() {
+	if t.deregisteredAt.IsZero() {
 		c.health.recordCrash(now)
 	}
-	h.up, h.awaitingSince = false, time.Time{}
-	h.sawEnd = true
-	c.events.TargetReport("target does not listen", h.heartbeat)
+	t.up, t.awaitingSince = false, time.Time{}
+	t.sawEnd = true
+	c.events.TargetReport("target does not listen", t.heartbeat)
 	c.endFlows(now, "its target has ended")
 	c.announceChange(now)
 }
--- a/agent/packetfront/relay.go
+++ b/agent/packetfront/relay.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// relayFreshness is how lately a balancer was heard that is asked to relay messages: two
-	// of the periods in which agents hear of those of other zones, and a round.
+	// relayFreshness is the maximum time since the last message of a balancer that is asked to
+	// relay: two of the periods in which beacons of other zones reach agents, and one round.
 	relayFreshness = 2*zonecast.AgentFlushPeriod + zonecast.RelayPeriod
-	// probeBalancersAfter is how long a balancer of another zone may stay unheard before it
-	// is asked; it is forgotten after fleet.Forget, and changes would not reach it then.
+	// probeBalancersAfter is the time without a message after which a balancer of another zone
+	// is probed. After fleet.ExpireAfter it is forgotten and gets no changes any more.
 	probeBalancersAfter = fleet.ExpireAfter / 2
-	// maxIntroduced bounds the balancers whose greeting is remembered.
+	// maxIntroduced bounds the balancers whose last introduction is recorded.
 	maxIntroduced = 4096
 )
 
-// crossZone is what an agent knows of the way of messages between zones.
+// crossZone holds the state of announcements to other zones.
 type crossZone struct {
-	// planner plans how other zones are told.
+	// planner chooses between direct and relayed announcements to each zone.
 	planner zonecast.Planner
-	// introduced are balancers that others named.
+	// introduced limits the rate of announcements to balancers that other nodes named.
 	introduced zonecast.IntroductionLimiter
 }
 
@@ -36,7 +36,8 @@
 	}
 }
 
-// announceCrossZone repeats the announcement to other zones.
+// announceCrossZone repeats the announcement to the balancers of other zones, directly or
+// through relays.
 func (c *Core) announceCrossZone(now time.Time) {
 	c.relays.planner.StartRound()
 	plan := c.relays.planner.Plan(now, c.view)
@@ -48,19 +49,20 @@
 	}
 }
 
-// announceViaRelays asks balancers to relay the announcement. All get the same, so that
-// one can tell that another has done it.
+// announceViaRelays asks balancers to relay the announcement. All get the same message, so
+// that a relay can detect that another one has relayed it already.
 func (c *Core) announceViaRelays(now time.Time, relays []flow.IPv4) {
 	a := c.announcementTo(now, relays[0])
 	for _, ip := range relays {
-		a.WantReply = c.acks.wants(ip)
+		a.WantReply = c.acks.needsAck(ip)
 		c.acks.sent(now, ip)
 		c.port.ToNode(ip, fleet.AppendRelay(c.buf[:0], a.Append(nil)), nil)
 	}
 }
 
-// handleBatch takes what a balancer of the zone relays of those of others. Messages of
-// processes that were not heard themselves only tell whom to greet.
+// handleBatch handles beacons of other zones that a balancer of the local zone relays. A
+// beacon of a process from which no message was received directly only leads to a probe
+// of that balancer.
 func (c *Core) handleBatch(now time.Time, datagram []byte) error {
 	messages, err := fleet.DecodeBatch(datagram)
 	if err != nil {
@@ -94,14 +96,15 @@
 	return nil
 }
 
-// probeNamed greets a balancer that others name, which then announces itself.
+// probeNamed probes a balancer that is known only from relayed messages; its answer makes
+// it known.
 func (c *Core) probeNamed(now time.Time, ip flow.IPv4) {
 	if c.relays.introduced.Allow(now, ip, zonecast.RelayedIntroductionPause) {
 		c.probeBalancer(now, ip)
 	}
 }
 
-// probeOverdue asks balancers of other zones whose messages are not relayed any more.
+// probeOverdue probes balancers of other zones whose relayed messages have stopped arriving.
 func (c *Core) probeOverdue(now time.Time) {
 	for _, ip := range c.view.PeersToProbe(now, c.opts.Zone, probeBalancersAfter, false) {
 		p, _ := c.view.Peer(ip)
@@ -110,7 +113,7 @@
 	}
 }
 
-// probeBalancer announces the target to a balancer that has to answer.
+// probeBalancer announces the target to a balancer and requests a reply.
 func (c *Core) probeBalancer(now time.Time, ip flow.IPv4) {
 	if !c.introduced {
 		return
@@ -120,7 +123,7 @@
 	c.port.ToNode(ip, a.Append(c.buf[:0]), nil)
 }
 
-// ReceiverZone tells whether a node is in another zone.
+// ReceiverZone reports whether a node is in the local zone, in another one, or unknown.
 func (c *Core) ReceiverZone(node flow.IPv4) telemetry.ReceiverZone {
 	zone, known := c.view.NodeZone(node)
 	return telemetry.ReceiverZoneOf(c.opts.Zone, zone, known)
--- a/agent/packetfront/relay_test.go
+++ b/agent/packetfront/relay_test.go
@@ -12,34 +12,35 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// farZone is another zone than the agent's, firstFar the first balancer there.
+// otherZone is a zone other than the agent's, otherZoneBalancer the address of the first
+// balancer there.
 const (
-	farZone  = flow.Tag(9)
-	firstFar = flow.IPv4(0x0a090001)
+	otherZone         = flow.Tag(9)
+	otherZoneBalancer = flow.IPv4(0x0a090001)
 )
 
-// meetsZone lets so many balancers of another zone say that they have the last
-// announcement.
-func (f *fixture) meetsZone(count int) {
+// addOtherZoneBalancers makes a number of balancers of another zone known, all of which have
+// acknowledged the last announcement.
+func (f *fixture) addOtherZoneBalancers(count int) {
 	for i := range count {
-		f.beacon(firstFar+flow.IPv4(i), farZone, 0)
-		f.beacon(firstFar+flow.IPv4(i), farZone, f.Core.seq)
+		f.beacon(otherZoneBalancer+flow.IPv4(i), otherZone, 0)
+		f.beacon(otherZoneBalancer+flow.IPv4(i), otherZone, f.Core.seq)
 	}
 	f.port.Nodes = nil
 }
 
-// relays lets a balancer relay a beacon of the first one of the other zone.
-func (f *fixture) relays(epoch uint64, seq uint32) {
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: epoch, Seq: seq}, Zone: farZone}
-	fleet.AppendBatches(nil, []fleet.RelayedMessage{{From: firstFar, Message: m.Append(nil)}}, func(b []byte) { f.HandleNode(f.now, balancerIP, b) })
+// relayBeacon delivers a beacon of the first balancer of the other zone through a relay.
+func (f *fixture) relayBeacon(incarnation uint64, seq uint32) {
+	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: incarnation, Seq: seq}, Zone: otherZone}
+	fleet.AppendBatches(nil, []fleet.RelayedMessage{{From: otherZoneBalancer, Message: m.Append(nil)}}, func(b []byte) { f.HandleNode(f.now, balancerIP, b) })
 }
 
-// TestALargeZoneIsToldThroughRelays, a small one directly; both copies of a round are the
-// same announcement.
-func TestALargeZoneIsToldThroughRelays(t *testing.T) {
+// TestAnnouncementsToALargeZoneAreRelayed: those to a small one are sent directly. The relays
+// of a round get identical announcements, so that duplicates can be detected.
+func TestAnnouncementsToALargeZoneAreRelayed(t *testing.T) {
 	for count, relayed := range map[int]bool{zonecast.RelayThreshold - 1: false, zonecast.RelayThreshold: true, 40: true} {
 		f := newFixture()
-		f.meetsZone(count)
+		f.addOtherZoneBalancers(count)
 		f.announceCrossZone(f.now)
 		if !relayed {
 			require.Len(t, f.port.OfKind(envelope.Announce), count)
@@ -53,17 +54,18 @@
 	}
 }
 
-// TestAChangeOfStateNeedsNoRelay: every balancer of a large zone is told itself.
-func TestAChangeOfStateNeedsNoRelay(t *testing.T) {
+// TestAChangeOfStateIsSentDirectlyToALargeZone: every balancer of a large zone gets it from the
+// agent itself.
+func TestAChangeOfStateIsSentDirectlyToALargeZone(t *testing.T) {
 	f := newFixture()
-	f.meetsZone(20)
+	f.addOtherZoneBalancers(20)
 	f.beat(true)
 	require.Len(t, f.port.OfKind(envelope.Announce), 20)
 }
 
-// TestATargetsNameIsToldThroughRelays: it is as ready as it was, and after a return of
-// everybody all agents learn it at once.
-func TestATargetsNameIsToldThroughRelays(t *testing.T) {
+// TestFirstTargetIncarnationIsRelayedToALargeZone: the target is as ready as before, and after a
+// restart of all processes all agents learn their target's incarnation at the same time.
+func TestFirstTargetIncarnationIsRelayedToALargeZone(t *testing.T) {
 	for name, c := range map[string]struct {
 		count, direct int
 		draining      bool
@@ -76,7 +78,7 @@
 		f.Core = New(f.now, Options{Self: 9, Service: service, Incarnation: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platformCodec, quiet{})
 		f.Probed(f.now, ProbeAccepted)
 		f.registered()
-		f.meetsZone(c.count)
+		f.addOtherZoneBalancers(c.count)
 		f.beat(c.draining)
 		require.Len(t, f.port.OfKind(envelope.Announce), c.direct, name)
 		f.pass(0)
@@ -86,79 +88,80 @@
 	}
 }
 
-// TestBalancersThatAreRelayed are refreshed where they were heard themselves; a strange
-// one is told of the target and has to answer.
-func TestBalancersThatAreRelayed(t *testing.T) {
+// TestRelayedBeaconsRefreshOnlyProcessesSeenDirectly: an unknown balancer process is sent an
+// announcement that requests a reply.
+func TestRelayedBeaconsRefreshOnlyProcessesSeenDirectly(t *testing.T) {
 	for name, c := range map[string]struct {
-		epoch  uint64
-		met    bool
-		greets bool
-		heard  bool
+		incarnation uint64
+		known       bool
+		probed      bool
+		refreshed   bool
 	}{
-		"heard before":    {4, true, false, true},
+		"seen directly":   {4, true, false, true},
 		"another process": {5, true, true, false},
-		"never heard":     {4, false, true, false},
+		"never seen":      {4, false, true, false},
 	} {
 		f := newFixture()
-		if c.met {
-			f.meetsZone(1)
+		if c.known {
+			f.addOtherZoneBalancers(1)
 		}
 		f.port.Nodes = nil
 		f.now = f.now.Add(fleet.ExpireAfter - time.Second)
-		f.relays(c.epoch, 1000)
-		f.relays(c.epoch, 1001)
+		f.relayBeacon(c.incarnation, 1000)
+		f.relayBeacon(c.incarnation, 1001)
 		sent := f.port.OfKind(envelope.Announce)
-		require.Equal(t, c.greets, len(sent) == 1, name)
-		if c.greets {
+		require.Equal(t, c.probed, len(sent) == 1, name)
+		if c.probed {
 			a, err := fleet.DecodeAnnouncement(sent[0].Raw)
 			require.NoError(t, err)
 			require.True(t, a.WantReply, name)
 		}
 		f.pass(2 * time.Second)
-		require.Equal(t, c.heard, f.view.HasBalancer(firstFar), name)
+		require.Equal(t, c.refreshed, f.view.HasBalancer(otherZoneBalancer), name)
 	}
 }
 
-// TestASilentBalancerOfAnotherZoneIsAsked before it is forgotten.
-func TestASilentBalancerOfAnotherZoneIsAsked(t *testing.T) {
+// TestOverdueBalancerOfAnotherZoneIsProbed: it is probed several times before it is forgotten.
+func TestOverdueBalancerOfAnotherZoneIsProbed(t *testing.T) {
 	f := newFixture()
-	f.meetsZone(1)
-	f.relays(4, 1000)
-	asked := 0
+	f.addOtherZoneBalancers(1)
+	f.relayBeacon(4, 1000)
+	probes := 0
 	for range int(fleet.ExpireAfter/time.Second) - 1 {
 		f.pass(time.Second)
 		for _, s := range f.port.OfKind(envelope.Announce) {
-			if a, err := fleet.DecodeAnnouncement(s.Raw); err == nil && s.To == firstFar && a.WantReply {
-				asked++
+			if a, err := fleet.DecodeAnnouncement(s.Raw); err == nil && s.To == otherZoneBalancer && a.WantReply {
+				probes++
 			}
 		}
 		f.port.Nodes = nil
 	}
-	require.Equal(t, 4, asked)
+	require.Equal(t, 4, probes)
 }
 
-// TestWhatIsNoBatchOfBeaconsIsRefused.
-func TestWhatIsNoBatchOfBeaconsIsRefused(t *testing.T) {
+// TestBatchWithoutBeaconsIsRejected: other or malformed messages in a batch cause no message.
+func TestBatchWithoutBeaconsIsRejected(t *testing.T) {
 	f := newFixture()
 	f.port.Nodes = nil
 	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 3, Seq: 1}}
 	for _, message := range [][]byte{nil, a.Append(nil), envelope.AppendPrefix(nil, envelope.Beacon)} {
-		fleet.AppendBatches(nil, []fleet.RelayedMessage{{From: firstFar, Message: message}}, func(b []byte) { f.HandleNode(f.now, balancerIP, b) })
+		fleet.AppendBatches(nil, []fleet.RelayedMessage{{From: otherZoneBalancer, Message: message}}, func(b []byte) { f.HandleNode(f.now, balancerIP, b) })
 	}
 	require.Empty(t, f.port.Nodes)
 }
 
-// TestABalancerThatHasTheAnnouncementIsNotToldAgain when it is heard for the first time.
-func TestABalancerThatHasTheAnnouncementIsNotToldAgain(t *testing.T) {
+// TestNewBalancerThatHasTheAnnouncementIsNotSentItAgain: the first beacon of a balancer may
+// already acknowledge the last change of state.
+func TestNewBalancerThatHasTheAnnouncementIsNotSentItAgain(t *testing.T) {
 	for name, c := range map[string]struct {
-		heard uint32
-		told  int
+		acknowledged uint32
+		sent         int
 	}{"has it": {1, 0}, "has not": {0, 1}} {
 		f := newFixture()
 		f.Contact(f.now, []flow.IPv4{balancerIP})
 		last := f.Core.seq
 		f.port.Nodes = nil
-		f.beacon(balancerIP, 0, last*c.heard)
-		require.Len(t, f.port.OfKind(envelope.Announce), c.told, name)
+		f.beacon(balancerIP, 0, last*c.acknowledged)
+		require.Len(t, f.port.OfKind(envelope.Announce), c.sent, name)
 	}
 }
--- a/agent/packetfront/settings_test.go
+++ b/agent/packetfront/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/poppywall/poppywall/settings/settingstest"
 )
 
-// TestTheDeploymentsTemplateIsValid: what the platform renders is taken.
+// TestTheDeploymentsTemplateIsValid: the settings file that the platform renders is accepted.
 func TestTheDeploymentsTemplateIsValid(t *testing.T) {
 	cfg, err := settings.Parse(settingstest.Render(t, "../../deploy/agent.json.tmpl"), Defaults())
 	require.NoError(t, err)
@@ -17,14 +17,14 @@
 	require.Equal(t, []string{"10.0.0.1:8166", "10.0.0.2:8166"}, cfg.Seeds)
 }
 
-// TestADeploymentMayLeaveValuesOut: the defaults stand then.
+// TestADeploymentMayLeaveValuesOut: the defaults apply.
 func TestADeploymentMayLeaveValuesOut(t *testing.T) {
 	cfg, err := settings.Parse(settingstest.RenderBare(t, "../../deploy/agent.json.tmpl"), Defaults())
 	require.NoError(t, err)
 	require.Equal(t, Defaults().HeartbeatEvery, cfg.HeartbeatEvery)
 }
 
-// TestBadSettingsNameTheField: one clear error each.
+// TestBadSettingsNameTheField: the error for an invalid file names the field at fault.
 func TestBadSettingsNameTheField(t *testing.T) {
 	for field, text := range map[string]string{
 		"zone":     `{"name":"a"}`,
--- a/agent/packetfront/target.go
+++ b/agent/packetfront/target.go
@@ -7,84 +7,85 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// target is what an agent knows of the target beside it.
+// target is an agent's view of its target.
 type target struct {
-	// incarnation is the target's, without an ID until it reports; sequence is that of its last
-	// heartbeat.
+	// incarnation is the target's current incarnation, without an ID until it reports; sequence
+	// is the sequence of its last heartbeat.
 	incarnation fleet.Incarnation
 	sequence    uint64
-	// history are the lives before it.
+	// history holds the incarnations before it.
 	history incarnationHistory
-	// heartbeat is the last heartbeat, beatAt when it came.
+	// heartbeat is the last heartbeat, heartbeatAt when it arrived.
 	heartbeat   fleet.Heartbeat
 	heartbeatAt time.Time
-	// up is set by a heartbeat, a packet or a connection that was accepted, and
-	// cleared by one that was refused.
+	// up is set by a heartbeat, a packet or an accepted connection, and cleared by a refused
+	// connection.
 	up bool
-	// deregisteredAt is when the target said its last word.
+	// deregisteredAt is when the target deregistered.
 	deregisteredAt time.Time
-	// flowsEnded is set once the flows of a target that has ended were ended too.
+	// flowsEnded is set once the flows of a target that has ended have been reset.
 	flowsEnded bool
-	// probeRefused is set when a probe was refused before the target came up, sawStart
-	// when the agent was there before the present target took its first flow.
+	// probeRefused is set when a probe was refused before the target came up. sawStart is set
+	// when the agent was running before the current target took its first flow.
 	probeRefused, sawStart bool
-	// sawEnd is set when a probe was refused since the target reported last.
+	// sawEnd is set when a probe was refused since the target's last heartbeat.
 	sawEnd bool
-	// upSince is when the target was found to be there, downSince when a probe was
-	// refused first since it was there last; zero when that does not apply.
+	// upSince is when the target was found to be up, downSince when the first probe since then
+	// was refused; zero if that has not happened.
 	upSince, downSince time.Time
-	// awaitingSince is when the oldest packet was delivered since the target was heard.
+	// awaitingSince is when the first packet was delivered since the last packet or heartbeat
+	// from the target.
 	awaitingSince time.Time
-	// probedAt is when the target was probed last, acceptedAt when it accepted a
+	// probedAt is when the target was probed last, acceptedAt when it last accepted a
 	// connection.
 	probedAt, acceptedAt time.Time
-	// lastProbeFailed tells that the last probe was not accepted.
+	// lastProbeFailed is set if the last probe was not accepted.
 	lastProbeFailed bool
 }
 
-// state returns what the target can do.
-func (h *target) state() fleet.State {
+// state returns the target's state for announcements.
+func (t *target) state() fleet.State {
 	switch {
-	case !h.deregisteredAt.IsZero():
+	case !t.deregisteredAt.IsZero():
 		return fleet.Gone
-	case !h.up:
+	case !t.up:
 		return fleet.Absent
-	case h.heartbeat.Draining:
+	case t.heartbeat.Draining:
 		return fleet.Draining
 	default:
 		return fleet.Ready
 	}
 }
 
-// absent tells that no target runs here for certain: it has ended, or a
-// connection was refused.
-func (h *target) absent() bool { return h.flowsEnded || (h.probeRefused && !h.up) }
+// absent reports whether it is certain that no target runs here: the target has ended, or a
+// connection was refused and none has come up since.
+func (t *target) absent() bool { return t.flowsEnded || (t.probeRefused && !t.up) }
 
-// acceptsFlows tells whether the target may get new flows.
-func (h *target) acceptsFlows() bool { return h.state() == fleet.Ready }
+// acceptsFlows reports whether the target may get new flows.
+func (t *target) acceptsFlows() bool { return t.state() == fleet.Ready }
 
-func (h *target) slots() int {
-	if h.heartbeat.Slots <= 0 {
+func (t *target) slots() int {
+	if t.heartbeat.Slots <= 0 {
 		return defaultSlots
 	}
-	return h.heartbeat.Slots
+	return t.heartbeat.Slots
 }
 
-// warmup is how long the target stays slow from now on.
-func (h *target) warmup(now time.Time) time.Duration {
-	return max(h.heartbeat.WarmupLeft-now.Sub(h.heartbeatAt), 0)
+// warmup returns the remaining time for which the target is slow after its start.
+func (t *target) warmup(now time.Time) time.Duration {
+	return max(t.heartbeat.WarmupLeft-now.Sub(t.heartbeatAt), 0)
 }
 
-// expectAnswer notes a packet that the target will answer.
-func (h *target) expectAnswer(now time.Time) {
-	if h.awaitingSince.IsZero() {
-		h.awaitingSince = now
+// expectAnswer records the delivery of a packet that the target is to answer.
+func (t *target) expectAnswer(now time.Time) {
+	if t.awaitingSince.IsZero() {
+		t.awaitingSince = now
 	}
 }
 
-// targetSent notes a packet of the target. It is no proof of life where a connection was
-// refused: a target that has exited is targetSent for seconds yet, by packets that it sends
-// again and those that it does not take. The next connection tells.
+// targetSent records a packet from the target. After a refused connection a packet does not
+// show that the target is up: for seconds after a target has exited, retransmissions and
+// bounced packets still arrive from it. The next probe decides.
 func (c *Core) targetSent(now time.Time) {
 	c.target.awaitingSince = time.Time{}
 	if c.target.deregisteredAt.IsZero() && c.target.downSince.IsZero() {
@@ -92,7 +93,7 @@
 	}
 }
 
-// targetReported notes a report of the target: it is there.
+// targetReported records a heartbeat of the target, which shows that it is up.
 func (c *Core) targetReported(now time.Time) {
 	c.target.awaitingSince = time.Time{}
 	if c.target.deregisteredAt.IsZero() {
@@ -100,37 +101,37 @@
 	}
 }
 
-// targetUp notes that the target is there.
+// targetUp records that the target is up.
 func (c *Core) targetUp(now time.Time) {
-	h := &c.target
-	if !h.up {
-		h.upSince = now
-		if proof := c.health.recordRestart(now); proof > 0 {
-			c.events.OnProbation(c.health.crashes, proof)
+	t := &c.target
+	if !t.up {
+		t.upSince = now
+		if probation := c.health.recordRestart(now); probation > 0 {
+			c.events.OnProbation(c.health.crashes, probation)
 		}
 	}
-	h.up, h.flowsEnded, h.downSince = true, false, time.Time{}
+	t.up, t.flowsEnded, t.downSince = true, false, time.Time{}
 }
 
-// Heartbeat takes a report of the target and tells whether it is that of the present
-// one. When it returns, a draining target gets no further new flow.
+// Heartbeat handles a heartbeat and reports whether it is from the current target. Once it
+// has returned, a draining target gets no more new flows.
 func (c *Core) Heartbeat(now time.Time, b fleet.Heartbeat) bool {
-	h := &c.target
-	switch h.classify(now, b, c.opts.HeartbeatPeriod) {
+	t := &c.target
+	switch t.classify(now, b, c.opts.HeartbeatPeriod) {
 	case staleHeartbeat:
 		c.events.TargetReport("late heartbeat ignored", b)
 		return false
 	case newHeartbeat:
 		c.newTarget(b)
 	}
-	changed := h.heartbeat.Draining != b.Draining
-	h.sequence, h.heartbeat, h.heartbeatAt, h.sawEnd = b.Sequence, b, now, false
-	if !h.deregisteredAt.IsZero() && now.Sub(h.deregisteredAt) > deregistrationGrace {
-		// The farewell was that of a life before this one, under the same ID.
-		h.deregisteredAt = time.Time{}
+	changed := t.heartbeat.Draining != b.Draining
+	t.sequence, t.heartbeat, t.heartbeatAt, t.sawEnd = b.Sequence, b, now, false
+	if !t.deregisteredAt.IsZero() && now.Sub(t.deregisteredAt) > deregistrationGrace {
+		// The deregistration was from a former incarnation with the same ID.
+		t.deregisteredAt = time.Time{}
 		c.events.TargetReport("target has not left", b)
 	}
-	if !h.up || changed {
+	if !t.up || changed {
 		c.events.TargetReport("target state", b)
 	}
 	c.targetReported(now)
@@ -139,40 +140,41 @@
 	return true
 }
 
-// newTarget notes that another target runs here, or the same one in another life. Flows
-// of the one before are not ended here, for some of those known may be of the new one
-// already: the target bounces what it does not hold. The agent saw the new one start
-// only if it saw the one before end.
+// newTarget records a new target or a new incarnation of the same one. The flows of the
+// former one are not reset here, because some of the known flows may already belong to the
+// new one: the target bounces packets of flows that it does not hold. The agent saw the
+// new one start only if it saw the former one end.
 func (c *Core) newTarget(b fleet.Heartbeat) {
-	h := &c.target
-	sawStart := h.sawEnd || !h.deregisteredAt.IsZero() || (h.incarnation.TargetID == "" && h.probeRefused)
-	h.history.retire(h.incarnation)
-	h.history.claimant = fleet.Incarnation{}
-	*h = target{incarnation: b.Incarnation, history: h.history, up: h.up, upSince: h.upSince, probeRefused: sawStart, sawStart: sawStart, probedAt: h.probedAt, acceptedAt: h.acceptedAt, lastProbeFailed: h.lastProbeFailed}
+	t := &c.target
+	sawStart := t.sawEnd || !t.deregisteredAt.IsZero() || (t.incarnation.TargetID == "" && t.probeRefused)
+	t.history.addFormer(t.incarnation)
+	t.history.rejected = fleet.Incarnation{}
+	*t = target{incarnation: b.Incarnation, history: t.history, up: t.up, upSince: t.upSince, probeRefused: sawStart, sawStart: sawStart, probedAt: t.probedAt, acceptedAt: t.acceptedAt, lastProbeFailed: t.lastProbeFailed}
 	c.events.TargetReport("target found", b)
 }
 
-// Leave takes the last word of a target. One that does not say which life it ends is
-// taken for the present one's.
-func (c *Core) Leave(now time.Time, l fleet.Incarnation) {
-	h := &c.target
-	if l.TargetID != h.incarnation.TargetID || (l.StartedMillis != 0 && l.StartedMillis != h.incarnation.StartedMillis) || !h.deregisteredAt.IsZero() {
-		c.events.TargetReport("late farewell ignored", fleet.Heartbeat{Incarnation: l})
+// Leave handles the deregistration of a target. One without a start time is attributed to
+// the current incarnation of that ID.
+func (c *Core) Leave(now time.Time, left fleet.Incarnation) {
+	t := &c.target
+	if left.TargetID != t.incarnation.TargetID || (left.StartedMillis != 0 && left.StartedMillis != t.incarnation.StartedMillis) || !t.deregisteredAt.IsZero() {
+		c.events.TargetReport("late farewell ignored", fleet.Heartbeat{Incarnation: left})
 		return
 	}
-	h.deregisteredAt = now
-	c.events.TargetReport("target left", h.heartbeat)
+	t.deregisteredAt = now
+	c.events.TargetReport("target left", t.heartbeat)
 	c.announceChange(now)
 }
 
-// mayListen tells whether the target accepted a connection a moment ago, or no probe has
-// told otherwise: one that has said farewell is probed several times within that time,
-// but an agent that stood still meanwhile knows nothing new.
-func (h *target) mayListen(now time.Time) bool {
-	return !h.lastProbeFailed || now.Sub(h.acceptedAt) <= deregistrationGrace/2
+// mayListen reports whether the target accepted a connection recently, or the last probe
+// did not fail. A target that has deregistered is probed several times in that period,
+// unless the agent itself was suspended, which leaves it without a recent result.
+func (t *target) mayListen(now time.Time) bool {
+	return !t.lastProbeFailed || now.Sub(t.acceptedAt) <= deregistrationGrace/2
 }
 
-// endFlows ends all flows of a target that has ended: each client is told at once.
+// endFlows marks all flows of a target that has ended and resets the open ones at their
+// clients.
 func (c *Core) endFlows(now time.Time, reason string) {
 	if c.target.flowsEnded {
 		return
