--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -63,6 +63,7 @@
 	Bounced(key flow.Key, opening bool)
 	// Reset is a flow reset at its client.
 	Reset(key flow.Key, reason string)
+	// Dropped is a packet that was dropped.
 	Dropped(reason DropReason)
 	// TargetReport is a change of, or a report from, the target; what describes it.
 	TargetReport(what string, b fleet.Heartbeat)
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -205,14 +205,14 @@
 }
 
 // Heartbeat implements platform.Targets.
-func (f *Front) Heartbeat(b fleet.Heartbeat) (present bool) {
-	f.locked(func(now time.Time) { present = f.core.Heartbeat(now, b) })
-	return present
+func (f *Front) Heartbeat(b fleet.Heartbeat) (current bool) {
+	f.locked(func(now time.Time) { current = f.core.Heartbeat(now, b) })
+	return current
 }
 
 // Leave implements platform.Targets.
-func (f *Front) Leave(l fleet.Incarnation) {
-	f.locked(func(now time.Time) { f.core.Leave(now, l) })
+func (f *Front) Leave(left fleet.Incarnation) {
+	f.locked(func(now time.Time) { f.core.Leave(now, left) })
 }
 
 // Refused implements platform.Targets.
--- a/agent/packetfront/lifetime.go
+++ b/agent/packetfront/lifetime.go
@@ -44,22 +44,22 @@
 }
 
 // addFormer records an incarnation that was replaced.
-func (i *incarnationHistory) addFormer(former fleet.Incarnation) {
+func (h *incarnationHistory) addFormer(former fleet.Incarnation) {
 	if former.TargetID == "" {
 		return
 	}
-	i.former = slices.DeleteFunc(i.former, func(f fleet.Incarnation) bool { return f == former })
-	if len(i.former) == maxFormerIncarnations {
-		i.former = slices.Delete(i.former, 0, 1)
+	h.former = slices.DeleteFunc(h.former, func(f fleet.Incarnation) bool { return f == former })
+	if len(h.former) == maxFormerIncarnations {
+		h.former = slices.Delete(h.former, 0, 1)
 	}
-	i.former = append(i.former, former)
+	h.former = append(h.former, former)
 }
 
 // rejectedAgain records a rejected heartbeat and reports whether the one rejected before it
 // was an earlier one of the same incarnation.
-func (i *incarnationHistory) rejectedAgain(b fleet.Heartbeat) bool {
-	again := i.rejected == b.Incarnation && b.Sequence > i.rejectedSequence
-	i.rejected, i.rejectedSequence = b.Incarnation, b.Sequence
+func (h *incarnationHistory) rejectedAgain(b fleet.Heartbeat) bool {
+	again := h.rejected == b.Incarnation && b.Sequence > h.rejectedSequence
+	h.rejected, h.rejectedSequence = b.Incarnation, b.Sequence
 	return again
 }
 
--- a/agent/packetfront/presence.go
+++ b/agent/packetfront/presence.go
@@ -44,7 +44,8 @@
 
 // staysDown reports whether a target that has ended is not expected back at once: it has
 // deregistered, or was up or has been down for longer than presenceHoldTime. A target that
-// this process has never seen may be about to start; its entry is kept until then.
+// this process has never seen may be about to start; its entry stays unchanged for
+// presenceHoldTime.
 func (t *target) staysDown(now time.Time) bool {
 	wasLongUp := !t.upSince.IsZero() && t.downSince.Sub(t.upSince) > presenceHoldTime
 	return !t.deregisteredAt.IsZero() || wasLongUp || now.Sub(t.downSince) > presenceHoldTime
