--- a/agent/packetfront/acks_test.go
+++ b/agent/packetfront/acks_test.go
@@ -28,26 +28,26 @@
 func TestAChangeOfStateIsRepeatedUntilItIsAcknowledged(t *testing.T) {
 	f := newFixture()
 	for _, ip := range []flow.IPv4{balancerIP, nextIP} {
-		f.beacon(ip, 0, 0)
-		f.beacon(ip, 0, f.Core.seq)
+		f.receiveBeacon(ip, 0, 0)
+		f.receiveBeacon(ip, 0, f.Core.seq)
 	}
-	f.pass(ackTimeout)
+	f.advance(ackTimeout)
 	f.port.Nodes = nil
-	f.pass(ackTimeout)
+	f.advance(ackTimeout)
 	require.Empty(t, f.port.Nodes, "every balancer has acknowledged the last change")
 
-	f.beat(true)
-	f.beacon(balancerIP, 0, f.Core.seq)
+	f.receiveHeartbeat(true)
+	f.receiveBeacon(balancerIP, 0, f.Core.seq)
 	for range 3 {
-		f.pass(ackTimeout)
+		f.advance(ackTimeout)
 	}
 	count, _ := f.announcementsTo(t, balancerIP)
 	require.Equal(t, 1, count)
 	count, last := f.announcementsTo(t, nextIP)
 	require.Equal(t, 4, count, "no announcement was acknowledged")
 	require.Equal(t, fleet.Draining, last)
-	f.beacon(nextIP, 0, f.Core.seq-1)
-	f.pass(ackTimeout)
+	f.receiveBeacon(nextIP, 0, f.Core.seq-1)
+	f.advance(ackTimeout)
 	count, _ = f.announcementsTo(t, nextIP)
 	require.Equal(t, 4, count, "any announcement of that state acknowledges the change")
 }
@@ -56,11 +56,11 @@
 // process do not acknowledge announcements of the current one.
 func TestAcknowledgementOfAFormerIncarnationIsIgnored(t *testing.T) {
 	f := newFixture()
-	f.beacon(balancerIP, 0, 0)
+	f.receiveBeacon(balancerIP, 0, 0)
 	f.port.Nodes = nil
 	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 99}, LastReceived: fleet.MessageID{Incarnation: 77, Seq: 1000}}
 	f.HandleNode(f.now, balancerIP, m.Append(nil))
-	f.pass(ackTimeout)
+	f.advance(ackTimeout)
 	count, _ := f.announcementsTo(t, balancerIP)
 	require.Equal(t, 1, count)
 }
@@ -68,10 +68,10 @@
 // TestAnnouncementRetriesAreBounded: a balancer that does not answer gets no endless retries.
 func TestAnnouncementRetriesAreBounded(t *testing.T) {
 	f := newFixture()
-	f.beacon(balancerIP, 0, 0)
+	f.receiveBeacon(balancerIP, 0, 0)
 	f.port.Nodes = nil
 	for range 10 {
-		f.pass(ackTimeout)
+		f.advance(ackTimeout)
 	}
 	count, _ := f.announcementsTo(t, balancerIP)
 	require.Equal(t, maxAckRetries, count)
--- a/agent/packetfront/admission.go
+++ b/agent/packetfront/admission.go
@@ -257,12 +257,12 @@
 // client ended the flow before the answer, which by HTTP/1.1 convention cancels the request.
 // A queued request is dropped. A delivered one stops counting as load, because its answer may
 // never come.
-func (c *Core) abandon(now time.Time, key flow.Key, r *record, reason Abandoned) {
+func (c *Core) abandon(now time.Time, key flow.Key, r *record, reason AbandonReason) {
 	switch {
 	case r.queued != nil:
-		c.events.Expired(key, now.Sub(r.queued.queuedAt))
+		c.events.AbandonedInQueue(key, now.Sub(r.queued.queuedAt))
 	case !r.runningAt.IsZero():
-		c.events.Unwanted(key, now.Sub(r.runningAt))
+		c.events.AbandonedAtTarget(key, now.Sub(r.runningAt))
 	}
 	r.abandonedFor = reason
 	c.flows.clearPending(r)
--- a/agent/packetfront/admission_test.go
+++ b/agent/packetfront/admission_test.go
@@ -77,7 +77,7 @@
 	require.Equal(t, []int{0, 1, 2, 3, 4, 5}, f.deliveredRequests())
 	f.openFlow(100, routeEnvelope(2), 0)
 	f.openFlow(101, routeEnvelope(1), 0)
-	f.pass(10 * time.Millisecond)
+	f.advance(10 * time.Millisecond)
 	f.openFlow(102, routeEnvelope(2), 0)
 	for _, client := range []int{100, 101, 102, 100} {
 		require.True(t, f.synDelivered(client))
@@ -113,7 +113,7 @@
 func TestQueuedRequestIsDroppedWhenItsClientLeaves(t *testing.T) {
 	for name, leave := range map[string]func(f *fixture){
 		"it sends a FIN":      func(f *fixture) { f.deliver(envelope.Envelope{}, packet(keyOf(100), flow.ACK|flow.FIN, 500, "")) },
-		"its deadline passes": func(f *fixture) { f.pass(2600 * time.Millisecond) },
+		"its deadline passes": func(f *fixture) { f.advance(2600 * time.Millisecond) },
 	} {
 		f := newFixture()
 		f.fillTarget()
@@ -261,7 +261,7 @@
 		f.sendRequest(client)
 	}
 	for range 2 {
-		f.pass(2550 * time.Millisecond)
+		f.advance(2550 * time.Millisecond)
 		for waiting := 100; waiting < client; waiting++ {
 			f.sendRequest(waiting)
 		}
@@ -296,7 +296,7 @@
 	f.fillTarget()
 	f.openFlow(100, routeEnvelope(2), 0)
 	f.sendRequest(100)
-	f.pass(2 * pendingOpenTTL)
+	f.advance(2 * pendingOpenTTL)
 	require.Equal(t, 7, f.Busy())
 	require.Len(t, f.deliveredRequests(), 6)
 }
@@ -310,7 +310,7 @@
 	require.Zero(t, f.Busy())
 	require.Zero(t, f.queue.Len())
 	f.Probed(f.now, ProbeAccepted)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Len(t, f.deliveredRequests(), 6)
 }
 
@@ -322,11 +322,11 @@
 	f.sendAnswer(0)
 	f.openFlow(100, routeEnvelope(2), 0)
 	f.sendRequest(100)
-	f.pass(3 * time.Second)
+	f.advance(3 * time.Second)
 	f.sendRequest(0)
 	require.Len(t, f.deliveredRequests(), 7)
 	require.Equal(t, 1, f.queue.Len())
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	f.sendAnswer(1)
 	require.Equal(t, 0, f.deliveredRequests()[7], "its client has waited for two seconds, not five")
 }
@@ -371,7 +371,7 @@
 			f.targetSends(i, flow.ACK, 501, 0)
 			f.flows.get(keyOf(i)).pendingAt = f.now
 		}
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
 	require.Equal(t, 1, f.queue.Len())
 	require.Equal(t, 7, f.Busy())
@@ -388,13 +388,13 @@
 	f.sendRequest(100)
 	f.targetSends(100, flow.RST, 500, 0)
 	require.Zero(t, f.queue.Len())
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	f.fillTarget()
 	f.deliver(routeEnvelope(2), packet(keyOf(100), flow.SYN, 0, ""))
 	f.targetSends(100, flow.SYN|flow.ACK, 1_000_000, 0)
 	f.deliver(envelope.Envelope{}, packet(keyOf(100), flow.ACK, 1_000_000, "request"))
-	f.pass(time.Second)
-	require.Zero(t, f.tally.gaveUp, "its client still waits")
+	f.advance(time.Second)
+	require.Zero(t, f.counts.expired, "its client still waits")
 	require.Equal(t, 1, f.queue.Len())
 }
 
@@ -423,7 +423,7 @@
 	patient.Deadline = time.Minute
 	f.openFlow(100, patient, 0)
 	f.sendRequest(100)
-	f.pass(openingTTL + time.Second)
+	f.advance(openingTTL + time.Second)
 	require.Zero(t, f.queue.Len())
 	require.Equal(t, 1, countOf(f.deliveredRequests(), 100))
 }
--- a/agent/packetfront/cold_test.go
+++ b/agent/packetfront/cold_test.go
@@ -51,8 +51,8 @@
 // recent deliveries to its target.
 func newSettledFixture() *fixture {
 	f := newFixture()
-	f.pass(2 * time.Second)
-	f.beat(false)
+	f.advance(2 * time.Second)
+	f.receiveHeartbeat(false)
 	return f
 }
 
@@ -71,20 +71,24 @@
 		"warm again":             {func(f *fixture) { f.reportWarmup(time.Second); f.now = f.now.Add(time.Second) }, coldRate, 20},
 		"up again, not reported": {func(f *fixture) {
 			f.Probed(f.now, ProbeRefused)
-			f.pass(time.Second)
+			f.advance(time.Second)
 			f.Probed(f.now, ProbeAccepted)
 			f.endProbation()
 		}, coldRate, coldRate},
-		"its zone is readmitted":                         {func(f *fixture) { f.evacuateAndReturnZone() }, coldRate, coldRate},
-		"its zone is readmitted, it has reported since":  {func(f *fixture) { f.evacuateAndReturnZone(); f.now = f.now.Add(time.Second); f.beat(false) }, coldRate, 20},
-		"it bounced an open flow":                        {func(f *fixture) { f.bounceOpenFlow() }, coldRate, coldRate},
-		"its agent has just restarted":                   {func(f *fixture) { f.restartAgent(); f.reportWarmup(2 * time.Second) }, coldRate, 0},
-		"its agent restarted a second ago":               {func(f *fixture) { f.restartAgent(); f.pass(1100 * time.Millisecond); f.reportWarmup(2 * time.Second) }, coldRate, coldRate},
-		"its agent restarted a second ago, no heartbeat": {func(f *fixture) { f.restartAgent(); f.pass(1100 * time.Millisecond) }, coldRate, coldRate},
+		"its zone is readmitted":                        {func(f *fixture) { f.evacuateAndReturnZone() }, coldRate, coldRate},
+		"its zone is readmitted, it has reported since": {func(f *fixture) { f.evacuateAndReturnZone(); f.now = f.now.Add(time.Second); f.receiveHeartbeat(false) }, coldRate, 20},
+		"it bounced an open flow":                       {func(f *fixture) { f.bounceOpenFlow() }, coldRate, coldRate},
+		"its agent has just restarted":                  {func(f *fixture) { f.restartAgent(); f.reportWarmup(2 * time.Second) }, coldRate, 0},
+		"its agent restarted a second ago": {func(f *fixture) {
+			f.restartAgent()
+			f.advance(1100 * time.Millisecond)
+			f.reportWarmup(2 * time.Second)
+		}, coldRate, coldRate},
+		"its agent restarted a second ago, no heartbeat": {func(f *fixture) { f.restartAgent(); f.advance(1100 * time.Millisecond) }, coldRate, coldRate},
 		"warm until a moment ago":                        {func(f *fixture) { f.offerMany(20, coldRate); f.reportWarmup(2 * time.Second) }, coldRate, 0},
 	} {
 		f := newSettledFixture()
-		f.opts.Zone = flow.TagOf(ownZone)
+		f.opts.Zone = flow.TagOf(localZone)
 		c.prepare(f)
 		require.Equal(t, c.want, f.offerMany(20, c.rate), name)
 	}
@@ -95,9 +99,9 @@
 
 // evacuateAndReturnZone evacuates the target's zone and readmits it.
 func (f *fixture) evacuateAndReturnZone() {
-	f.hearsOf(balancerIP, 1, evacuations(9, ownZone))
+	f.receiveEvacuations(balancerIP, 1, evacuations(9, localZone))
 	f.now = f.now.Add(time.Millisecond)
-	f.hearsOf(balancerIP, 2, evacuations(10))
+	f.receiveEvacuations(balancerIP, 2, evacuations(10))
 }
 
 // bounceOpenFlow lets the target bounce a packet of an open flow, and then passes 1.1 s.
@@ -111,7 +115,7 @@
 
 // restartAgent replaces the agent by a new one whose first probe of the target is accepted.
 func (f *fixture) restartAgent() {
-	f.Core = New(f.now, f.opts, f.port, platformCodec, quiet{})
+	f.Core = New(f.now, f.opts, f.port, platformCodec, discardEvents{})
 	f.Probed(f.now, ProbeAccepted)
 }
 
@@ -119,10 +123,10 @@
 // how many more flows it may get.
 func TestColdHeadroomIsAnnounced(t *testing.T) {
 	f := newSettledFixture()
-	f.beacon(balancerIP, 0, 0)
+	f.receiveBeacon(balancerIP, 0, 0)
 	announced := func() fleet.Announcement {
 		f.port.Nodes = nil
-		f.pass(fleet.SameZonePeriod)
+		f.advance(fleet.SameZonePeriod)
 		a, err := fleet.DecodeAnnouncement(f.port.OfKind(envelope.Announce)[0].Raw)
 		require.NoError(t, err)
 		return a
@@ -144,7 +148,7 @@
 func TestColdRateHoldsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newSettledFixture()
-		f.opts.Zone = flow.TagOf(ownZone)
+		f.opts.Zone = flow.TagOf(localZone)
 		var arrivals []time.Time
 		coldUntil, listens := time.Time{}, true
 		revision, emptied := int64(0), false
@@ -154,7 +158,7 @@
 			f.endProbation()
 			switch rapid.IntRange(0, 11).Draw(t, "what") {
 			case 0:
-				f.Core = New(f.now, f.opts, f.port, platformCodec, quiet{})
+				f.Core = New(f.now, f.opts, f.port, platformCodec, discardEvents{})
 				if listens {
 					f.Probed(f.now, ProbeAccepted)
 				} else {
@@ -180,10 +184,10 @@
 				}
 				zones := []string{}
 				if emptied {
-					zones = append(zones, ownZone)
+					zones = append(zones, localZone)
 				}
 				f.seq++
-				f.hearsOf(balancerIP, uint32(f.seq), evacuations(revision, zones...))
+				f.receiveEvacuations(balancerIP, uint32(f.seq), evacuations(revision, zones...))
 			default:
 				count := rapid.IntRange(1, 12).Draw(t, "offers")
 				if !listens {
--- a/agent/packetfront/core.go
+++ b/agent/packetfront/core.go
@@ -34,9 +34,9 @@
 	HeartbeatPeriod time.Duration
 	// FlowTTL is the idle time after which a flow may expire.
 	FlowTTL time.Duration
-	// RelayFrom is the number of balancers in a zone from which on nodes of other zones
+	// RelayThreshold is the number of balancers in a zone from which on nodes of other zones
 	// reach it through relays; zero for zonecast.RelayThreshold.
-	RelayFrom int
+	RelayThreshold int
 }
 
 // Times and limits of the core.
@@ -91,10 +91,10 @@
 
 	// targetKnown is set once the target has sent something or a probe has finished.
 	targetKnown bool
-	// wantedPresence is the entry that the registry should have, registration the entry that
+	// wantedEntryState is the entry that the registry should have, registration the entry that
 	// it has as far as known.
-	wantedPresence fleet.EntryState
-	registration   fleet.Registration
+	wantedEntryState fleet.EntryState
+	registration     fleet.Registration
 	// introduced is set once the agent may send announcements.
 	introduced       bool
 	seq              uint32
@@ -105,7 +105,7 @@
 	// local and of other zones are due; crossZonePeriod is the period of the latter.
 	nextSameZone, nextCrossZone time.Time
 	crossZonePeriod             time.Duration
-	relays                      crossZone
+	crossZone                   crossZoneState
 	nextJoin                    time.Time
 	nextExpire                  time.Time
 
@@ -117,14 +117,14 @@
 
 // New returns a core without any knowledge of its target or of balancers.
 func New(now time.Time, opts Options, port Port, codec flow.Codec, events Events) *Core {
-	if opts.RelayFrom == 0 {
-		opts.RelayFrom = zonecast.RelayThreshold
+	if opts.RelayThreshold == 0 {
+		opts.RelayThreshold = zonecast.RelayThreshold
 	}
 	c := &Core{
 		opts: opts, port: port, codec: codec, events: events,
 		view: fleet.NewView(), deliveries: newDeliveryRing(), acks: newAcks(), health: newHealth(),
 		estimate: backlog.NewServiceEstimate(defaultServiceTime, defaultSlots),
-		buf:      make([]byte, 0, 2048), relays: newRelays(opts, events.ZoneRelayed),
+		buf:      make([]byte, 0, 2048), crossZone: newCrossZoneState(opts, events.ZoneRelayed),
 	}
 	c.flows = newFlows(func(r *queuedRequest) { c.queue.Remove(r.key) })
 	c.cold.window.AssumeFull(now)
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -32,42 +32,42 @@
 func (p *port) ToTarget(packet []byte)         { p.target = append(p.target, append([]byte(nil), packet...)) }
 func (p *port) ToClient(_ flow.IPv4, _ []byte) { p.client++ }
 
-// quiet discards all events.
-type quiet struct{}
-
-func (quiet) Delivered()                                         {}
-func (quiet) Request(flow.Key, []byte, int, int)                 {}
-func (quiet) Queued(flow.Key, []byte, int, time.Duration)        {}
-func (quiet) Postponed(flow.Key, time.Duration)                  {}
-func (quiet) Expired(flow.Key, time.Duration)                    {}
-func (quiet) Withheld(flow.Key, []byte, Abandoned)               {}
-func (quiet) Unwanted(flow.Key, time.Duration)                   {}
-func (quiet) PassedOn(flow.Key, string, int)                     {}
-func (quiet) Bounced(flow.Key, bool)                             {}
-func (quiet) Reset(flow.Key, string)                             {}
-func (quiet) Dropped(DropReason)                                 {}
-func (quiet) TargetReport(string, fleet.Heartbeat)               {}
-func (quiet) Failed()                                            {}
-func (quiet) Ejected(bool, int, int)                             {}
-func (quiet) OnProbation(int, time.Duration)                     {}
-func (quiet) Overloaded(bool, backlog.Load, int, time.Duration)  {}
-func (quiet) PeerChanged(flow.IPv4, string)                      {}
-func (quiet) ZoneRelayed(flow.Tag, int, bool)                    {}
-func (quiet) Probed(flow.IPv4, time.Duration)                    {}
-func (quiet) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
-
-// tally counts abandoned requests and overloads.
-type tally struct {
-	quiet
-
-	withheld, unwanted, gaveUp, overloads int
+// discardEvents discards all events.
+type discardEvents struct{}
+
+func (discardEvents) Delivered()                                         {}
+func (discardEvents) Request(flow.Key, []byte, int, int)                 {}
+func (discardEvents) Queued(flow.Key, []byte, int, time.Duration)        {}
+func (discardEvents) Postponed(flow.Key, time.Duration)                  {}
+func (discardEvents) AbandonedInQueue(flow.Key, time.Duration)           {}
+func (discardEvents) Withheld(flow.Key, []byte, AbandonReason)           {}
+func (discardEvents) AbandonedAtTarget(flow.Key, time.Duration)          {}
+func (discardEvents) PassedOn(flow.Key, string, int)                     {}
+func (discardEvents) Bounced(flow.Key, bool)                             {}
+func (discardEvents) Reset(flow.Key, string)                             {}
+func (discardEvents) Dropped(DropReason)                                 {}
+func (discardEvents) TargetReport(string, fleet.Heartbeat)               {}
+func (discardEvents) RequestFailed()                                     {}
+func (discardEvents) Ejected(bool, int, int)                             {}
+func (discardEvents) OnProbation(int, time.Duration)                     {}
+func (discardEvents) Overloaded(bool, backlog.Load, int, time.Duration)  {}
+func (discardEvents) PeerChanged(flow.IPv4, string)                      {}
+func (discardEvents) ZoneRelayed(flow.Tag, int, bool)                    {}
+func (discardEvents) BalancerProbed(flow.IPv4, time.Duration)            {}
+func (discardEvents) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
+
+// eventCounts counts abandoned requests and overloads.
+type eventCounts struct {
+	discardEvents
+
+	withheld, unwanted, expired, overloads int
 }
 
-func (t *tally) Withheld(flow.Key, []byte, Abandoned) { t.withheld++ }
-func (t *tally) Unwanted(flow.Key, time.Duration)     { t.unwanted++ }
-func (t *tally) Expired(flow.Key, time.Duration)      { t.gaveUp++ }
+func (t *eventCounts) Withheld(flow.Key, []byte, AbandonReason)  { t.withheld++ }
+func (t *eventCounts) AbandonedAtTarget(flow.Key, time.Duration) { t.unwanted++ }
+func (t *eventCounts) AbandonedInQueue(flow.Key, time.Duration)  { t.expired++ }
 
-func (t *tally) Overloaded(stands bool, _ backlog.Load, _ int, _ time.Duration) {
+func (t *eventCounts) Overloaded(stands bool, _ backlog.Load, _ int, _ time.Duration) {
 	if stands {
 		t.overloads++
 	}
@@ -76,47 +76,47 @@
 // fixture is the core of an agent that saw its target start. The target has four slots.
 type fixture struct {
 	*Core
-	port  *port
-	tally *tally
-	now   time.Time
-	seq   uint64
-	// client is the last client of the flows that offers opens.
+	port   *port
+	counts *eventCounts
+	now    time.Time
+	seq    uint64
+	// client is the last client of the flows that offerMany opens.
 	client int
-	// peak is the maximum number of requests that the target had at once during uploads.
+	// peak is the maximum number of requests that the target had at once during runUploads.
 	peak int
 }
 
 var platformCodec = platform.Codec{}
 
 func newFixture() *fixture {
-	f := &fixture{port: &port{}, tally: &tally{}, now: time.Unix(1_700_000_000, 0)}
-	f.Core = New(f.now, Options{Self: 9, Service: service, Incarnation: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platform.Codec{}, f.tally)
+	f := &fixture{port: &port{}, counts: &eventCounts{}, now: time.Unix(1_700_000_000, 0)}
+	f.Core = New(f.now, Options{Self: 9, Service: service, Incarnation: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platform.Codec{}, f.counts)
 	f.Probed(f.now, ProbeRefused)
 	f.Probed(f.now, ProbeAccepted)
 	f.registered()
-	f.beat(false)
+	f.receiveHeartbeat(false)
 	return f
 }
 
 // registered makes the store confirm the agent's entry.
 func (f *fixture) registered() {
-	f.Presence(f.now)
-	f.PresenceStored(f.now, fleet.EntryPresent)
+	f.WantedEntryState(f.now)
+	f.EntryStored(f.now, fleet.EntryPresent)
 }
 
-func (f *fixture) beat(draining bool) {
+func (f *fixture) receiveHeartbeat(draining bool) {
 	f.seq++
 	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Draining: draining, Sequence: f.seq})
 }
 
-func (f *fixture) pass(d time.Duration) {
+func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.Tick(f.now)
 }
 
-// beacon delivers a beacon in which a balancer acknowledges the agent's announcements up to
+// receiveBeacon delivers a receiveBeacon in which a balancer acknowledges the agent's announcements up to
 // a sequence number.
-func (f *fixture) beacon(ip flow.IPv4, zone flow.Tag, acknowledged uint32) {
+func (f *fixture) receiveBeacon(ip flow.IPv4, zone flow.Tag, acknowledged uint32) {
 	f.seq++
 	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: uint32(f.seq)}, Zone: zone, LastReceived: fleet.MessageID{Incarnation: f.opts.Incarnation, Seq: acknowledged}}
 	f.HandleNode(f.now, ip, m.Append(nil))
@@ -144,7 +144,7 @@
 // targetSends delivers a packet of the target to the agent.
 func (f *fixture) targetSends(client int, flags flow.Flags, seq uint32, length int) {
 	k := keyOf(client)
-	f.HandleTarget(f.now, &flow.Header{Src: k.FrontIP, SrcPort: k.FrontPort, Dst: k.ClientIP, DstPort: k.ClientPort, Flags: flags, Seq: seq, Len: length}, make([]byte, platform.HeadLen+length))
+	f.HandleTarget(f.now, &flow.Header{Src: k.FrontIP, SrcPort: k.FrontPort, Dst: k.ClientIP, DstPort: k.ClientPort, Flags: flags, Seq: seq, Len: length}, make([]byte, platform.HeaderLen+length))
 }
 
 // bounce makes the target bounce the last packet that it received.
@@ -179,11 +179,11 @@
 	}{
 		"ready":            {func(*fixture) {}, service, true},
 		"another service":  {func(*fixture) {}, service + 1, false},
-		"draining":         {func(f *fixture) { f.beat(true) }, service, false},
-		"left":             {func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }, service, false},
-		"another one left": {func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-0"}) }, service, true},
+		"draining":         {func(f *fixture) { f.receiveHeartbeat(true) }, service, false},
+		"left":             {func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) }, service, false},
+		"another one left": {func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-0"}) }, service, true},
 		"not listening":    {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, service, false},
-		"silent probe":     {func(f *fixture) { f.Probed(f.now, ProbeSilent) }, service, true},
+		"silent probe":     {func(f *fixture) { f.Probed(f.now, ProbeUnanswered) }, service, true},
 		"agent stops":      {func(f *fixture) { f.Stop(f.now) }, service, false},
 	} {
 		f := newFixture()
@@ -201,7 +201,7 @@
 
 func TestLateHeartbeatsAreIgnored(t *testing.T) {
 	f := newFixture()
-	f.beat(true)
+	f.receiveHeartbeat(true)
 	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Sequence: 1})
 	require.Equal(t, fleet.Draining, f.target.state())
 	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-2"}, Slots: 4, Sequence: 1})
@@ -235,7 +235,7 @@
 
 func TestRestartedAgentDeliversUnknownFlowsToItsTarget(t *testing.T) {
 	f := newFixture()
-	f.Core = New(f.now, f.opts, f.port, platform.Codec{}, quiet{})
+	f.Core = New(f.now, f.opts, f.port, platform.Codec{}, discardEvents{})
 	f.Probed(f.now, ProbeAccepted)
 	f.deliver(envelope.Envelope{Service: service, Flags: envelope.Search}, packet(keyOf(1), flow.ACK, 500, "x"))
 	require.Len(t, f.port.target, 1)
@@ -254,9 +254,9 @@
 	f.targetSends(1, flow.ACK, 500, 100)
 	f.syn(1, 1, 0)
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
-	f.pass(openingTTL + time.Second)
-	f.beat(false)
-	f.pass(time.Second)
+	f.advance(openingTTL + time.Second)
+	f.receiveHeartbeat(false)
+	f.advance(time.Second)
 	require.NotNil(t, f.flows.get(keyOf(1)))
 	require.Equal(t, open, f.flows.get(keyOf(1)).stage)
 }
@@ -287,29 +287,29 @@
 	})
 	t.Run("a probe without an answer", func(t *testing.T) {
 		f := open()
-		f.Probed(f.now, ProbeSilent)
+		f.Probed(f.now, ProbeUnanswered)
 		require.Empty(t, f.port.Resets)
 	})
 	t.Run("it has left", func(t *testing.T) {
 		f := open()
-		f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
-		f.Probed(f.now, ProbeSilent)
-		f.pass(deregistrationGrace / 2)
+		f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
+		f.Probed(f.now, ProbeUnanswered)
+		f.advance(deregistrationGrace / 2)
 		require.Empty(t, f.port.Resets, "it may still send")
-		f.pass(deregistrationGrace)
+		f.advance(deregistrationGrace)
 		require.Len(t, f.port.Resets, 1)
 	})
 	t.Run("it has left, still listens, and the agent was suspended", func(t *testing.T) {
 		f := open()
-		f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
+		f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
 		f.Probed(f.now, ProbeAccepted)
-		f.pass(2 * deregistrationGrace)
+		f.advance(2 * deregistrationGrace)
 		require.Empty(t, f.port.Resets, "no probe has failed")
 		f.Probed(f.now, ProbeAccepted)
-		f.pass(deregistrationGrace / 2)
+		f.advance(deregistrationGrace / 2)
 		require.Empty(t, f.port.Resets)
-		f.Probed(f.now, ProbeSilent)
-		f.pass(deregistrationGrace)
+		f.Probed(f.now, ProbeUnanswered)
+		f.advance(deregistrationGrace)
 		require.Len(t, f.port.Resets, 1)
 	})
 	t.Run("it bounces an open flow", func(t *testing.T) {
@@ -333,7 +333,7 @@
 		f.targetSends(i, flow.SYN|flow.ACK, 500, 0)
 	}
 	require.Equal(t, f.targetLimit(), f.Busy())
-	f.pass(pendingOpenTTL + time.Millisecond)
+	f.advance(pendingOpenTTL + time.Millisecond)
 	require.Zero(t, f.Busy())
 }
 
@@ -343,7 +343,7 @@
 	f := newFixture()
 	f.Probed(f.now, ProbeRefused)
 	require.Equal(t, fleet.Gone, f.announcement(f.now).State)
-	f.beat(false)
+	f.receiveHeartbeat(false)
 	require.Equal(t, fleet.Ready, f.announcement(f.now).State)
 	f.syn(1, 0, 0)
 	require.Len(t, f.port.target, 1)
@@ -351,14 +351,14 @@
 
 func TestTargetIsProbedOnlyWhenOverdue(t *testing.T) {
 	f := newFixture()
-	f.pass(answerTimeout * 2)
+	f.advance(answerTimeout * 2)
 	require.False(t, f.WantsProbe(f.now))
 	f.syn(1, 0, 0)
-	f.pass(answerTimeout + time.Millisecond)
+	f.advance(answerTimeout + time.Millisecond)
 	require.True(t, f.WantsProbe(f.now), "an answer is overdue")
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
 	require.False(t, f.WantsProbe(f.now))
-	f.pass(4 * time.Second)
+	f.advance(4 * time.Second)
 	require.True(t, f.WantsProbe(f.now), "its heartbeats are overdue")
 }
 
--- a/agent/packetfront/evacuations_test.go
+++ b/agent/packetfront/evacuations_test.go
@@ -11,8 +11,8 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// ownZone is the zone of the fixture's agent in these tests.
-const ownZone = "a"
+// localZone is the zone of the fixture's agent in these tests.
+const localZone = "a"
 
 // evacuations returns the evacuations of a revision.
 func evacuations(revision int64, zones ...string) flow.Evacuations {
@@ -20,8 +20,8 @@
 	return e
 }
 
-// hearsOf delivers a balancer's beacon with a sequence number and evacuations.
-func (f *fixture) hearsOf(balancer flow.IPv4, seq uint32, e flow.Evacuations) {
+// receiveEvacuations delivers a balancer's beacon with a sequence number and evacuations.
+func (f *fixture) receiveEvacuations(balancer flow.IPv4, seq uint32, e flow.Evacuations) {
 	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(balancer), Seq: seq}, Evacuations: e, Period: time.Hour}
 	f.HandleNode(f.now, balancer, m.Append(nil))
 }
@@ -45,17 +45,17 @@
 // still send new flows there. Only a newer revision changes the set.
 func TestAgentInAnEvacuatedZonePassesNewFlowsOn(t *testing.T) {
 	f := newFixture()
-	f.opts.Zone = flow.TagOf(ownZone)
+	f.opts.Zone = flow.TagOf(localZone)
 	require.True(t, f.acceptsNewFlow(t, 1))
-	f.hearsOf(balancerIP, 1, evacuations(9, "b", ownZone))
+	f.receiveEvacuations(balancerIP, 1, evacuations(9, "b", localZone))
 	require.False(t, f.acceptsNewFlow(t, 2))
-	f.hearsOf(balancerIP, 2, evacuations(8))
+	f.receiveEvacuations(balancerIP, 2, evacuations(8))
 	require.False(t, f.acceptsNewFlow(t, 3), "a balancer with an older revision")
-	f.hearsOf(balancerIP, 3, evacuations(10, "b"))
+	f.receiveEvacuations(balancerIP, 3, evacuations(10, "b"))
 	require.True(t, f.acceptsNewFlow(t, 4), "the evacuation has ended")
-	f.hearsOf(balancerIP, 4, evacuations(11, ownZone))
+	f.receiveEvacuations(balancerIP, 4, evacuations(11, localZone))
 	require.False(t, f.acceptsNewFlow(t, 5), "evacuated again")
-	f.hearsOf(balancerIP, 4, evacuations(12))
+	f.receiveEvacuations(balancerIP, 4, evacuations(12))
 	require.False(t, f.acceptsNewFlow(t, 6), "a stale beacon")
 }
 
@@ -63,8 +63,8 @@
 // which refuses it at once.
 func TestAgentInAnEvacuatedZoneReturnsAFlowWithoutCandidates(t *testing.T) {
 	f := newFixture()
-	f.opts.Zone = flow.TagOf(ownZone)
-	f.hearsOf(balancerIP, 1, evacuations(9, ownZone))
+	f.opts.Zone = flow.TagOf(localZone)
+	f.receiveEvacuations(balancerIP, 1, evacuations(9, localZone))
 	f.syn(1, 0, 0)
 	require.Equal(t, envelope.Returned, f.port.Last().Kind)
 	require.Equal(t, balancerIP, f.port.Last().To)
@@ -75,10 +75,10 @@
 // flows.
 func TestPacketsOfOpenFlowsReachATargetInAnEvacuatedZone(t *testing.T) {
 	f := newFixture()
-	f.opts.Zone = flow.TagOf(ownZone)
+	f.opts.Zone = flow.TagOf(localZone)
 	f.syn(1, 0, 0)
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
-	f.hearsOf(balancerIP, 1, evacuations(9, ownZone))
+	f.receiveEvacuations(balancerIP, 1, evacuations(9, localZone))
 	before := len(f.port.target)
 	f.deliver(envelope.Envelope{Service: service}, packet(keyOf(1), flow.ACK, 501, "GET / HTTP/1.1\r\n\r\n"))
 	require.Len(t, f.port.target, before+1)
@@ -89,11 +89,11 @@
 // the store is unavailable. A balancer with the same revision is sent nothing.
 func TestAgentSendsEvacuationsToABalancerThatLacksThem(t *testing.T) {
 	f := newFixture()
-	f.hearsOf(balancerIP, 1, evacuations(9, "b"))
+	f.receiveEvacuations(balancerIP, 1, evacuations(9, "b"))
 	f.port.Nodes = nil
-	f.hearsOf(balancerIP, 2, evacuations(9, "b"))
+	f.receiveEvacuations(balancerIP, 2, evacuations(9, "b"))
 	require.Empty(t, f.port.OfKind(envelope.Evacuated))
-	f.hearsOf(nextIP, 1, flow.Evacuations{})
+	f.receiveEvacuations(nextIP, 1, flow.Evacuations{})
 	sent := f.port.OfKind(envelope.Evacuated)
 	require.Len(t, sent, 1)
 	require.Equal(t, nextIP, sent[0].To)
--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -21,19 +21,19 @@
 // DropReasons lists all reasons for a drop.
 var DropReasons = []DropReason{DropMalformed, DropBounced}
 
-// Abandoned is why no client waits for a request any more.
-type Abandoned string
+// AbandonReason is why no client waits for a request any more.
+type AbandonReason string
 
 // The reasons for abandonment.
 const (
 	// ClientLeft: the client has ended the flow.
-	ClientLeft Abandoned = "client has left"
+	ClientLeft AbandonReason = "client has left"
 	// DeadlinePassed: the request was not delivered to the target within its route's deadline.
-	DeadlinePassed Abandoned = "deadline has passed"
+	DeadlinePassed AbandonReason = "deadline has passed"
 )
 
-// AbandonedReasons lists all reasons for abandonment.
-var AbandonedReasons = []Abandoned{ClientLeft, DeadlinePassed}
+// AbandonReasons lists all reasons for abandonment.
+var AbandonReasons = []AbandonReason{ClientLeft, DeadlinePassed}
 
 // Events is notified of the core's decisions, in order to log and count them.
 type Events interface {
@@ -48,13 +48,13 @@
 	// Postponed is a new flow left to its client's next retransmission of the SYN; wait is
 	// its expected wait at this target, which has the shortest wait of its candidates.
 	Postponed(key flow.Key, wait time.Duration)
-	// Expired is a queued request that was abandoned after it had waited for the given time.
-	Expired(key flow.Key, waited time.Duration)
+	// AbandonedInQueue is a queued request that was abandoned after it had waited for the given time.
+	AbandonedInQueue(key flow.Key, waited time.Duration)
 	// Withheld is a request, or a repetition of one, that arrived after it was abandoned and
 	// was not delivered to the target. Each request is reported once.
-	Withheld(key flow.Key, requestID []byte, reason Abandoned)
-	// Unwanted is a request whose client left after the target had had it for the given time.
-	Unwanted(key flow.Key, after time.Duration)
+	Withheld(key flow.Key, requestID []byte, reason AbandonReason)
+	// AbandonedAtTarget is a request whose client left after the target had had it for the given time.
+	AbandonedAtTarget(key flow.Key, after time.Duration)
 	// PassedOn is a new flow that this target does not take; hops is how often the flow was
 	// passed on before.
 	PassedOn(key flow.Key, reason string, hops int)
@@ -67,8 +67,8 @@
 	Dropped(reason DropReason)
 	// TargetReport is a change of, or a report from, the target; what describes it.
 	TargetReport(what string, b fleet.Heartbeat)
-	// Failed is a request that the target answered with a failure or a reset.
-	Failed()
+	// RequestFailed is a request that the target answered with a failure or a reset.
+	RequestFailed()
 	// Ejected is the start of an ejection, during which the target gets no new flows because
 	// its requests fail, or its end. trials and failures are the outcomes that led to it.
 	Ejected(ejected bool, trials, failures int)
@@ -83,9 +83,9 @@
 	// ZoneRelayed is a change between relayed and direct announcements to another zone;
 	// balancers is the number of its balancers from which a message was received recently.
 	ZoneRelayed(zone flow.Tag, balancers int, relayed bool)
-	// Probed is an overdue balancer of another zone that was probed because its relayed
+	// BalancerProbed is an overdue balancer of another zone that was probed because its relayed
 	// messages have stopped arriving; unseen is the time since its last message.
-	Probed(ip flow.IPv4, unseen time.Duration)
+	BalancerProbed(ip flow.IPv4, unseen time.Duration)
 	// EvacuationsChanged is a change of the evacuated zones; from is the address of the
 	// balancer that sent it.
 	EvacuationsChanged(now, former flow.Evacuations, from string)
--- a/agent/packetfront/flows.go
+++ b/agent/packetfront/flows.go
@@ -66,13 +66,13 @@
 	clientFin, targetFin bool
 	// abandonedFor is set once nobody waits for the flow's requests any more, withheld once a
 	// request was withheld from the target for that reason.
-	abandonedFor Abandoned
+	abandonedFor AbandonReason
 	withheld     bool
 }
 
 // abandoned reports whether nobody waits for the flow's requests any more, and why. Before
 // delivery only the age of the flow's first request is known.
-func (r *record) abandoned(now time.Time) (Abandoned, bool) {
+func (r *record) abandoned(now time.Time) (AbandonReason, bool) {
 	if r.abandonedFor != "" {
 		return r.abandonedFor, true
 	}
@@ -209,9 +209,9 @@
 	}
 }
 
-// kill moves all flows to stage dead after their target has ended, and calls onOpen for each
+// endAll moves all flows to stage dead after their target has ended, and calls onOpen for each
 // open one, in a deterministic order.
-func (f *flows) kill(now time.Time, onOpen func(flow.Key, *record)) {
+func (f *flows) endAll(now time.Time, onOpen func(flow.Key, *record)) {
 	keys := slices.Collect(maps.Keys(f.byKey))
 	flow.SortKeys(keys)
 	for _, key := range keys {
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -84,10 +84,10 @@
 		Self: f.self, Zone: flow.TagOf(cfg.Zone), Service: flow.TagOf(cfg.Service), Seeds: flow.ParseAddrs(cfg.Seeds),
 		Incarnation: rand.Uint64() | 1, HeartbeatPeriod: cfg.HeartbeatEvery.D(), FlowTTL: cfg.FlowTTL.D(),
 	}
-	counters := telemetry.Counters{Registry: f.reg, Subsystem: "packetagent"}
+	counters := telemetry.Metrics{Registry: f.reg, Subsystem: "packetagent"}
 	stored, calls := platform.NewStore(cfg.Store, storeTimeout), telemetry.NewStoreCalls(counters)
 	f.registry = calls.For(telemetry.PurposeRegistry, stored)
-	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleAgent, f.self, opts.Incarnation, log, func(p fleet.EntryState) { f.locked(func(now time.Time) { f.core.PresenceStored(now, p) }) })
+	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleAgent, f.self, opts.Incarnation, log, func(p fleet.EntryState) { f.locked(func(now time.Time) { f.core.EntryStored(now, p) }) })
 	f.observer = newObserver(log, f.reg)
 	f.sent = telemetry.NewSentTraffic(counters, envelope.KindNames)
 	f.core = New(time.Now(), opts, f, platform.Codec{}, f.observer)
@@ -113,7 +113,7 @@
 
 // Reset implements Port.
 func (f *Front) Reset(key flow.Key, seq uint32) {
-	var b [platform.HeadLen]byte
+	var b [platform.HeaderLen]byte
 	f.ToClient(key.ClientIP, platform.AppendReset(b[:0], key, seq))
 }
 
@@ -135,7 +135,7 @@
 	group.Go(work, "join", f.followRegistry)
 	group.Go(ctx, "registry", f.entry.Run)
 	group.Go(work, "heartbeats", func(ctx context.Context) error {
-		return telemetry.ServeHTTP(ctx, f.cfg.Control, platform.HeartbeatHandler(f.cfg.Service, f))
+		return telemetry.ServeHTTP(ctx, f.cfg.Control, platform.ReportsHandler(f.cfg.Service, f))
 	})
 	group.Go(work, "copy of the configuration", f.copyConfig)
 	group.Go(work, "internal calls", func(ctx context.Context) error {
@@ -160,7 +160,7 @@
 // updatePresence requests the registry entry that the target's state calls for.
 func (f *Front) updatePresence() {
 	presence := fleet.EntryUnchanged
-	f.locked(func(now time.Time) { presence = f.core.Presence(now) })
+	f.locked(func(now time.Time) { presence = f.core.WantedEntryState(now) })
 	if presence != fleet.EntryUnchanged {
 		f.entry.SetPresence(presence)
 	}
@@ -210,13 +210,13 @@
 	return current
 }
 
-// Leave implements platform.Targets.
-func (f *Front) Leave(left fleet.Incarnation) {
-	f.locked(func(now time.Time) { f.core.Leave(now, left) })
+// Deregister implements platform.Targets.
+func (f *Front) Deregister(left fleet.Incarnation) {
+	f.locked(func(now time.Time) { f.core.Deregister(now, left) })
 }
 
-// Refused implements platform.Targets.
-func (f *Front) Refused(err *platform.ReportError) {
+// ReportRefused implements platform.Targets.
+func (f *Front) ReportRefused(err *platform.ReportError) {
 	f.locked(func(time.Time) { f.observer.ReportRefused(err.Field, err.Fault) })
 }
 
@@ -254,7 +254,7 @@
 		return ProbeRefused
 	}
 	if err != nil {
-		return ProbeSilent
+		return ProbeUnanswered
 	}
 	// The error does not matter: nothing was sent on this connection.
 	_ = conn.Close()
--- a/agent/packetfront/front_test.go
+++ b/agent/packetfront/front_test.go
@@ -35,7 +35,7 @@
 // agent without a target removes its entry when it stops, because its VM is going away.
 func TestStoppedAgentStaysRegisteredWhileItsTargetListens(t *testing.T) {
 	s := standin.NewStore(time.Now)
-	server := httptest.NewServer(platformtest.Store(s))
+	server := httptest.NewServer(platformtest.NewStoreHandler(s))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	entries := func() int {
--- a/agent/packetfront/health.go
+++ b/agent/packetfront/health.go
@@ -82,7 +82,7 @@
 // beyond its slots is not at fault; one that sheds with a free slot is.
 func (c *Core) recordAnswerOutcome(now time.Time, r *record, a flow.Answer) {
 	if a == flow.AnswerShed && r.concurrent > c.target.slots() {
-		c.events.Failed()
+		c.events.RequestFailed()
 		return
 	}
 	c.recordOutcome(now, a != flow.AnswerCompleted)
@@ -91,7 +91,7 @@
 // recordOutcome records whether a request failed, and ejects the target if too many did.
 func (c *Core) recordOutcome(now time.Time, failed bool) {
 	if failed {
-		c.events.Failed()
+		c.events.RequestFailed()
 	}
 	counts := c.health.detector.Counts(now, onlyTarget)
 	if !c.health.detector.Report(now, onlyTarget, failed) {
--- a/agent/packetfront/health_test.go
+++ b/agent/packetfront/health_test.go
@@ -172,19 +172,19 @@
 	require.Equal(t, nextIP, f.port.Last().To)
 	f.syn(101, 0, 0)
 	require.Len(t, f.port.target, before+1, "there is no other candidate")
-	f.pass(10 * time.Second)
+	f.advance(10 * time.Second)
 	a := f.announcement(f.now)
 	require.False(t, a.Ejected)
 	require.Equal(t, fleet.Ready, a.State)
 	require.EqualValues(t, readmissionWarmup.Milliseconds(), a.WarmupMillis)
-	f.pass(readmissionWarmup)
+	f.advance(readmissionWarmup)
 	require.Zero(t, f.announcement(f.now).WarmupMillis)
 }
 
 // crashAndRestart lets the target crash and start again after the given time.
 func (f *fixture) crashAndRestart(down time.Duration) {
 	f.Probed(f.now, ProbeRefused)
-	f.pass(down)
+	f.advance(down)
 	f.Probed(f.now, ProbeAccepted)
 }
 
@@ -193,7 +193,7 @@
 func (f *fixture) probationTime() time.Duration {
 	began := f.now
 	for f.announcement(f.now).Ejected {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 	}
 	return f.now.Sub(began)
 }
@@ -220,7 +220,7 @@
 		f.crashAndRestart(400 * time.Millisecond)
 		for range 4 {
 			require.True(t, f.announcement(f.now).Ejected)
-			f.pass(100 * time.Millisecond)
+			f.advance(100 * time.Millisecond)
 		}
 	}
 }
@@ -230,9 +230,9 @@
 func TestPlannedEndsAreNoCrashes(t *testing.T) {
 	for name, do := range map[string]func(f *fixture){
 		"after a deregistration": func(f *fixture) {
-			f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
+			f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
 			f.Probed(f.now, ProbeRefused)
-			f.beatOf(time.Second, "i-2", 1, false)
+			f.receiveHeartbeatOf(time.Second, "i-2", 1, false)
 		},
 		"a new agent": func(f *fixture) {
 			f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
@@ -240,7 +240,7 @@
 		},
 		"long ago": func(f *fixture) {
 			f.Probed(f.now, ProbeRefused)
-			f.pass(crashMemory + 1)
+			f.advance(crashMemory + 1)
 			f.Probed(f.now, ProbeAccepted)
 		},
 	} {
--- a/agent/packetfront/keepconfig_test.go
+++ b/agent/packetfront/keepconfig_test.go
@@ -51,7 +51,7 @@
 	_, _, due = f.CopySource(f.now)
 	require.False(t, due)
 	f.port.Nodes = nil
-	f.pass(fleet.SameZonePeriod)
+	f.advance(fleet.SameZonePeriod)
 	a, err := fleet.DecodeAnnouncement(f.port.OfKind(envelope.Announce)[0].Raw)
 	require.NoError(t, err)
 	require.EqualValues(t, 8, a.ConfigVersion)
--- a/agent/packetfront/life_test.go
+++ b/agent/packetfront/life_test.go
@@ -24,9 +24,9 @@
 
 const testHeartbeatPeriod = 1200 * time.Millisecond
 
-// report delivers a heartbeat of an incarnation after a pause and reports whether it was
+// receiveHeartbeatFrom delivers a heartbeat of an incarnation after a pause and reports whether it was
 // accepted.
-func (f *fixture) report(after time.Duration, l fleet.Incarnation, sequence uint64, draining bool) bool {
+func (f *fixture) receiveHeartbeatFrom(after time.Duration, l fleet.Incarnation, sequence uint64, draining bool) bool {
 	f.now = f.now.Add(after)
 	return f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: l, Slots: 4, Draining: draining, Sequence: sequence})
 }
@@ -39,7 +39,7 @@
 	f.opts.HeartbeatPeriod = testHeartbeatPeriod
 	f.Probed(f.now, ProbeAccepted)
 	for i := range uint64(300) {
-		f.report(testHeartbeatPeriod, l, i+1, i == 299)
+		f.receiveHeartbeatFrom(testHeartbeatPeriod, l, i+1, i == 299)
 	}
 	f.registered()
 	return f
@@ -77,7 +77,7 @@
 				if i == 0 {
 					pause = 50 * time.Millisecond
 				}
-				if f.report(pause, c.next, i+1, false) && accepted == 0 {
+				if f.receiveHeartbeatFrom(pause, c.next, i+1, false) && accepted == 0 {
 					accepted = i + 1
 				}
 			}
@@ -85,7 +85,7 @@
 			require.LessOrEqual(t, accepted-1, c.maxRejected, "%s, down for %v", name, down)
 			require.Equal(t, fleet.Ready, f.target.state(), "%s: the former incarnation was draining", name)
 			require.Equal(t, c.next, f.target.incarnation, name)
-			require.True(t, f.report(testHeartbeatPeriod, c.next, 9, true), name)
+			require.True(t, f.receiveHeartbeatFrom(testHeartbeatPeriod, c.next, 9, true), name)
 			require.Equal(t, fleet.Draining, f.target.state(), "%s: its own draining counts", name)
 		}
 	}
@@ -96,12 +96,12 @@
 func TestRestartedAgentAcceptsTheIncarnationThatKeepsReporting(t *testing.T) {
 	for name, late := range map[string]fleet.Incarnation{"born before": firstIncarnation, "born after, on a clock stepped back since": {TargetID: "i-2", StartedMillis: secondIncarnation.StartedMillis + 5}} {
 		f := restartedAgent()
-		require.True(t, f.report(0, late, 298, true), name)
-		require.True(t, f.report(10*time.Millisecond, late, 299, true), name)
+		require.True(t, f.receiveHeartbeatFrom(0, late, 298, true), name)
+		require.True(t, f.receiveHeartbeatFrom(10*time.Millisecond, late, 299, true), name)
 		require.Equal(t, fleet.Draining, f.target.state(), name)
 		accepted := 0
 		for i := range uint64(3) {
-			if f.report(testHeartbeatPeriod, secondIncarnation, 40+i, false) {
+			if f.receiveHeartbeatFrom(testHeartbeatPeriod, secondIncarnation, 40+i, false) {
 				accepted++
 			}
 		}
@@ -115,18 +115,18 @@
 // incarnation arrive late while the current one continues to report.
 func TestLateReportsOfAFormerIncarnationAreIgnored(t *testing.T) {
 	for name, late := range map[string]func(f *fixture, i uint64){
-		"successive reports":                                    func(f *fixture, i uint64) { f.report(0, firstIncarnation, 301+i, true) },
-		"reports of an unknown incarnation":                     func(f *fixture, i uint64) { f.report(0, steppedBackIncarnation, 301+i, true) },
-		"reports of an unknown incarnation with a low sequence": func(f *fixture, i uint64) { f.report(0, steppedBackIncarnation, 1+i%4, true) },
-		"reports without a start time":                          func(f *fixture, i uint64) { f.report(0, undatedIncarnation, 301+i, true) },
-		"earlier reports of the current incarnation":            func(f *fixture, i uint64) { f.report(0, secondIncarnation, 2+i/8, true) },
-		"its deregistration":                                    func(f *fixture, _ uint64) { f.Leave(f.now, firstIncarnation) },
-		"the deregistration of another target":                  func(f *fixture, _ uint64) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) },
+		"successive reports":                                    func(f *fixture, i uint64) { f.receiveHeartbeatFrom(0, firstIncarnation, 301+i, true) },
+		"reports of an unknown incarnation":                     func(f *fixture, i uint64) { f.receiveHeartbeatFrom(0, steppedBackIncarnation, 301+i, true) },
+		"reports of an unknown incarnation with a low sequence": func(f *fixture, i uint64) { f.receiveHeartbeatFrom(0, steppedBackIncarnation, 1+i%4, true) },
+		"reports without a start time":                          func(f *fixture, i uint64) { f.receiveHeartbeatFrom(0, undatedIncarnation, 301+i, true) },
+		"earlier reports of the current incarnation":            func(f *fixture, i uint64) { f.receiveHeartbeatFrom(0, secondIncarnation, 2+i/8, true) },
+		"its deregistration":                                    func(f *fixture, _ uint64) { f.Deregister(f.now, firstIncarnation) },
+		"the deregistration of another target":                  func(f *fixture, _ uint64) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) },
 	} {
 		f := agentAfterHeartbeats(firstIncarnation)
-		require.True(t, f.report(testHeartbeatPeriod, secondIncarnation, 1, false), name)
+		require.True(t, f.receiveHeartbeatFrom(testHeartbeatPeriod, secondIncarnation, 1, false), name)
 		for i := range uint64(20) {
-			require.True(t, f.report(testHeartbeatPeriod/2, secondIncarnation, 10+i, false), name)
+			require.True(t, f.receiveHeartbeatFrom(testHeartbeatPeriod/2, secondIncarnation, 10+i, false), name)
 			f.now = f.now.Add(testHeartbeatPeriod / 4)
 			late(f, 2*i)
 			f.now = f.now.Add(testHeartbeatPeriod / 4)
@@ -141,20 +141,20 @@
 // The target still listens, and its next heartbeat shows that it has not left.
 func TestDeregistrationWithoutAStartTimeResetsNoLiveFlow(t *testing.T) {
 	f := agentAfterHeartbeats(firstIncarnation)
-	require.True(t, f.report(testHeartbeatPeriod, secondIncarnation, 1, false))
+	require.True(t, f.receiveHeartbeatFrom(testHeartbeatPeriod, secondIncarnation, 1, false))
 	f.syn(1, 0, 0)
 	f.targetSends(1, flow.SYN|flow.ACK, 500, 0)
 	f.targetSends(1, flow.ACK, 500, 10)
-	f.Leave(f.now, undatedIncarnation)
+	f.Deregister(f.now, undatedIncarnation)
 	require.Equal(t, fleet.Gone, f.target.state(), "no new flows, in case the target has left")
 	for range 20 {
 		require.True(t, f.WantsProbe(f.now))
 		f.Probed(f.now, ProbeAccepted)
-		f.pass(50 * time.Millisecond)
-		require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now))
+		f.advance(50 * time.Millisecond)
+		require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now))
 	}
 	require.Empty(t, f.port.Resets)
-	require.True(t, f.report(0, secondIncarnation, 2, false))
+	require.True(t, f.receiveHeartbeatFrom(0, secondIncarnation, 2, false))
 	require.Equal(t, fleet.Ready, f.target.state())
 	require.Empty(t, f.port.Resets)
 }
@@ -175,7 +175,7 @@
 			f.Probed(f.now, ProbeRefused)
 			f.Probed(f.now, ProbeAccepted)
 		}
-		require.True(t, f.report(testHeartbeatPeriod, secondIncarnation, 1, false), name)
+		require.True(t, f.receiveHeartbeatFrom(testHeartbeatPeriod, secondIncarnation, 1, false), name)
 		open(2, 900)
 		f.deliver(envelope.Envelope{Service: service}, packet(keyOf(2), flow.ACK, 910, "x"))
 		f.deliver(envelope.Envelope{Service: service}, packet(keyOf(1), flow.ACK, 510, "x"))
@@ -196,7 +196,7 @@
 	require.NotEqual(t, firstIncarnation.Tag(), undatedIncarnation.Tag())
 	f := agentAfterHeartbeats(firstIncarnation)
 	require.Equal(t, firstIncarnation.Tag(), f.announcement(f.now).TargetIncarnation)
-	f.report(testHeartbeatPeriod, secondIncarnation, 1, false)
+	f.receiveHeartbeatFrom(testHeartbeatPeriod, secondIncarnation, 1, false)
 	require.Equal(t, secondIncarnation.Tag(), f.announcement(f.now).TargetIncarnation)
 }
 
@@ -229,11 +229,11 @@
 			case "late":
 				if old := &incarnations[rapid.IntRange(0, len(incarnations)-1).Draw(t, "incarnation")]; old != current {
 					old.sequence++
-					f.report(0, old.Incarnation, old.sequence, true)
+					f.receiveHeartbeatFrom(0, old.Incarnation, old.sequence, true)
 				}
 			case "late deregistration":
 				if old := incarnations[rapid.IntRange(0, len(incarnations)-1).Draw(t, "incarnation")]; old.Incarnation != current.Incarnation {
-					f.Leave(f.now, old.Incarnation)
+					f.Deregister(f.now, old.Incarnation)
 				}
 			case "stepped":
 				clock += int64(rapid.IntRange(-5000, 5000).Draw(t, "step"))
@@ -277,7 +277,7 @@
 
 func (f *fixture) heartbeatOf(l *runningTarget) {
 	l.sequence++
-	f.report(0, l.Incarnation, l.sequence, false)
+	f.receiveHeartbeatFrom(0, l.Incarnation, l.sequence, false)
 }
 
 // TestPacketAfterARefusedProbeDoesNotMarkTheTargetUp: packets of a target that has exited
@@ -289,7 +289,7 @@
 // these targets for draining, so that searches for their flows ended without an outcome.
 func TestPacketAfterARefusedProbeDoesNotMarkTheTargetUp(t *testing.T) {
 	f := newFixture()
-	f.Core = New(f.now, f.opts, f.port, platformCodec, quiet{})
+	f.Core = New(f.now, f.opts, f.port, platformCodec, discardEvents{})
 	f.Probed(f.now, ProbeRefused)
 	f.targetSends(1, flow.ACK, 500, 10)
 	require.Equal(t, fleet.Gone, f.announcement(f.now).State)
@@ -302,9 +302,9 @@
 
 	for name, proof := range map[string]func(*fixture){
 		"a connection": func(f *fixture) { f.Probed(f.now, ProbeAccepted) },
-		"a report":     func(f *fixture) { f.beat(false) },
+		"a report":     func(f *fixture) { f.receiveHeartbeat(false) },
 	} {
-		f.Core = New(f.now, f.opts, f.port, platformCodec, quiet{})
+		f.Core = New(f.now, f.opts, f.port, platformCodec, discardEvents{})
 		f.Probed(f.now, ProbeRefused)
 		proof(f)
 		f.syn(2, 0, 0)
--- a/agent/packetfront/lifetime_test.go
+++ b/agent/packetfront/lifetime_test.go
@@ -10,9 +10,9 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// beatOf delivers a heartbeat without a start time after a pause.
-func (f *fixture) beatOf(after time.Duration, id string, sequence uint64, draining bool) {
-	f.report(after, fleet.Incarnation{TargetID: id}, sequence, draining)
+// receiveHeartbeatOf delivers a heartbeat without a start time after a pause.
+func (f *fixture) receiveHeartbeatOf(after time.Duration, id string, sequence uint64, draining bool) {
+	f.receiveHeartbeatFrom(after, fleet.Incarnation{TargetID: id}, sequence, draining)
 }
 
 // restartedAgent returns an agent whose target was running before the agent started.
@@ -30,20 +30,20 @@
 		restarted bool
 		late      func(f *fixture)
 	}{
-		"the former target":                      {late: func(f *fixture) { f.beatOf(100*time.Millisecond, "i-1", 50, true) }},
-		"the former target, with a low sequence": {late: func(f *fixture) { f.beatOf(time.Second, "i-1", 4, true) }},
+		"the former target":                      {late: func(f *fixture) { f.receiveHeartbeatOf(100*time.Millisecond, "i-1", 50, true) }},
+		"the former target, with a low sequence": {late: func(f *fixture) { f.receiveHeartbeatOf(time.Second, "i-1", 4, true) }},
 		"two targets before": {late: func(f *fixture) {
-			f.beatOf(time.Second, "i-3", 1, false)
-			f.beatOf(100*time.Millisecond, "i-1", 50, true)
+			f.receiveHeartbeatOf(time.Second, "i-3", 1, false)
+			f.receiveHeartbeatOf(100*time.Millisecond, "i-1", 50, true)
 		}},
-		"not known to a restarted agent": {restarted: true, late: func(f *fixture) { f.beatOf(100*time.Millisecond, "i-0", 50, true) }},
-		"its deregistration":             {late: func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }},
+		"not known to a restarted agent": {restarted: true, late: func(f *fixture) { f.receiveHeartbeatOf(100*time.Millisecond, "i-0", 50, true) }},
+		"its deregistration":             {late: func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) }},
 	} {
 		f := newFixture()
 		if c.restarted {
 			f = restartedAgent()
 		}
-		f.beatOf(time.Second, "i-2", 3, false)
+		f.receiveHeartbeatOf(time.Second, "i-2", 3, false)
 		present := f.target.incarnation.TargetID
 		c.late(f)
 		if name == "two targets before" {
@@ -59,12 +59,12 @@
 // report.
 func TestCurrentTargetIsAcceptedAgainAfterALateReportDisplacedIt(t *testing.T) {
 	f := restartedAgent()
-	f.beatOf(0, "i-2", 30, false)
+	f.receiveHeartbeatOf(0, "i-2", 30, false)
 	// The sequence is so low that the sender may have started since.
-	f.beatOf(900*time.Millisecond, "i-1", 2, false)
+	f.receiveHeartbeatOf(900*time.Millisecond, "i-1", 2, false)
 	require.Equal(t, "i-1", f.target.incarnation.TargetID)
-	f.beatOf(100*time.Millisecond, "i-2", 31, true)
-	f.beatOf(time.Second, "i-2", 32, true)
+	f.receiveHeartbeatOf(100*time.Millisecond, "i-2", 31, true)
+	f.receiveHeartbeatOf(time.Second, "i-2", 32, true)
 	require.Equal(t, "i-2", f.target.incarnation.TargetID)
 	require.Equal(t, fleet.Draining, f.target.state())
 	require.False(t, f.target.sawStart, "the target may hold flows from before")
@@ -78,7 +78,7 @@
 		sawStart bool
 	}{
 		"its end was not seen": {end: func(*fixture) {}, sawStart: false},
-		"it left":              {end: func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }, sawStart: true},
+		"it left":              {end: func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) }, sawStart: true},
 		"refused, then accepted": {end: func(f *fixture) {
 			f.Probed(f.now, ProbeRefused)
 			f.Probed(f.now, ProbeAccepted)
@@ -86,7 +86,7 @@
 	} {
 		f := newFixture()
 		c.end(f)
-		f.beatOf(time.Second, "i-2", 1, false)
+		f.receiveHeartbeatOf(time.Second, "i-2", 1, false)
 		require.Equal(t, "i-2", f.target.incarnation.TargetID, name)
 		require.Equal(t, c.sawStart, f.target.sawStart, name)
 	}
@@ -108,22 +108,22 @@
 			switch rapid.SampledFrom([]string{"beat", "late", "replaced"}).Draw(t, "step") {
 			case "beat":
 				last.sequence++
-				f.beatOf(time.Second, last.id, last.sequence, false)
+				f.receiveHeartbeatOf(time.Second, last.id, last.sequence, false)
 			case "late":
 				old := &senders[rapid.IntRange(0, len(senders)-1).Draw(t, "target")]
 				if old != last {
 					old.sequence++
-					f.beatOf(10*time.Millisecond, old.id, old.sequence, true)
+					f.receiveHeartbeatOf(10*time.Millisecond, old.id, old.sequence, true)
 				}
 			case "replaced":
 				senders = append(senders, sender{"i-" + string(rune('1'+len(senders))), 1})
-				f.beatOf(time.Second, senders[len(senders)-1].id, 1, false)
+				f.receiveHeartbeatOf(time.Second, senders[len(senders)-1].id, 1, false)
 			}
 		}
 		last := &senders[len(senders)-1]
 		for range 3 {
 			last.sequence++
-			f.beatOf(time.Second, last.id, last.sequence, false)
+			f.receiveHeartbeatOf(time.Second, last.id, last.sequence, false)
 		}
 		require.Equal(t, last.id, f.target.incarnation.TargetID)
 		require.Equal(t, fleet.Ready, f.target.state())
--- a/agent/packetfront/load_test.go
+++ b/agent/packetfront/load_test.go
@@ -133,7 +133,7 @@
 func (l *randomLoad) sendFromTarget(c *caller, flags flow.Flags, seq uint32, length int) {
 	k := c.key
 	h := flow.Header{Src: k.FrontIP, SrcPort: k.FrontPort, Dst: k.ClientIP, DstPort: k.ClientPort, Flags: flags, Seq: seq, Len: length}
-	l.HandleTarget(l.now, &h, make([]byte, platform.HeadLen+length))
+	l.HandleTarget(l.now, &h, make([]byte, platform.HeaderLen+length))
 	l.queuedDespiteHeadroom = l.queuedDespiteHeadroom || (l.queue.Len() > 0 && l.flows.running < l.targetLimit())
 }
 
@@ -353,7 +353,7 @@
 			"tick": l.tick,
 			"":     l.check,
 		})
-		overloads += l.tally.overloads
+		overloads += l.counts.overloads
 		l.drain(t, shortestDeadline)
 	})
 	require.Positive(t, overloads, "some of the loads are overloads")
--- a/agent/packetfront/nodes.go
+++ b/agent/packetfront/nodes.go
@@ -68,7 +68,7 @@
 // with a beacon.
 func (c *Core) contact(now time.Time, balancers []flow.IPv4, wantPeers bool) {
 	for _, ip := range balancers {
-		if !c.view.HasBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
+		if !c.view.HasBalancer(ip) && c.crossZone.introduced.Allow(now, ip, zonecast.IntroductionPause) {
 			c.announceTo(now, ip, wantPeers)
 		}
 	}
@@ -171,12 +171,12 @@
 	former := c.lastAnnouncement
 	return former.TargetIncarnation == 0 && next.TargetIncarnation != 0 &&
 		next.State == former.State && next.Ejected == former.Ejected && next.Registration == former.Registration &&
-		len(c.relays.planner.Plan(now, c.view).Relays) > 0
+		len(c.crossZone.planner.Plan(now, c.view).Relays) > 0
 }
 
 func (c *Core) announceAll(now time.Time) {
 	sameZone, otherZones := c.view.BalancersByZone(c.opts.Zone)
-	c.crossZonePeriod = c.relays.planner.Plan(now, c.view).Period
+	c.crossZonePeriod = c.crossZone.planner.Plan(now, c.view).Period
 	c.nextSameZone, c.nextCrossZone = fleet.NextSendTime(now, fleet.SameZonePeriod, c.opts.Self), fleet.NextSendTime(now, c.crossZonePeriod, c.opts.Self)
 	c.announceToAll(now, sameZone)
 	c.announceToAll(now, otherZones)
@@ -265,10 +265,10 @@
 	c.introduce(now)
 }
 
-// PresenceStored records that the registry entry has been brought to the given state.
-func (c *Core) PresenceStored(now time.Time, shown fleet.EntryState) {
+// EntryStored records that the registry entry has been brought to the given state.
+func (c *Core) EntryStored(now time.Time, shown fleet.EntryState) {
 	switch {
-	case shown != c.wantedPresence:
+	case shown != c.wantedEntryState:
 		// Another state has been requested since.
 		return
 	case shown == fleet.EntryPresent:
--- a/agent/packetfront/nodes_test.go
+++ b/agent/packetfront/nodes_test.go
@@ -14,7 +14,7 @@
 func TestAChangeOfStateIsAnnouncedAtOnce(t *testing.T) {
 	f := newFixture()
 	f.HandleNode(f.now, balancerIP, (&fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 1}}).Append(nil))
-	f.beat(true)
+	f.receiveHeartbeat(true)
 	a, err := fleet.DecodeAnnouncement(f.port.Last().Raw)
 	require.NoError(t, err)
 	require.Equal(t, fleet.Draining, a.State)
@@ -25,18 +25,18 @@
 func TestLoadChangeIsAnnouncedEarlyInTheLocalZone(t *testing.T) {
 	f := newFixture()
 	for ip, zone := range map[flow.IPv4]flow.Tag{balancerIP: f.opts.Zone, nextIP: f.opts.Zone + 1} {
-		f.beacon(ip, zone, 0)
-		f.beacon(ip, zone, f.Core.seq)
+		f.receiveBeacon(ip, zone, 0)
+		f.receiveBeacon(ip, zone, f.Core.seq)
 	}
-	f.pass(fleet.SameZonePeriod)
+	f.advance(fleet.SameZonePeriod)
 	f.port.Nodes = nil
 	for i := range loadChangeStep {
 		f.syn(i, 0, 0)
 	}
-	f.pass(minAnnouncePause)
+	f.advance(minAnnouncePause)
 	require.Len(t, f.port.Nodes, 1)
 	require.Equal(t, balancerIP, f.port.Last().To)
-	f.pass(fleet.SameZonePeriod)
+	f.advance(fleet.SameZonePeriod)
 	require.Len(t, f.port.Nodes, 3)
 }
 
@@ -48,9 +48,9 @@
 		ended   bool
 	}{
 		"a target that reports":                 {func(*fixture) {}, false},
-		"a target that does not answer a probe": {func(f *fixture) { f.Probed(f.now, ProbeSilent) }, false},
-		"a target that drains":                  {func(f *fixture) { f.beat(true) }, false},
-		"a target that has left":                {func(f *fixture) { f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"}) }, true},
+		"a target that does not answer a probe": {func(f *fixture) { f.Probed(f.now, ProbeUnanswered) }, false},
+		"a target that drains":                  {func(f *fixture) { f.receiveHeartbeat(true) }, false},
+		"a target that has left":                {func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) }, true},
 		"no process listens":                    {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, true},
 		"another target started after that":     {func(f *fixture) { f.Probed(f.now, ProbeRefused); f.Probed(f.now, ProbeAccepted) }, false},
 	} {
@@ -66,15 +66,15 @@
 	f := newFixture()
 	const farBalancers = 8
 	for i := range flow.IPv4(farBalancers) {
-		f.beacon(nextIP+i, f.opts.Zone+1, 0)
-		f.beacon(nextIP+i, f.opts.Zone+1, f.Core.seq)
+		f.receiveBeacon(nextIP+i, f.opts.Zone+1, 0)
+		f.receiveBeacon(nextIP+i, f.opts.Zone+1, f.Core.seq)
 	}
-	f.beacon(balancerIP, f.opts.Zone, 0)
-	f.beacon(balancerIP, f.opts.Zone, f.Core.seq)
-	f.pass(10 * time.Second)
+	f.receiveBeacon(balancerIP, f.opts.Zone, 0)
+	f.receiveBeacon(balancerIP, f.opts.Zone, f.Core.seq)
+	f.advance(10 * time.Second)
 	f.port.Nodes = nil
 	for range 200 {
-		f.pass(tickPeriod)
+		f.advance(tickPeriod)
 	}
 	counts := map[flow.IPv4]int{}
 	for _, s := range f.port.Nodes {
@@ -90,7 +90,7 @@
 	require.Equal(t, 10, counts[balancerIP])
 	require.Equal(t, 5, counts[nextIP])
 	f.port.Nodes = nil
-	f.beat(true)
+	f.receiveHeartbeat(true)
 	require.Len(t, f.port.Nodes, farBalancers+1, "a change is announced to all at once")
 }
 
@@ -102,16 +102,16 @@
 		want  fleet.State
 	}{
 		"nothing listens": {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, fleet.Gone},
-		"no answer":       {func(f *fixture) { f.Probed(f.now, ProbeSilent) }, fleet.Absent},
+		"no answer":       {func(f *fixture) { f.Probed(f.now, ProbeUnanswered) }, fleet.Absent},
 		"it listens":      {func(f *fixture) { f.Probed(f.now, ProbeAccepted) }, fleet.Ready},
-		"it reports":      {func(f *fixture) { f.beat(true) }, fleet.Draining},
+		"it reports":      {func(f *fixture) { f.receiveHeartbeat(true) }, fleet.Draining},
 		"it sends":        {func(f *fixture) { f.targetSends(1, flow.ACK, 500, 10) }, fleet.Ready},
 	} {
 		f := newFixture()
 		f.opts.Seeds = []flow.IPv4{nextIP}
 		f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 		f.HandleNode(f.now, balancerIP, (&fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 1}}).Append(nil))
-		f.pass(fleet.SameZonePeriod)
+		f.advance(fleet.SameZonePeriod)
 		require.Empty(t, f.port.Nodes, name)
 		c.learn(f)
 		if f.target.up {
@@ -130,9 +130,9 @@
 	f.opts.Seeds = []flow.IPv4{nextIP}
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 	f.Probed(f.now, ProbeAccepted)
-	f.pass(registrationTimeout - 1)
+	f.advance(registrationTimeout - 1)
 	require.Empty(t, f.port.Nodes)
-	f.pass(1)
+	f.advance(1)
 	require.NotEmpty(t, f.port.Nodes)
 }
 
@@ -141,22 +141,22 @@
 func TestRegistryEntryFollowsTheTargetsState(t *testing.T) {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now))
+	require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now))
 	f.Probed(f.now, ProbeRefused)
-	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now), "it may be about to start")
-	f.now = f.now.Add(presenceHoldTime + 1)
+	require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now), "it may be about to start")
+	f.now = f.now.Add(entryHoldTime + 1)
 	f.Probed(f.now, ProbeRefused)
-	require.Equal(t, fleet.EntryAbsent, f.Presence(f.now))
+	require.Equal(t, fleet.EntryAbsent, f.WantedEntryState(f.now))
 	f.Probed(f.now, ProbeAccepted)
-	require.Equal(t, fleet.EntryPresent, f.Presence(f.now))
-	f.Probed(f.now, ProbeSilent)
-	require.Equal(t, fleet.EntryPresent, f.Presence(f.now), "a probe without an answer changes nothing")
-	f.beat(false)
-	f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
-	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now), "it may send its last packets")
+	require.Equal(t, fleet.EntryPresent, f.WantedEntryState(f.now))
+	f.Probed(f.now, ProbeUnanswered)
+	require.Equal(t, fleet.EntryPresent, f.WantedEntryState(f.now), "a probe without an answer changes nothing")
+	f.receiveHeartbeat(false)
+	f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
+	require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now), "it may send its last packets")
 	require.True(t, f.WantsProbe(f.now))
 	f.Probed(f.now, ProbeRefused)
-	require.Equal(t, fleet.EntryAbsent, f.Presence(f.now), "its exit was seen")
+	require.Equal(t, fleet.EntryAbsent, f.WantedEntryState(f.now), "its exit was seen")
 	require.False(t, f.WantsProbe(f.now))
 }
 
@@ -164,12 +164,12 @@
 // not seen may get no answer at all.
 func TestDeregisteredTargetLeavesTheRegistryAfterTheGracePeriod(t *testing.T) {
 	f := newFixture()
-	f.Leave(f.now, fleet.Incarnation{TargetID: "i-1"})
-	f.Probed(f.now, ProbeSilent)
-	f.pass(deregistrationGrace)
-	require.Equal(t, fleet.EntryUnchanged, f.Presence(f.now))
-	f.pass(1)
-	require.Equal(t, fleet.EntryAbsent, f.Presence(f.now))
+	f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
+	f.Probed(f.now, ProbeUnanswered)
+	f.advance(deregistrationGrace)
+	require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now))
+	f.advance(1)
+	require.Equal(t, fleet.EntryAbsent, f.WantedEntryState(f.now))
 }
 
 // TestFlappingTargetIsNotWrittenToTheRegistryEachTime: the entry of a target that was up only
@@ -179,14 +179,14 @@
 		up   time.Duration
 		want fleet.EntryState
 	}{
-		"up for long": {presenceHoldTime + 1, fleet.EntryAbsent},
-		"up briefly":  {presenceHoldTime, fleet.EntryUnchanged},
+		"up for long": {entryHoldTime + 1, fleet.EntryAbsent},
+		"up briefly":  {entryHoldTime, fleet.EntryUnchanged},
 	} {
 		f := newFixture()
 		f.now = f.now.Add(c.up)
 		f.Probed(f.now, ProbeRefused)
-		require.Equal(t, c.want, f.Presence(f.now), name)
-		require.Equal(t, fleet.EntryAbsent, f.Presence(f.now.Add(presenceHoldTime+1)), name)
+		require.Equal(t, c.want, f.WantedEntryState(f.now), name)
+		require.Equal(t, fleet.EntryAbsent, f.WantedEntryState(f.now.Add(entryHoldTime+1)), name)
 	}
 }
 
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -37,15 +37,15 @@
 // observer logs and counts the core's decisions. It is called with the front's lock
 // held.
 type observer struct {
-	telemetry.Lines
+	telemetry.RateLimitedLog
 
-	requests, admissions, reports, other, abandoned telemetry.Budget
+	requests, admissions, reports, other, abandoned telemetry.RateLimit
 
 	delivered, requested, queued, postponed, expired, unwanted, passedOn, bounced, resets prometheus.Counter
 	failed, ejections, probations, probed                                                 prometheus.Counter
 	refusedReports                                                                        *prometheus.CounterVec
 	drops                                                                                 map[DropReason]prometheus.Counter
-	withheld                                                                              map[Abandoned]prometheus.Counter
+	withheld                                                                              map[AbandonReason]prometheus.Counter
 	load                                                                                  prometheus.Histogram
 	evacuated                                                                             *telemetry.ZoneGauges
 	overloads                                                                             prometheus.Counter
@@ -53,21 +53,21 @@
 }
 
 func newObserver(log *zap.Logger, reg *prometheus.Registry) *observer {
-	c := telemetry.Counters{Registry: reg, Subsystem: "packetagent"}
+	c := telemetry.Metrics{Registry: reg, Subsystem: "packetagent"}
 	o := &observer{
-		Lines:      telemetry.Lines{Log: log, Now: time.Now},
-		requests:   telemetry.Budget{PerSecond: requestLines},
-		admissions: telemetry.Budget{PerSecond: admissionLines},
-		reports:    telemetry.Budget{PerSecond: reportLines},
-		other:      telemetry.Budget{PerSecond: otherLines},
-		abandoned:  telemetry.Budget{PerSecond: abandonedLines},
-		delivered:  c.Counter("delivered_packets_total", "Packets handed to the target."),
-		requested:  c.Counter("requests_total", "Requests whose first packet was handed to the target."),
-		queued:     c.Counter("waiting_requests_total", "Requests that waited for a slot of the target."),
-		postponed:  c.Counter("postponed_flows_total", "New flows left to their client's next opening packet."),
-		expired:    c.Counter("given_up_requests_total", "Requests that waited until their client had gone."),
-		withheld: telemetry.ByReason(c, "withheld_requests_total",
-			"Requests that came when nobody waited for them any more and were not handed to the target, by reason.", AbandonedReasons),
+		RateLimitedLog: telemetry.RateLimitedLog{Log: log, Now: time.Now},
+		requests:       telemetry.RateLimit{PerSecond: requestLines},
+		admissions:     telemetry.RateLimit{PerSecond: admissionLines},
+		reports:        telemetry.RateLimit{PerSecond: reportLines},
+		other:          telemetry.RateLimit{PerSecond: otherLines},
+		abandoned:      telemetry.RateLimit{PerSecond: abandonedLines},
+		delivered:      c.Counter("delivered_packets_total", "Packets handed to the target."),
+		requested:      c.Counter("requests_total", "Requests whose first packet was handed to the target."),
+		queued:         c.Counter("waiting_requests_total", "Requests that waited for a slot of the target."),
+		postponed:      c.Counter("postponed_flows_total", "New flows left to their client's next opening packet."),
+		expired:        c.Counter("given_up_requests_total", "Requests that waited until their client had gone."),
+		withheld: telemetry.CountersByReason(c, "withheld_requests_total",
+			"Requests that came when nobody waited for them any more and were not handed to the target, by reason.", AbandonReasons),
 		unwanted:   c.Counter("unwanted_requests_total", "Requests whose client left while the target had them."),
 		passedOn:   c.Counter("passed_on_packets_total", "Packets that the agent did not hand to the target."),
 		bounced:    c.Counter("bounced_packets_total", "Packets that the target did not take."),
@@ -76,14 +76,14 @@
 		ejections:  c.Counter("ejections_total", "Times that the target was taken out because it fails."),
 		probations: c.Counter("unproven_starts_total", "Starts of a target that had ended unplanned a moment ago."),
 		probed:     c.Counter("asked_nodes_total", "Balancers of other zones that were asked because no relay named them any more."),
-		drops:      telemetry.ByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
+		drops:      telemetry.CountersByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
 		evacuated:  telemetry.NewZoneGauges(c),
 		overloads:  c.Counter("overloads_total", "Times that an overload of the target stood."),
 		load: c.Histogram("load_at_request",
 			"Requests that the target works on or has queued when another one comes.", []float64{0, 1, 2, 4, 8, 16, 32, 64}),
 	}
 	o.overloaded = c.Gauge("overloaded", "1 while an overload of the target stands: it takes only what can meet its objective.")
-	o.refusedReports = c.Vector("refused_reports_total", "Invalid reports, by the field at fault.", "field")
+	o.refusedReports = c.CounterVector("refused_reports_total", "Invalid reports, by the field at fault.", "field")
 	return o
 }
 
@@ -117,21 +117,21 @@
 	o.Write(&o.admissions, "new flow postponed", zap.Stringer(fieldFlow, key), zap.Duration("wait", wait))
 }
 
-// Expired implements Events.
-func (o *observer) Expired(key flow.Key, waited time.Duration) {
+// AbandonedInQueue implements Events.
+func (o *observer) AbandonedInQueue(key flow.Key, waited time.Duration) {
 	o.expired.Inc()
 	o.Write(&o.abandoned, "request's client has gone", zap.Stringer(fieldFlow, key), zap.Duration("waited", waited))
 }
 
 // Withheld implements Events.
-func (o *observer) Withheld(key flow.Key, requestID []byte, reason Abandoned) {
+func (o *observer) Withheld(key flow.Key, requestID []byte, reason AbandonReason) {
 	o.withheld[reason].Inc()
 	o.Write(&o.abandoned, "request withheld", zap.Stringer(fieldFlow, key), zap.ByteString(fieldRequest, requestID),
 		zap.String(fieldReason, string(reason)))
 }
 
-// Unwanted implements Events.
-func (o *observer) Unwanted(key flow.Key, after time.Duration) {
+// AbandonedAtTarget implements Events.
+func (o *observer) AbandonedAtTarget(key flow.Key, after time.Duration) {
 	o.unwanted.Inc()
 	o.Write(&o.abandoned, "request's client left while the target had it", zap.Stringer(fieldFlow, key), zap.Duration("had", after))
 }
@@ -166,8 +166,8 @@
 		zap.Duration("warmup", b.WarmupLeft), zap.Uint64("sequence", b.Sequence))
 }
 
-// Failed implements Events.
-func (o *observer) Failed() { o.failed.Inc() }
+// RequestFailed implements Events.
+func (o *observer) RequestFailed() { o.failed.Inc() }
 
 // Ejected implements Events.
 func (o *observer) Ejected(ejected bool, trials, failures int) {
@@ -205,7 +205,7 @@
 
 // EvacuationsChanged implements Events.
 func (o *observer) EvacuationsChanged(now, former flow.Evacuations, from string) {
-	o.evacuated.Changed(o.Log, now.Zones(), former.Zones(), now.Revision, from)
+	o.evacuated.Update(o.Log, now.Zones(), former.Zones(), now.Revision, from)
 }
 
 // ZoneRelayed implements Events.
@@ -213,8 +213,8 @@
 	o.Log.Info("relaying to another zone changed", zap.Uint32("zone_tag", uint32(zone)), zap.Int("balancers", balancers), zap.Bool("relayed", relayed))
 }
 
-// Probed implements Events.
-func (o *observer) Probed(ip flow.IPv4, silent time.Duration) {
+// BalancerProbed implements Events.
+func (o *observer) BalancerProbed(ip flow.IPv4, silent time.Duration) {
 	o.probed.Inc()
 	o.Write(&o.other, "balancer not relayed any more, asked", zap.Stringer(telemetry.FieldPeer, ip), zap.Duration("silent", silent))
 }
--- a/agent/packetfront/overload_test.go
+++ b/agent/packetfront/overload_test.go
@@ -142,7 +142,7 @@
 	const capacity = 4 / 0.030
 	c.run(4*time.Second, 2.4*capacity)
 	require.NotZero(t, c.returned)
-	require.Zero(t, c.tally.overloads)
+	require.Zero(t, c.counts.overloads)
 }
 
 // TestFlowIsReturnedAfterTwoFullTargets: an overloaded target passes on a flow from a balancer, but
@@ -168,8 +168,8 @@
 // and of its end within one deadline, when all earlier requests were answered or have expired.
 func TestOverloadIsAnnouncedAtOnce(t *testing.T) {
 	f := newSettledFixture()
-	f.beacon(balancerIP, f.opts.Zone, 0)
-	f.beacon(nextIP, f.opts.Zone+1, 0)
+	f.receiveBeacon(balancerIP, f.opts.Zone, 0)
+	f.receiveBeacon(nextIP, f.opts.Zone+1, 0)
 	c := newOpenLoopLoad(f, 30*time.Millisecond)
 	const capacity = 4 / 0.030
 	c.run(3*time.Second, 0.5*capacity)
@@ -198,10 +198,10 @@
 	const period, gap, work, packets = 107 * time.Millisecond, 30 * time.Millisecond, 5 * time.Millisecond, 67
 	f := newSettledFixture()
 	f.runUploads(5*time.Second, period, gap, work, packets)
-	f.tally.overloads = 0
+	f.counts.overloads = 0
 	f.runUploads(20*time.Second, period, gap, work, packets)
 	require.Greater(t, f.peak, 2*f.target.slots())
-	require.Zero(t, f.tally.overloads)
+	require.Zero(t, f.counts.overloads)
 	require.Less(t, f.overload.Load(f.now).FullShare, 0.1)
 }
 
@@ -210,7 +210,7 @@
 func TestLastCandidateRedirectsFlowToTheShortestWait(t *testing.T) {
 	for name, prepare := range map[string]func(f *fixture){
 		"overloaded": func(f *fixture) { f.fillTarget(); f.overload.active = true },
-		"draining":   func(f *fixture) { f.beat(true) },
+		"draining":   func(f *fixture) { f.receiveHeartbeat(true) },
 	} {
 		f := newFixture()
 		prepare(f)
@@ -235,9 +235,9 @@
 	c := newOpenLoopLoad(newSettledFixture(), 30*time.Millisecond)
 	c.requestsPerFlow = requestsPerFlow
 	c.run(3*time.Second, 0.5*capacity/requestsPerFlow)
-	require.Zero(t, c.tally.overloads)
+	require.Zero(t, c.counts.overloads)
 	c.run(2*routeEnvelope(2).Deadline+2*backlog.OverloadWindow, 2.4*capacity/requestsPerFlow)
-	require.Equal(t, 1, c.tally.overloads, "as soon as its backlog has lasted for two deadlines")
+	require.Equal(t, 1, c.counts.overloads, "as soon as its backlog has lasted for two deadlines")
 }
 
 // TestExpectedWaitExcludesLateRequestsInAnOverload: queued requests that can no longer meet their
@@ -250,7 +250,7 @@
 		f.openFlow(client, routeEnvelope(2), 2)
 		f.sendRequest(client)
 	}
-	f.pass(routeEnvelope(2).Objective)
+	f.advance(routeEnvelope(2).Objective)
 	require.Equal(t, 10, f.queue.Len())
 	require.Greater(t, f.expectedWait(f.now), 2*alone)
 	f.overload.active = true
--- a/agent/packetfront/presence.go
+++ b/agent/packetfront/presence.go
@@ -6,11 +6,11 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// presenceHoldTime is how long a target that was up for no longer than this has to be down
+// entryHoldTime is how long a target that was up for no longer than this has to be down
 // before its agent's registry entry is removed, so that a flapping target causes no
 // writes. The entry of any other target is removed at once, because balancers that start
 // wait for every agent in the registry.
-const presenceHoldTime = 2 * time.Second
+const entryHoldTime = 2 * time.Second
 
 // TargetEnded reports whether the target has deregistered or is known to have ended.
 func (c *Core) TargetEnded() bool { return !c.target.deregisteredAt.IsZero() || c.target.absent() }
@@ -21,13 +21,13 @@
 	if !c.TargetEnded() || c.registration == fleet.RegistrationRemoved {
 		return false
 	}
-	c.wantedPresence = fleet.EntryAbsent
+	c.wantedEntryState = fleet.EntryAbsent
 	return true
 }
 
-// Presence returns the state that the agent's registry entry is to have: it is present as
+// WantedEntryState returns the state that the agent's registry entry is to have: it is present as
 // long as the target may be up.
-func (c *Core) Presence(now time.Time) fleet.EntryState {
+func (c *Core) WantedEntryState(now time.Time) fleet.EntryState {
 	t, wanted := &c.target, fleet.EntryUnchanged
 	switch {
 	case t.up && t.deregisteredAt.IsZero():
@@ -35,18 +35,18 @@
 	case t.absent() && t.staysDown(now):
 		wanted = fleet.EntryAbsent
 	}
-	if wanted != fleet.EntryUnchanged && wanted != c.wantedPresence {
+	if wanted != fleet.EntryUnchanged && wanted != c.wantedEntryState {
 		// The state of the entry is unknown until the store has answered.
-		c.wantedPresence, c.registration = wanted, fleet.RegistrationUnknown
+		c.wantedEntryState, c.registration = wanted, fleet.RegistrationUnknown
 	}
 	return wanted
 }
 
 // staysDown reports whether a target that has ended is not expected back at once: it has
-// deregistered, or was up or has been down for longer than presenceHoldTime. A target that
+// deregistered, or was up or has been down for longer than entryHoldTime. A target that
 // this process has never seen may be about to start; its entry stays unchanged for
-// presenceHoldTime.
+// entryHoldTime.
 func (t *target) staysDown(now time.Time) bool {
-	wasLongUp := !t.upSince.IsZero() && t.downSince.Sub(t.upSince) > presenceHoldTime
-	return !t.deregisteredAt.IsZero() || wasLongUp || now.Sub(t.downSince) > presenceHoldTime
+	wasLongUp := !t.upSince.IsZero() && t.downSince.Sub(t.upSince) > entryHoldTime
+	return !t.deregisteredAt.IsZero() || wasLongUp || now.Sub(t.downSince) > entryHoldTime
 }
--- a/agent/packetfront/probe.go
+++ b/agent/packetfront/probe.go
@@ -34,8 +34,8 @@
 	ProbeAccepted Probe = iota
 	// ProbeRefused: no process listens, so that the target is down; a running one always listens.
 	ProbeRefused
-	// ProbeSilent: no answer, which does not show whether the target is up.
-	ProbeSilent
+	// ProbeUnanswered: no answer, which does not show whether the target is up.
+	ProbeUnanswered
 )
 
 // Probed handles the outcome of a probe.
--- a/agent/packetfront/relay.go
+++ b/agent/packetfront/relay.go
@@ -21,26 +21,26 @@
 	maxIntroduced = 4096
 )
 
-// crossZone holds the state of announcements to other zones.
-type crossZone struct {
+// crossZoneState holds the state of announcements to other zones.
+type crossZoneState struct {
 	// planner chooses between direct and relayed announcements to each zone.
 	planner zonecast.Planner
 	// introduced limits the rate of announcements to balancers that other nodes named.
 	introduced zonecast.IntroductionLimiter
 }
 
-func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) crossZone {
-	return crossZone{
+func newCrossZoneState(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) crossZoneState {
+	return crossZoneState{
 		introduced: zonecast.IntroductionLimiter{MaxNodes: maxIntroduced},
-		planner:    zonecast.Planner{Self: opts.Self, Zone: opts.Zone, RelayThreshold: opts.RelayFrom, RecentWithin: relayFreshness, OnChange: report},
+		planner:    zonecast.Planner{Self: opts.Self, Zone: opts.Zone, RelayThreshold: opts.RelayThreshold, RecentWithin: relayFreshness, OnChange: report},
 	}
 }
 
 // announceCrossZone repeats the announcement to the balancers of other zones, directly or
 // through relays.
 func (c *Core) announceCrossZone(now time.Time) {
-	c.relays.planner.StartRound()
-	plan := c.relays.planner.Plan(now, c.view)
+	c.crossZone.planner.StartRound()
+	plan := c.crossZone.planner.Plan(now, c.view)
 	c.crossZonePeriod = plan.Period
 	c.nextCrossZone = fleet.NextSendTime(now, c.crossZonePeriod, c.opts.Self)
 	c.announceToAll(now, plan.Direct)
@@ -99,7 +99,7 @@
 // probeNamed probes a balancer that is known only from relayed messages; its answer makes
 // it known.
 func (c *Core) probeNamed(now time.Time, ip flow.IPv4) {
-	if c.relays.introduced.Allow(now, ip, zonecast.RelayedIntroductionPause) {
+	if c.crossZone.introduced.Allow(now, ip, zonecast.RelayedIntroductionPause) {
 		c.probeBalancer(now, ip)
 	}
 }
@@ -108,7 +108,7 @@
 func (c *Core) probeOverdue(now time.Time) {
 	for _, ip := range c.view.PeersToProbe(now, c.opts.Zone, probeBalancersAfter, false) {
 		p, _ := c.view.Peer(ip)
-		c.events.Probed(ip, now.Sub(p.LastSeen))
+		c.events.BalancerProbed(ip, now.Sub(p.LastSeen))
 		c.probeBalancer(now, ip)
 	}
 }
--- a/agent/packetfront/relay_test.go
+++ b/agent/packetfront/relay_test.go
@@ -23,8 +23,8 @@
 // acknowledged the last announcement.
 func (f *fixture) addOtherZoneBalancers(count int) {
 	for i := range count {
-		f.beacon(otherZoneBalancer+flow.IPv4(i), otherZone, 0)
-		f.beacon(otherZoneBalancer+flow.IPv4(i), otherZone, f.Core.seq)
+		f.receiveBeacon(otherZoneBalancer+flow.IPv4(i), otherZone, 0)
+		f.receiveBeacon(otherZoneBalancer+flow.IPv4(i), otherZone, f.Core.seq)
 	}
 	f.port.Nodes = nil
 }
@@ -59,7 +59,7 @@
 func TestAChangeOfStateIsSentDirectlyToALargeZone(t *testing.T) {
 	f := newFixture()
 	f.addOtherZoneBalancers(20)
-	f.beat(true)
+	f.receiveHeartbeat(true)
 	require.Len(t, f.port.OfKind(envelope.Announce), 20)
 }
 
@@ -75,13 +75,13 @@
 		"and the target drains": {20, 20, true},
 	} {
 		f := &fixture{port: &port{}, now: time.Unix(1_700_000_000, 0)}
-		f.Core = New(f.now, Options{Self: 9, Service: service, Incarnation: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platformCodec, quiet{})
+		f.Core = New(f.now, Options{Self: 9, Service: service, Incarnation: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platformCodec, discardEvents{})
 		f.Probed(f.now, ProbeAccepted)
 		f.registered()
 		f.addOtherZoneBalancers(c.count)
-		f.beat(c.draining)
+		f.receiveHeartbeat(c.draining)
 		require.Len(t, f.port.OfKind(envelope.Announce), c.direct, name)
-		f.pass(0)
+		f.advance(0)
 		if c.direct == 0 {
 			require.Len(t, f.port.OfKind(envelope.Relay), zonecast.RelayCopies, name)
 		}
@@ -116,7 +116,7 @@
 			require.NoError(t, err)
 			require.True(t, a.WantReply, name)
 		}
-		f.pass(2 * time.Second)
+		f.advance(2 * time.Second)
 		require.Equal(t, c.refreshed, f.view.HasBalancer(otherZoneBalancer), name)
 	}
 }
@@ -128,7 +128,7 @@
 	f.relayBeacon(4, 1000)
 	probes := 0
 	for range int(fleet.ExpireAfter/time.Second) - 1 {
-		f.pass(time.Second)
+		f.advance(time.Second)
 		for _, s := range f.port.OfKind(envelope.Announce) {
 			if a, err := fleet.DecodeAnnouncement(s.Raw); err == nil && s.To == otherZoneBalancer && a.WantReply {
 				probes++
@@ -161,7 +161,7 @@
 		f.Contact(f.now, []flow.IPv4{balancerIP})
 		last := f.Core.seq
 		f.port.Nodes = nil
-		f.beacon(balancerIP, 0, last*c.acknowledged)
+		f.receiveBeacon(balancerIP, 0, last*c.acknowledged)
 		require.Len(t, f.port.OfKind(envelope.Announce), c.sent, name)
 	}
 }
--- a/agent/packetfront/reusedports_test.go
+++ b/agent/packetfront/reusedports_test.go
@@ -21,10 +21,10 @@
 		for _, pause := range []time.Duration{0, 600 * time.Millisecond, time.Second} {
 			f := newFixture()
 			before(f)
-			f.pass(2 * time.Second)
+			f.advance(2 * time.Second)
 			f.deliver(routeEnvelope(2), packet(keyOf(100), flow.SYN, 0, ""))
 			f.targetSends(100, flow.SYN|flow.ACK, 1_000_000, 0)
-			f.pass(pause)
+			f.advance(pause)
 			f.deliver(envelope.Envelope{}, packet(keyOf(100), flow.ACK, 1_000_000, "request"))
 			require.Contains(t, f.deliveredRequests(), 100, "%s, after %s", name, pause)
 		}
@@ -43,7 +43,7 @@
 		f := newFixture()
 		f.openFlow(100, routeEnvelope(2), 0)
 		f.sendRequest(100)
-		f.pass(2 * time.Second)
+		f.advance(2 * time.Second)
 		again(f)
 		f.deliver(envelope.Envelope{}, request)
 		require.Equal(t, 1, f.flows.running)
@@ -57,15 +57,15 @@
 		f.fillTarget()
 		f.openFlow(100, routeEnvelope(2), 0)
 		f.sendRequest(100)
-		f.pass(2 * time.Second)
+		f.advance(2 * time.Second)
 		again(f)
 		f.deliver(envelope.Envelope{}, request)
-		f.pass(time.Second)
+		f.advance(time.Second)
 		for i := range f.targetLimit() {
 			f.sendAnswer(i)
 		}
 		require.Equal(t, 1, countOf(f.deliveredRequests(), 100))
-		require.Zero(t, f.tally.gaveUp)
+		require.Zero(t, f.counts.expired)
 	})
 }
 
@@ -74,7 +74,7 @@
 func TestFlowOnReusedPortsOfAnAbandonedOneIsServed(t *testing.T) {
 	for name, end := range map[string]func(f *fixture){
 		"its client had left":     func(f *fixture) { f.deliver(envelope.Envelope{}, finPacket(100)) },
-		"its deadline had passed": func(f *fixture) { f.sendRequest(100); f.pass(2600 * time.Millisecond) },
+		"its deadline had passed": func(f *fixture) { f.sendRequest(100); f.advance(2600 * time.Millisecond) },
 	} {
 		f := newFixture()
 		f.fillTarget()
@@ -83,7 +83,7 @@
 		for i := range f.targetLimit() {
 			f.sendAnswer(i)
 		}
-		f.pass(2600 * time.Millisecond)
+		f.advance(2600 * time.Millisecond)
 		f.deliver(routeEnvelope(2), packet(keyOf(100), flow.SYN, 0, ""))
 		f.targetSends(100, flow.SYN|flow.ACK, 1_000_000, 0)
 		f.deliver(envelope.Envelope{}, packet(keyOf(100), flow.ACK, 1_000_000, "request"))
--- a/agent/packetfront/settings_test.go
+++ b/agent/packetfront/settings_test.go
@@ -19,7 +19,7 @@
 
 // TestADeploymentMayLeaveValuesOut: the defaults apply.
 func TestADeploymentMayLeaveValuesOut(t *testing.T) {
-	cfg, err := settings.Parse(settingstest.RenderBare(t, "../../deploy/agent.json.tmpl"), Defaults())
+	cfg, err := settings.Parse(settingstest.RenderRequired(t, "../../deploy/agent.json.tmpl"), Defaults())
 	require.NoError(t, err)
 	require.Equal(t, Defaults().HeartbeatEvery, cfg.HeartbeatEvery)
 }
--- a/agent/packetfront/target.go
+++ b/agent/packetfront/target.go
@@ -153,9 +153,9 @@
 	c.events.TargetReport("target found", b)
 }
 
-// Leave handles the deregistration of a target. One without a start time is attributed to
+// Deregister handles the deregistration of a target. One without a start time is attributed to
 // the current incarnation of that ID.
-func (c *Core) Leave(now time.Time, left fleet.Incarnation) {
+func (c *Core) Deregister(now time.Time, left fleet.Incarnation) {
 	t := &c.target
 	if left.TargetID != t.incarnation.TargetID || (left.StartedMillis != 0 && left.StartedMillis != t.incarnation.StartedMillis) || !t.deregisteredAt.IsZero() {
 		c.events.TargetReport("late farewell ignored", fleet.Heartbeat{Incarnation: left})
@@ -181,7 +181,7 @@
 	}
 	c.target.flowsEnded = true
 	c.queue.Clear()
-	c.flows.kill(now, func(key flow.Key, r *record) {
+	c.flows.endAll(now, func(key flow.Key, r *record) {
 		c.events.Reset(key, reason)
 		c.port.Reset(key, r.clientAck)
 	})
--- a/agent/packetfront/withheld_test.go
+++ b/agent/packetfront/withheld_test.go
@@ -16,7 +16,7 @@
 	for name, leave := range map[string]func(f *fixture){
 		"FIN while its request was queued":             func(f *fixture) { f.sendRequest(100); f.deliver(envelope.Envelope{}, finPacket(100)) },
 		"FIN before its request arrived":               func(f *fixture) { f.deliver(envelope.Envelope{}, finPacket(100)) },
-		"deadline passed while its request was queued": func(f *fixture) { f.sendRequest(100); f.pass(2600 * time.Millisecond) },
+		"deadline passed while its request was queued": func(f *fixture) { f.sendRequest(100); f.advance(2600 * time.Millisecond) },
 	} {
 		f := newFixture()
 		f.fillTarget()
@@ -25,15 +25,15 @@
 		for i := range f.targetLimit() {
 			f.sendAnswer(i)
 		}
-		f.pass(pendingOpenTTL)
+		f.advance(pendingOpenTTL)
 		require.Zero(t, f.Busy(), name)
 		for range 3 {
-			f.pass(1600 * time.Millisecond)
+			f.advance(1600 * time.Millisecond)
 			f.sendRequest(100)
 		}
 		require.NotContains(t, f.deliveredRequests(), 100, name)
 		require.Zero(t, f.Busy(), "%s: it does not count as load", name)
-		require.Equal(t, 1, f.tally.withheld, "%s: it is counted once", name)
+		require.Equal(t, 1, f.counts.withheld, "%s: it is counted once", name)
 	}
 }
 
@@ -42,11 +42,11 @@
 func TestRequestThatArrivesAfterItsDeadlineIsWithheld(t *testing.T) {
 	f := newFixture()
 	f.deliver(routeEnvelope(2), packet(keyOf(100), flow.SYN, 0, ""))
-	f.pass(2600 * time.Millisecond)
+	f.advance(2600 * time.Millisecond)
 	f.targetSends(100, flow.SYN|flow.ACK, 500, 0)
 	f.sendRequest(100)
 	require.Empty(t, f.deliveredRequests())
-	require.Equal(t, 1, f.tally.withheld)
+	require.Equal(t, 1, f.counts.withheld)
 }
 
 // TestRetransmissionOfAWithheldRequestIsWithheld: a retransmission later than firstRequestWindow
@@ -58,10 +58,10 @@
 	f.openFlow(100, e, 2)
 	for range 3 {
 		f.sendRequest(100)
-		f.pass(firstRequestWindow + 100*time.Millisecond)
+		f.advance(firstRequestWindow + 100*time.Millisecond)
 	}
 	require.NotContains(t, f.deliveredRequests(), 100)
-	require.Equal(t, 1, f.tally.withheld)
+	require.Equal(t, 1, f.counts.withheld)
 }
 
 // TestRestOfARequestIsWithheldOnceItsClientHasLeft: the target would execute the request once it is
@@ -73,7 +73,7 @@
 	f.deliver(envelope.Envelope{}, finPacket(100))
 	f.deliver(envelope.Envelope{}, dataPacket(100, 4, "two"))
 	require.Equal(t, []int{100}, f.deliveredRequests())
-	require.Equal(t, 1, f.tally.unwanted)
+	require.Equal(t, 1, f.counts.unwanted)
 }
 
 // TestALaterRequestOfAFlowIsWithheldAfterItsDeadline: the age of a later request counts from its
@@ -86,7 +86,7 @@
 	f.fillTarget()
 	f.deliver(envelope.Envelope{}, dataPacket(100, 8, "again"))
 	require.Equal(t, 1, f.queue.Len())
-	f.pass(2600 * time.Millisecond)
+	f.advance(2600 * time.Millisecond)
 	require.Zero(t, f.queue.Len())
 	for i := range f.targetLimit() {
 		f.sendAnswer(i)
@@ -124,15 +124,15 @@
 	f := newFixture()
 	f.openFlow(100, routeEnvelope(2), 0)
 	f.openFlow(101, routeEnvelope(2), 0)
-	f.pass(2600 * time.Millisecond)
+	f.advance(2600 * time.Millisecond)
 	f.sendRequest(100)
 	require.Equal(t, []int{100}, f.deliveredRequests())
 	f.sendAnswer(100)
 	f.fillTarget()
 	f.sendRequest(101)
-	f.pass(2400 * time.Millisecond)
+	f.advance(2400 * time.Millisecond)
 	require.Equal(t, 1, f.queue.Len(), "it is queued until its own deadline")
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.Zero(t, f.queue.Len())
 }
 
@@ -156,5 +156,5 @@
 	f.targetSends(100, flow.ACK, 500, 0)
 	f.sendRequest(100)
 	require.Empty(t, f.deliveredRequests())
-	require.Equal(t, 1, f.tally.withheld)
+	require.Equal(t, 1, f.counts.withheld)
 }
--- a/balancer/operator/peers.go
+++ b/balancer/operator/peers.go
@@ -63,7 +63,7 @@
 func bytesOf(whole []byte, err error) int {
 	var part *transfer.Error
 	if errors.As(err, &part) {
-		return part.Got
+		return part.BodyBytes
 	}
 	return len(whole)
 }
--- a/balancer/operator/source.go
+++ b/balancer/operator/source.go
@@ -146,7 +146,7 @@
 	s.applyEvacuationEvents(changes)
 	for _, e := range changes.Events {
 		if e.Key == platform.ConfigKey && !e.Removed {
-			s.transfer = changes.Took
+			s.transfer = changes.TransferTime
 			s.decodeAndApply(e.Value)
 		}
 	}
@@ -189,7 +189,7 @@
 
 // applyEvacuationEvents applies the changes that evacuate or restore zones. It runs before a
 // configuration of the same answer is applied, because decoding that takes time.
-func (s *Source) applyEvacuationEvents(changes store.Changes) {
+func (s *Source) applyEvacuationEvents(changes store.WatchResponse) {
 	revision := int64(0)
 	for _, e := range changes.Events {
 		zone, ok := platform.EvacuatedZone(e.Key)
--- a/balancer/operator/transfers.go
+++ b/balancer/operator/transfers.go
@@ -20,12 +20,12 @@
 }
 
 // NewTransfers registers the metrics.
-func NewTransfers(c telemetry.Counters) *Transfers {
+func NewTransfers(c telemetry.Metrics) *Transfers {
 	t := &Transfers{
 		inForce:     c.Gauge("configuration_version", "Version of the configuration in force."),
 		highestSeen: c.Gauge("configuration_version_heard", "Highest version that any balancer is known to have in force."),
 		size:        c.Gauge("configuration_bytes", "Size of the configuration in force as it is stored."),
-		fetches:     c.Vector("configuration_fetches_total", "Fetches of a configuration from another balancer, by outcome.", "outcome"),
+		fetches:     c.CounterVector("configuration_fetches_total", "Fetches of a configuration from another balancer, by outcome.", "outcome"),
 	}
 	for _, outcome := range []string{outcomeFetched, outcomeFailed} {
 		t.fetches.WithLabelValues(outcome)
--- a/balancer/operator/transfers_test.go
+++ b/balancer/operator/transfers_test.go
@@ -18,7 +18,7 @@
 // configuration is older than that of others.
 func TestTransferMetricsShowALaggingBalancer(t *testing.T) {
 	reg := prometheus.NewRegistry()
-	tr := NewTransfers(telemetry.Counters{Registry: reg, Subsystem: "packetfront"})
+	tr := NewTransfers(telemetry.Metrics{Registry: reg, Subsystem: "packetfront"})
 	tr.setInForce(12, 4096)
 	tr.setHighestSeen(15)
 	tr.countFetch(errors.New("deadline"))
--- a/balancer/packetfront/front.go
+++ b/balancer/packetfront/front.go
@@ -66,7 +66,7 @@
 func NewFront(cfg Settings, log *zap.Logger) (*Front, error) {
 	f := &Front{cfg: cfg, log: log, reg: prometheus.NewRegistry()}
 	stored := platform.NewStore(cfg.Store, operator.StoreTimeout)
-	counters := telemetry.Counters{Registry: f.reg, Subsystem: subsystem}
+	counters := telemetry.Metrics{Registry: f.reg, Subsystem: subsystem}
 	f.sent = telemetry.NewSentTraffic(counters, envelope.KindNames)
 	f.invalidEntries = counters.Counter(
 		"foreign_registry_entries_total", "Invalid entries read in the registry.")
@@ -110,7 +110,7 @@
 
 // Reset implements Port.
 func (f *Front) Reset(key flow.Key, seq uint32) {
-	var b [platform.HeadLen]byte
+	var b [platform.HeaderLen]byte
 	_ = f.data.Send(netip.AddrPortFrom(key.ClientIP.Addr(), f.clientPort), nil, platform.AppendReset(b[:0], key, seq))
 }
 
--- a/balancer/packetfront/front_test.go
+++ b/balancer/packetfront/front_test.go
@@ -55,7 +55,7 @@
 
 // serveStore serves a store and returns its address.
 func serveStore(t *testing.T, s *standin.Store) string {
-	server := httptest.NewServer(platformtest.Store(s))
+	server := httptest.NewServer(platformtest.NewStoreHandler(s))
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
--- a/balancer/packetfront/observer.go
+++ b/balancer/packetfront/observer.go
@@ -46,9 +46,9 @@
 // observer logs and counts the events of a Core. It is called with the front's lock
 // held.
 type observer struct {
-	telemetry.Lines
+	telemetry.RateLimitedLog
 
-	opening, searching, other, changes telemetry.Budget
+	opening, searching, other, changes telemetry.RateLimit
 
 	forwarded, opened, refused, searches, ownersFound prometheus.Counter
 	overloads                                         *prometheus.CounterVec
@@ -62,21 +62,21 @@
 }
 
 func newObserver(log *zap.Logger, reg *prometheus.Registry) *observer {
-	c := telemetry.Counters{Registry: reg, Subsystem: subsystem}
+	c := telemetry.Metrics{Registry: reg, Subsystem: subsystem}
 	o := &observer{
-		Lines:       telemetry.Lines{Log: log, Now: time.Now},
-		opening:     telemetry.Budget{PerSecond: openLinesPerSecond},
-		searching:   telemetry.Budget{PerSecond: searchLinesPerSecond},
-		other:       telemetry.Budget{PerSecond: otherLinesPerSecond},
-		changes:     telemetry.Budget{PerSecond: changeLinesPerSecond},
-		forwarded:   c.Counter("forwarded_packets_total", "Packets sent to the remembered target of their flow."),
-		opened:      c.Counter("opening_packets_total", "Opening packets for which a target was chosen."),
-		refused:     c.Counter("refused_flows_total", "Flows reset because no target can take them."),
-		overloads:   c.Vector("overloads_total", "Times that a service was found overloaded.", "service"),
-		searches:    c.Counter("searches_total", "Packets of unknown flows sent along their candidates."),
-		ownersFound: c.Counter("owners_found_total", "Flows whose target a search found."),
-		dropped:     telemetry.ByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
-		buffered:    telemetry.ByReason(c, "kept_packets_total", "Packets kept because their way was not known yet, by reason.", search.BufferReasons),
+		RateLimitedLog: telemetry.RateLimitedLog{Log: log, Now: time.Now},
+		opening:        telemetry.RateLimit{PerSecond: openLinesPerSecond},
+		searching:      telemetry.RateLimit{PerSecond: searchLinesPerSecond},
+		other:          telemetry.RateLimit{PerSecond: otherLinesPerSecond},
+		changes:        telemetry.RateLimit{PerSecond: changeLinesPerSecond},
+		forwarded:      c.Counter("forwarded_packets_total", "Packets sent to the remembered target of their flow."),
+		opened:         c.Counter("opening_packets_total", "Opening packets for which a target was chosen."),
+		refused:        c.Counter("refused_flows_total", "Flows reset because no target can take them."),
+		overloads:      c.CounterVector("overloads_total", "Times that a service was found overloaded.", "service"),
+		searches:       c.Counter("searches_total", "Packets of unknown flows sent along their candidates."),
+		ownersFound:    c.Counter("owners_found_total", "Flows whose target a search found."),
+		dropped:        telemetry.CountersByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
+		buffered:       telemetry.CountersByReason(c, "kept_packets_total", "Packets kept because their way was not known yet, by reason.", search.BufferReasons),
 		loadReportAge: c.Histogram("reading_age_seconds",
 			"Age of the target's load reading when a new flow was sent to it.", []float64{0.05, 0.1, 0.2, 0.5, 1, 2, 5}),
 		crossZoneFlows: c.Counter("crossing_flows_total", "Opening packets for which a target of another zone was chosen."),
@@ -88,7 +88,7 @@
 		standbys:       c.Counter("stood_by_total", "Times that the balancer left the rotation because its link was full."),
 		relayed:        c.Counter("relayed_messages_total", "Messages of other zones' nodes that were relayed in the own zone."),
 		probed:         c.Counter("asked_nodes_total", "Nodes of other zones that were asked because no relay named them any more."),
-		lost:           c.Vector("lost_packets_total", "Packets whose flow no target holds.", "sure"),
+		lost:           c.CounterVector("lost_packets_total", "Packets whose flow no target holds.", "sure"),
 	}
 	return o
 }
@@ -198,7 +198,7 @@
 
 // EvacuationsChanged implements Events.
 func (o *observer) EvacuationsChanged(current, previous flow.Evacuations, from string) {
-	o.evacuatedZones.Changed(o.Log, current.Zones(), previous.Zones(), current.Revision, from)
+	o.evacuatedZones.Update(o.Log, current.Zones(), previous.Zones(), current.Revision, from)
 }
 
 // RotationChanged implements Events.
--- a/balancer/packetfront/operator_test.go
+++ b/balancer/packetfront/operator_test.go
@@ -79,7 +79,7 @@
 	s := standin.NewStore(time.Now)
 	putVersion(t, s, 1)
 	var watches atomic.Int64
-	serve := platformtest.Store(s)
+	serve := platformtest.NewStoreHandler(s)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "watch") {
 			watches.Add(1)
--- a/balancer/packetfront/settings_test.go
+++ b/balancer/packetfront/settings_test.go
@@ -19,7 +19,7 @@
 
 // TestOmittedSettingsHaveDefaults: a deployment may omit values of the template.
 func TestOmittedSettingsHaveDefaults(t *testing.T) {
-	cfg, err := settings.Parse(settingstest.RenderBare(t, "../../deploy/balancer.json.tmpl"), Defaults())
+	cfg, err := settings.Parse(settingstest.RenderRequired(t, "../../deploy/balancer.json.tmpl"), Defaults())
 	require.NoError(t, err)
 	require.Equal(t, Defaults().CatchUpWithin, cfg.CatchUpWithin)
 }
--- a/balancer/search/buffer_test.go
+++ b/balancer/search/buffer_test.go
@@ -63,7 +63,7 @@
 	f.client(packet(false, 9))
 	f.advance(2 * BufferRetryInterval)
 	for _, s := range f.port.Delivered() {
-		h, err := platform.DecodePacket(s.Raw[len(s.Raw)-platform.HeadLen:])
+		h, err := platform.DecodePacket(s.Raw[len(s.Raw)-platform.HeaderLen:])
 		require.NoError(t, err)
 		require.False(t, h.IsOpening())
 	}
@@ -109,7 +109,7 @@
 	for i, s := range sent[1:] {
 		require.Equal(t, targetB, s.To)
 		require.Zero(t, s.Env.Flags&envelope.Search)
-		require.Equal(t, byte(10+i), s.Raw[len(s.Raw)-platform.HeadLen+7])
+		require.Equal(t, byte(10+i), s.Raw[len(s.Raw)-platform.HeaderLen+7])
 	}
 	require.Zero(t, f.buffer.packets)
 }
--- a/e2e/packets/largefleet_test.go
+++ b/e2e/packets/largefleet_test.go
@@ -44,7 +44,7 @@
 
 // farewell lets a target that has drained say its last word and exit.
 func (a *agentNode) farewell() {
-	a.Core.Leave(a.w.Now, a.target.life())
+	a.Core.Deregister(a.w.Now, a.target.life())
 	a.crash()
 }
 
--- a/e2e/packets/packets_test.go
+++ b/e2e/packets/packets_test.go
@@ -264,7 +264,7 @@
 	if planned {
 		if a.Core.RemovesEntry() && !a.w.Now.Before(a.w.StoreBack) {
 			delete(a.w.Registry, a.IP)
-			a.Core.PresenceStored(a.w.Now, fleet.EntryAbsent)
+			a.Core.EntryStored(a.w.Now, fleet.EntryAbsent)
 		}
 		a.Core.Stop(a.w.Now)
 	}
--- a/e2e/packets/target_test.go
+++ b/e2e/packets/target_test.go
@@ -108,7 +108,7 @@
 		return
 	}
 	if farewell {
-		a.Core.Leave(a.w.Now, h.life())
+		a.Core.Deregister(a.w.Now, h.life())
 		return
 	}
 	h.sequence++
--- a/fleet/configcopy/configcopy.go
+++ b/fleet/configcopy/configcopy.go
@@ -43,7 +43,7 @@
 // fetchLimits are the limits of a fetch. None applies to its total time: the link of a small
 // VM takes most of a second for a large configuration, and a second attempt would take as
 // long again.
-var fetchLimits = transfer.Limits{Begin: beginTimeout, Silence: stallTimeout, Most: maxSize}
+var fetchLimits = transfer.Limits{HeaderTimeout: beginTimeout, StallTimeout: stallTimeout, MaxBody: maxSize}
 
 // Copy is a stored configuration that is served to other nodes. It is safe for concurrent
 // use.
--- a/fleet/surveycopy/http.go
+++ b/fleet/surveycopy/http.go
@@ -83,7 +83,7 @@
 		req.Header.Set(headerKnownChecksum, strconv.FormatUint(checksum(c.known), checksumBase))
 	}
 	requestedAt := time.Now()
-	response, err := transfer.Do(c.http, req, transfer.Limits{Begin: beginTimeout, Silence: stallTimeout, Most: maxLen})
+	response, err := transfer.Do(c.http, req, transfer.Limits{HeaderTimeout: beginTimeout, StallTimeout: stallTimeout, MaxBody: maxLen})
 	switch {
 	case err != nil:
 		return fleet.Snapshot{}, err
--- a/measure/packetbench.go
+++ b/measure/packetbench.go
@@ -75,7 +75,7 @@
 	if syn {
 		return platformtest.FromClient(key, flow.SYN, 1, 0, nil)
 	}
-	return platformtest.FromClient(key, flow.ACK, 2, 2, make([]byte, platform.MaxData))
+	return platformtest.FromClient(key, flow.ACK, 2, 2, make([]byte, platform.MaxPayload))
 }
 
 // packetSink stands for an agent: it counts what is delivered.
@@ -92,7 +92,7 @@
 	}
 	s := &packetSink{socket: socket}
 	s.stop = serveDatagrams(socket, func(_ netip.AddrPort, b []byte) {
-		if len(b) > platform.MaxData {
+		if len(b) > platform.MaxPayload {
 			s.count.Add(1)
 		}
 	})
@@ -107,7 +107,7 @@
 // opened the measured flow there.
 func startPacketFront(agent *packetSink) (stop func(), err error) {
 	store := standin.NewStore(time.Now)
-	server := httptest.NewServer(platformtest.Store(store))
+	server := httptest.NewServer(platformtest.NewStoreHandler(store))
 	config := &flow.Config{Version: 1, IdleTimeout: time.Minute, Routes: map[flow.Front]*flow.Route{
 		benchFront: {Name: "bench", Backends: []flow.Backend{{Name: "bench"}}},
 	}}
--- a/measure/startup.go
+++ b/measure/startup.go
@@ -36,7 +36,7 @@
 // for them, so that "in force" is read from its log.
 func PrintStartup(w io.Writer, binary string) error {
 	store := standin.NewStore(time.Now)
-	server := httptest.NewServer(platformtest.Store(store))
+	server := httptest.NewServer(platformtest.NewStoreHandler(store))
 	defer server.Close()
 	config := &flow.Config{Version: 1, IdleTimeout: time.Minute, Routes: map[flow.Front]*flow.Route{}}
 	for i := range flow.IPv4(startupRoutes) {
--- a/model/caller.go
+++ b/model/caller.go
@@ -262,7 +262,7 @@
 		}
 	case a.open && head.Len > 0 && head.Seq == a.targetSeq+1:
 		a.targetSeq += uint32(head.Len)
-		a.answered(packet[platform.HeadLen:])
+		a.answered(packet[platform.HeaderLen:])
 	}
 }
 
--- a/model/pattern.go
+++ b/model/pattern.go
@@ -209,7 +209,7 @@
 		old.report()
 	})
 	r.world.After(rollGap+drainTime, func() {
-		old.agent.Core.Leave(r.world.Now, fleet.Incarnation{TargetID: old.id})
+		old.agent.Core.Deregister(r.world.Now, fleet.Incarnation{TargetID: old.id})
 		old.end()
 		old.agent.Core.Stop(r.world.Now)
 		old.agent.Stop()
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -198,7 +198,7 @@
 	w := a.w
 	opts := agentfront.Options{
 		Self: a.IP, Zone: flow.TagOf(a.Zone), Service: flow.TagOf(a.Service), Seeds: w.Seeds,
-		Incarnation: w.Rnd.Uint64() | 1, HeartbeatPeriod: HeartbeatPeriod, FlowTTL: flowTTL, RelayFrom: w.RelayFrom,
+		Incarnation: w.Rnd.Uint64() | 1, HeartbeatPeriod: HeartbeatPeriod, FlowTTL: flowTTL, RelayThreshold: w.RelayFrom,
 	}
 	a.Core = agentfront.New(w.Now, opts, a, platform.Codec{}, agentEvents{w: w})
 	a.Up = true
@@ -233,7 +233,7 @@
 	w.Every(registryTick, func() bool {
 		want := fleet.EntryUnchanged
 		if a.Life == life {
-			want = a.Core.Presence(w.Now)
+			want = a.Core.WantedEntryState(w.Now)
 		}
 		if want == fleet.EntryUnchanged || want == done || w.Now.Before(w.StoreBack) {
 			return a.Life == life
@@ -244,7 +244,7 @@
 			w.Registry[a.IP] = fleet.Entry{IP: a.IP, Incarnation: epoch}
 			w.Calls[CallRegister]++
 		}
-		a.Core.PresenceStored(w.Now, want)
+		a.Core.EntryStored(w.Now, want)
 		return true
 	})
 	w.Every(fleet.ExpireAfter, func() bool {
--- a/model/sim/quiet.go
+++ b/model/sim/quiet.go
@@ -41,26 +41,26 @@
 var _ agentfront.Events = QuietAgent{}
 
 // Delivered implements agentfront.Events, as do the methods below.
-func (QuietAgent) Delivered()                                         {}
-func (QuietAgent) Request(flow.Key, []byte, int, int)                 {}
-func (QuietAgent) Queued(flow.Key, []byte, int, time.Duration)        {}
-func (QuietAgent) Postponed(flow.Key, time.Duration)                  {}
-func (QuietAgent) Expired(flow.Key, time.Duration)                    {}
-func (QuietAgent) Withheld(flow.Key, []byte, agentfront.Abandoned)    {}
-func (QuietAgent) Unwanted(flow.Key, time.Duration)                   {}
-func (QuietAgent) PassedOn(flow.Key, string, int)                     {}
-func (QuietAgent) Bounced(flow.Key, bool)                             {}
-func (QuietAgent) Reset(flow.Key, string)                             {}
-func (QuietAgent) Dropped(agentfront.DropReason)                      {}
-func (QuietAgent) TargetReport(string, fleet.Heartbeat)               {}
-func (QuietAgent) Failed()                                            {}
-func (QuietAgent) Ejected(bool, int, int)                             {}
-func (QuietAgent) OnProbation(int, time.Duration)                     {}
-func (QuietAgent) Overloaded(bool, backlog.Load, int, time.Duration)  {}
-func (QuietAgent) PeerChanged(flow.IPv4, string)                      {}
-func (QuietAgent) ZoneRelayed(flow.Tag, int, bool)                    {}
-func (QuietAgent) Probed(flow.IPv4, time.Duration)                    {}
-func (QuietAgent) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
+func (QuietAgent) Delivered()                                          {}
+func (QuietAgent) Request(flow.Key, []byte, int, int)                  {}
+func (QuietAgent) Queued(flow.Key, []byte, int, time.Duration)         {}
+func (QuietAgent) Postponed(flow.Key, time.Duration)                   {}
+func (QuietAgent) AbandonedInQueue(flow.Key, time.Duration)            {}
+func (QuietAgent) Withheld(flow.Key, []byte, agentfront.AbandonReason) {}
+func (QuietAgent) AbandonedAtTarget(flow.Key, time.Duration)           {}
+func (QuietAgent) PassedOn(flow.Key, string, int)                      {}
+func (QuietAgent) Bounced(flow.Key, bool)                              {}
+func (QuietAgent) Reset(flow.Key, string)                              {}
+func (QuietAgent) Dropped(agentfront.DropReason)                       {}
+func (QuietAgent) TargetReport(string, fleet.Heartbeat)                {}
+func (QuietAgent) RequestFailed()                                      {}
+func (QuietAgent) Ejected(bool, int, int)                              {}
+func (QuietAgent) OnProbation(int, time.Duration)                      {}
+func (QuietAgent) Overloaded(bool, backlog.Load, int, time.Duration)   {}
+func (QuietAgent) PeerChanged(flow.IPv4, string)                       {}
+func (QuietAgent) ZoneRelayed(flow.Tag, int, bool)                     {}
+func (QuietAgent) BalancerProbed(flow.IPv4, time.Duration)             {}
+func (QuietAgent) EvacuationsChanged(_, _ flow.Evacuations, _ string)  {}
 
 // agentEvents tells the world what it wants to hear of an agent.
 type agentEvents struct {
--- a/model/target.go
+++ b/model/target.go
@@ -226,5 +226,5 @@
 func requestData(number int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(number)) }
 
 func requestNumber(packet []byte) int {
-	return int(binary.BigEndian.Uint32(packet[platform.HeadLen : platform.HeadLen+numberLen]))
+	return int(binary.BigEndian.Uint32(packet[platform.HeaderLen : platform.HeaderLen+numberLen]))
 }
--- a/settings/settingstest/template.go
+++ b/settings/settingstest/template.go
@@ -41,8 +41,8 @@
 	return []byte(text)
 }
 
-// RenderBare renders the template at path without the optional values.
-func RenderBare(t testing.TB, path string) []byte {
+// RenderRequired renders the template at path without the optional values.
+func RenderRequired(t testing.TB, path string) []byte {
 	t.Helper()
 	template, err := os.ReadFile(path)
 	require.NoError(t, err)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -251,8 +251,8 @@
 	return func() {
 		startAgain(s, n, rec)
 		rec.note("a heartbeat of %s arrives late", former.ID)
-		former.DelayedBeat()
-		former.DelayedFarewell()
+		former.SendDelayedHeartbeat()
+		former.SendDelayedDeregistration()
 	}
 }
 
@@ -266,8 +266,8 @@
 	rec.note("target %s drains", h.ID)
 	h.Drain()
 	return func() {
-		if h.Late() > 0 {
-			rec.violate("%d new flows at target %s after its drain was acknowledged", h.Late(), h.ID)
+		if h.LateSYNs() > 0 {
+			rec.violate("%d new flows at target %s after its drain was acknowledged", h.LateSYNs(), h.ID)
 		}
 		if n.current() == h {
 			n.crashTarget()
@@ -319,7 +319,7 @@
 			continue
 		}
 		for _, n := range s.agents {
-			if h := n.current(); h != nil && n.zone == zone && h.OpenedAt().After(since) {
+			if h := n.current(); h != nil && n.zone == zone && h.LastSYNAt().After(since) {
 				rec.violate("a new flow at target %s of zone %s, which is emptied", h.ID, zone)
 			}
 		}
--- a/soak/site.go
+++ b/soak/site.go
@@ -84,7 +84,7 @@
 
 func newSite(cfg Config) (*site, error) {
 	s := &site{cfg: cfg, store: standin.NewStore(time.Now)}
-	s.storeHTTP = httptest.NewServer(platformtest.Store(s.store))
+	s.storeHTTP = httptest.NewServer(platformtest.NewStoreHandler(s.store))
 	if err := s.putConfig(); err != nil {
 		return nil, err
 	}
@@ -111,9 +111,9 @@
 			return nil, err
 		}
 	}
-	var members []platformtest.Member
+	var members []platformtest.Balancer
 	for _, n := range s.balancers {
-		members = append(members, platformtest.Member{
+		members = append(members, platformtest.Balancer{
 			Data: netip.AddrPortFrom(n.addr, portData), Ready: netip.AddrPortFrom(n.addr, portReady),
 		})
 	}
@@ -178,8 +178,8 @@
 	id := fmt.Sprintf("%s-%s-%d", n.name, services[n.service], n.targets/livesOfAnID)
 	n.targets++
 	h, err := platformtest.StartTarget(id, platformtest.TargetConfig{
-		Service: services[n.service], App: netip.AddrPortFrom(n.addr, portApp),
-		Outbound: netip.AddrPortFrom(n.addr, portOutbound), Control: at(n.addr, portControl),
+		Service: services[n.service], ListenAddr: netip.AddrPortFrom(n.addr, portApp),
+		AgentAddr: netip.AddrPortFrom(n.addr, portOutbound), AgentControlAddr: at(n.addr, portControl),
 		Slots: 5, HeartbeatEvery: heartbeatEvery, Grace: drainGrace,
 	})
 	if err != nil {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -119,8 +119,8 @@
 	}
 	checkConfig(s, clients[0], rec)
 	for _, n := range s.agents {
-		if h := n.current(); h != nil && h.Late() > 0 {
-			rec.violate("%d new flows at target %s after its drain was acknowledged", h.Late(), h.ID)
+		if h := n.current(); h != nil && h.LateSYNs() > 0 {
+			rec.violate("%d new flows at target %s after its drain was acknowledged", h.LateSYNs(), h.ID)
 		}
 	}
 	return rec.report, nil
@@ -222,7 +222,7 @@
 // holder returns the target that lives and holds a flow.
 func (s *site) holder(key flow.Key) *platformtest.Target {
 	for _, n := range s.agents {
-		if h := n.current(); h != nil && h.Holds(key) {
+		if h := n.current(); h != nil && h.HasOpenFlow(key) {
 			return h
 		}
 	}
@@ -250,7 +250,7 @@
 	}
 	time.Sleep(configTime)
 	for i, b := range s.balancers {
-		members := []platformtest.Member{{
+		members := []platformtest.Balancer{{
 			Data: netip.AddrPortFrom(b.addr, portData), Ready: netip.AddrPortFrom(b.addr, portReady),
 		}}
 		one, err := platformtest.NewRouters(members, 1)
--- a/standin/watch.go
+++ b/standin/watch.go
@@ -19,7 +19,7 @@
 }
 
 // Watch implements store.Watcher.
-func (s *Store) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (store.Changes, error) {
+func (s *Store) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (store.WatchResponse, error) {
 	end := time.Now().Add(wait)
 	for {
 		changes, err := s.changes(prefix, after)
@@ -28,23 +28,23 @@
 		}
 		select {
 		case <-ctx.Done():
-			return store.Changes{}, &verdict.Error{Verdict: verdict.Unknown, Reason: "watch-cut", Err: ctx.Err()}
+			return store.WatchResponse{}, &verdict.Error{Verdict: verdict.Unknown, Reason: "watch-cut", Err: ctx.Err()}
 		case <-time.After(watchPoll):
 		}
 	}
 }
 
 // changes returns what happened below prefix after a revision.
-func (s *Store) changes(prefix string, after int64) (store.Changes, error) {
+func (s *Store) changes(prefix string, after int64) (store.WatchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin(); err != nil {
-		return store.Changes{}, err
+		return store.WatchResponse{}, err
 	}
 	if after < s.compacted {
-		return store.Changes{}, &verdict.Error{Verdict: verdict.NotRun, Reason: store.ReasonCompacted, Err: errInjected}
+		return store.WatchResponse{}, &verdict.Error{Verdict: verdict.NotRun, Reason: store.ReasonCompacted, Err: errInjected}
 	}
-	out := store.Changes{Revision: s.revision}
+	out := store.WatchResponse{Revision: s.revision}
 	for key, versions := range s.history {
 		if !strings.HasPrefix(key, prefix) {
 			continue
--- a/store/gateway/contract_test.go
+++ b/store/gateway/contract_test.go
@@ -31,7 +31,7 @@
 	proxy, err := standin.NewProxy(strings.TrimPrefix(server.URL, "http://"))
 	require.NoError(t, err)
 	defer proxy.Close()
-	storetest.Silenced(t, gateway.NewClient("http://"+proxy.Addr(), 400*time.Millisecond), proxy.Silence)
+	storetest.CheckStalledConnections(t, gateway.NewClient("http://"+proxy.Addr(), 400*time.Millisecond), proxy.Silence)
 }
 
 // TestResponseOverSlowLink: a response that arrives slowly, but without a stall, is
@@ -42,5 +42,5 @@
 	proxy, err := standin.NewProxy(strings.TrimPrefix(server.URL, "http://"))
 	require.NoError(t, err)
 	defer proxy.Close()
-	storetest.Narrowed(t, gateway.NewClient("http://"+proxy.Addr(), storetest.NarrowedTimeout), proxy.Narrow)
+	storetest.CheckSlowLink(t, gateway.NewClient("http://"+proxy.Addr(), storetest.SlowLinkTimeout), proxy.Narrow)
 }
--- a/store/gateway/http.go
+++ b/store/gateway/http.go
@@ -32,11 +32,11 @@
 func NewClient(base string, timeout time.Duration) *Client {
 	return &Client{
 		caller: jsoncall.Caller{
-			Base:    strings.TrimSuffix(base, "/"),
-			Client:  &http.Client{Transport: http.DefaultTransport.(*http.Transport).Clone()},
-			Refused: statusError,
+			Base:        strings.TrimSuffix(base, "/"),
+			Client:      &http.Client{Transport: http.DefaultTransport.(*http.Transport).Clone()},
+			StatusError: statusError,
 		},
-		limits: transfer.Limits{Begin: timeout, Silence: timeout, Most: MaxResponseSize},
+		limits: transfer.Limits{HeaderTimeout: timeout, StallTimeout: timeout, MaxBody: MaxResponseSize},
 	}
 }
 
--- a/store/jsoncall/jsoncall.go
+++ b/store/jsoncall/jsoncall.go
@@ -32,8 +32,8 @@
 	// Base is the URL that Call.Path is appended to.
 	Base   string
 	Client *http.Client
-	// Refused returns the error of a response with a status other than 200.
-	Refused func(status int, body []byte) error
+	// StatusError returns the error of a response with a status other than 200.
+	StatusError func(status int, body []byte) error
 }
 
 // Call is one call.
@@ -57,7 +57,7 @@
 		return 0, c.transportError(err)
 	}
 	if response.Status != http.StatusOK {
-		return 0, c.Refused(response.Status, response.Body)
+		return 0, c.StatusError(response.Status, response.Body)
 	}
 	if call.Out == nil {
 		return response.TransferTime, nil
--- a/store/store.go
+++ b/store/store.go
@@ -39,9 +39,9 @@
 	KVs      []KV
 	// More reports whether Limit left out pairs of the range.
 	More bool
-	// Took is the time from the response header to the end of the body; zero if
+	// TransferTime is the time from the response header to the end of the body; zero if
 	// the client does not measure it.
-	Took time.Duration
+	TransferTime time.Duration
 }
 
 // Compare is a condition of a transaction on one key.
@@ -156,14 +156,14 @@
 	Removed bool
 }
 
-// Changes is the response to a watch.
-type Changes struct {
+// WatchResponse is the response to a watch.
+type WatchResponse struct {
 	// Revision is the value of after for the next watch.
 	Revision int64
 	Events   []Event
-	// Took is the time from the response header to the end of the body; zero if
+	// TransferTime is the time from the response header to the end of the body; zero if
 	// the client does not measure it.
-	Took time.Duration
+	TransferTime time.Duration
 }
 
 // Watcher is a store whose changes can be watched.
@@ -171,7 +171,7 @@
 	Store
 	// Watch returns the changes of keys with the prefix after a revision, as soon
 	// as there are any, or none when wait has passed.
-	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error)
+	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (WatchResponse, error)
 }
 
 // ReasonNoLease is the verdict.Error reason of a call with a lease that has
--- a/store/storetest/contract.go
+++ b/store/storetest/contract.go
@@ -17,8 +17,8 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// Faulty injects faults into the service behind the client.
-type Faulty interface {
+// FaultInjector injects faults into the service behind the client.
+type FaultInjector interface {
 	// LoseAnswer drops the response to the next write after the write was applied.
 	LoseAnswer()
 	// Down(true) makes every call fail without an effect; Down(false) ends that.
@@ -28,7 +28,7 @@
 }
 
 // Run runs the contract tests on a client of an empty service.
-func Run(t *testing.T, s store.Store, faults Faulty) {
+func Run(t *testing.T, s store.Store, faults FaultInjector) {
 	t.Helper()
 	t.Run("transactions", func(t *testing.T) { checkTransactions(t, s) })
 	t.Run("pages", func(t *testing.T) { checkPaging(t, s) })
@@ -119,7 +119,7 @@
 	require.IsIncreasing(t, got)
 }
 
-func checkLeases(t *testing.T, s store.Store, faults Faulty) {
+func checkLeases(t *testing.T, s store.Store, faults FaultInjector) {
 	ctx := context.Background()
 	id, err := s.Grant(ctx, time.Minute)
 	require.NoError(t, err)
@@ -134,7 +134,7 @@
 	require.Error(t, err)
 }
 
-func checkVerdicts(t *testing.T, s store.Store, faults Faulty) {
+func checkVerdicts(t *testing.T, s store.Store, faults FaultInjector) {
 	ctx := context.Background()
 	faults.LoseAnswer()
 	_, err := s.Txn(ctx, store.Txn{Puts: []store.Put{put("verdict/a", "1")}})
@@ -150,9 +150,9 @@
 	require.False(t, ok)
 }
 
-// Silenced checks that after all open connections of a client have stalled without a
+// CheckStalledConnections checks that after all open connections of a client have stalled without a
 // reset, one failed call is enough for the client to replace all of them.
-func Silenced(t *testing.T, s store.Store, silence func()) {
+func CheckStalledConnections(t *testing.T, s store.Store, silence func()) {
 	t.Helper()
 	ctx := context.Background()
 	call := func() error {
@@ -177,12 +177,12 @@
 	slowLinkRate      = 640_000 // bytes per second
 )
 
-// NarrowedTimeout is the timeout of Narrowed's client.
-const NarrowedTimeout = 400 * time.Millisecond
+// SlowLinkTimeout is the timeout of Narrowed's client.
+const SlowLinkTimeout = 400 * time.Millisecond
 
-// Narrowed checks that a client reads a response whose transfer takes longer than the
+// CheckSlowLink checks that a client reads a response whose transfer takes longer than the
 // client's timeout, as long as it does not stall. narrow limits the link's bandwidth.
-func Narrowed(t *testing.T, s store.Store, narrow func(bytesPerSecond int)) {
+func CheckSlowLink(t *testing.T, s store.Store, narrow func(bytesPerSecond int)) {
 	t.Helper()
 	ctx := context.Background()
 	for i := range slowLinkPairs {
@@ -194,5 +194,5 @@
 	resp, err := s.Range(ctx, store.RangeRequest{Key: "n/", End: store.PrefixEnd("n/")})
 	require.NoError(t, err)
 	require.Len(t, resp.KVs, slowLinkPairs)
-	require.Greater(t, time.Since(began), NarrowedTimeout, "the transfer has to take longer than the timeout")
+	require.Greater(t, time.Since(began), SlowLinkTimeout, "the transfer has to take longer than the timeout")
 }
--- a/telemetry/budget.go
+++ b/telemetry/budget.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Budget limits the rate of log lines of one kind. Lines above the limit are
+// RateLimit limits the rate of log lines of one kind. Lines above the limit are
 // dropped, and their number is reported with the next line written. It is not
 // safe for concurrent use.
-type Budget struct {
+type RateLimit struct {
 	// PerSecond is the maximum number of lines in each second.
 	PerSecond     int
 	currentSecond int64
@@ -13,9 +13,9 @@
 	dropped       int
 }
 
-// Take reports whether a line may be written now, and how many were dropped
+// Allow reports whether a line may be written now, and how many were dropped
 // since the last one.
-func (b *Budget) Take(now time.Time) (dropped int, ok bool) {
+func (b *RateLimit) Allow(now time.Time) (dropped int, ok bool) {
 	if s := now.Unix(); s != b.currentSecond {
 		b.currentSecond, b.written = s, 0
 	}
--- a/telemetry/log_test.go
+++ b/telemetry/log_test.go
@@ -43,17 +43,17 @@
 	require.Contains(t, out.buf.String(), `"msg":"log lines dropped","lines":`)
 }
 
-func TestBudgetReportsDroppedLines(t *testing.T) {
-	b := Budget{PerSecond: 2}
+func TestRateLimitReportsDroppedLines(t *testing.T) {
+	b := RateLimit{PerSecond: 2}
 	now := time.Unix(100, 0)
 	for i, want := range []bool{true, true, false, false} {
-		_, ok := b.Take(now)
+		_, ok := b.Allow(now)
 		require.Equal(t, want, ok, i)
 	}
-	dropped, ok := b.Take(now.Add(time.Second))
+	dropped, ok := b.Allow(now.Add(time.Second))
 	require.True(t, ok)
 	require.Equal(t, 2, dropped)
-	dropped, ok = b.Take(now.Add(time.Second))
+	dropped, ok = b.Allow(now.Add(time.Second))
 	require.True(t, ok)
 	require.Zero(t, dropped)
 }
--- a/telemetry/senttraffic.go
+++ b/telemetry/senttraffic.go
@@ -41,7 +41,7 @@
 }
 
 // NewSentTraffic registers the counters of the named kinds.
-func NewSentTraffic(c Counters, kinds []string) *SentTraffic {
+func NewSentTraffic(c Metrics, kinds []string) *SentTraffic {
 	vector := func(name, help string) [][]prometheus.Counter {
 		v := promauto.With(c.Registry).NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Subsystem: c.Subsystem, Name: name, Help: help,
--- a/telemetry/senttraffic_test.go
+++ b/telemetry/senttraffic_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSentTrafficIsCountedByKindAndZone(t *testing.T) {
-	s := NewSentTraffic(Counters{Registry: prometheus.NewRegistry(), Subsystem: "test"}, []string{"a", "b"})
+	s := NewSentTraffic(Metrics{Registry: prometheus.NewRegistry(), Subsystem: "test"}, []string{"a", "b"})
 	s.Count(1, OtherZone, 60)
 	s.Count(1, OtherZone, 40)
 	s.Count(0, SameZone, 7)
--- a/telemetry/storecalls.go
+++ b/telemetry/storecalls.go
@@ -28,8 +28,8 @@
 type StoreCalls struct{ calls *prometheus.CounterVec }
 
 // NewStoreCalls registers the counter of calls.
-func NewStoreCalls(c Counters) *StoreCalls {
-	return &StoreCalls{c.Vector("store_calls_total", "Calls at the store, by what they are for and how.", "call")}
+func NewStoreCalls(c Metrics) *StoreCalls {
+	return &StoreCalls{c.CounterVector("store_calls_total", "Calls at the store, by what they are for and how.", "call")}
 }
 
 // For returns a store that counts the calls to s under a purpose.
@@ -63,7 +63,7 @@
 	return s.store.Grant(ctx, ttl)
 }
 
-func (s *countedStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (store.Changes, error) {
+func (s *countedStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (store.WatchResponse, error) {
 	s.watches.Inc()
 	return s.store.Watch(ctx, prefix, after, wait)
 }
--- a/telemetry/storecalls_test.go
+++ b/telemetry/storecalls_test.go
@@ -22,12 +22,12 @@
 	return store.TxnResponse{}, nil
 }
 func (emptyStore) Grant(context.Context, time.Duration) (store.LeaseID, error) { return 1, nil }
-func (emptyStore) Watch(context.Context, string, int64, time.Duration) (store.Changes, error) {
-	return store.Changes{}, nil
+func (emptyStore) Watch(context.Context, string, int64, time.Duration) (store.WatchResponse, error) {
+	return store.WatchResponse{}, nil
 }
 
 func TestStoreCallsAreCountedByPurpose(t *testing.T) {
-	calls := NewStoreCalls(Counters{Registry: prometheus.NewRegistry(), Subsystem: "test"})
+	calls := NewStoreCalls(Metrics{Registry: prometheus.NewRegistry(), Subsystem: "test"})
 	s, other := calls.For(PurposeEntry, emptyStore{}), calls.For(PurposeRegistry, emptyStore{})
 	_, err := s.Range(t.Context(), store.RangeRequest{Stale: true})
 	require.NoError(t, err)
--- a/telemetry/zones.go
+++ b/telemetry/zones.go
@@ -13,16 +13,16 @@
 }
 
 // NewZoneGauges registers the gauges.
-func NewZoneGauges(c Counters) *ZoneGauges {
+func NewZoneGauges(c Metrics) *ZoneGauges {
 	return &ZoneGauges{
 		evacuated: c.GaugeVector("emptied_zone", "1 for each availability zone whose targets get no new flows.", "zone"),
 		revision:  c.Gauge("emptied_zones_revision", "The store's revision by which the emptied zones changed last."),
 	}
 }
 
-// Changed sets the gauges to the evacuated zones as of a revision and logs the change.
+// Update sets the gauges to the evacuated zones as of a revision and logs the change.
 // former are the zones evacuated before; from is the source of the change.
-func (g *ZoneGauges) Changed(log *zap.Logger, zones, former []string, revision int64, from string) {
+func (g *ZoneGauges) Update(log *zap.Logger, zones, former []string, revision int64, from string) {
 	g.set(zones, revision)
 	log.Info("zones emptied", zap.Strings("zones", zones), zap.Strings("former", former),
 		zap.Int64(FieldEvacuations, revision), zap.String("from", from))
--- a/telemetry/zones_test.go
+++ b/telemetry/zones_test.go
@@ -17,13 +17,13 @@
 // log line also those before.
 func TestEvacuatedZonesInMetricsAndLog(t *testing.T) {
 	reg := prometheus.NewRegistry()
-	g := NewZoneGauges(Counters{Registry: reg, Subsystem: "front"})
+	g := NewZoneGauges(Metrics{Registry: reg, Subsystem: "front"})
 	var out bytes.Buffer
 	encoder := zapcore.NewJSONEncoder(zapcore.EncoderConfig{MessageKey: "msg"})
 	log := zap.New(zapcore.NewCore(encoder, zapcore.AddSync(&out), zap.InfoLevel))
 
-	g.Changed(log, []string{"a", "b"}, nil, 7, "store")
-	g.Changed(log, []string{"b"}, []string{"a", "b"}, 9, "10.0.0.2")
+	g.Update(log, []string{"a", "b"}, nil, 7, "store")
+	g.Update(log, []string{"b"}, []string{"a", "b"}, 9, "10.0.0.2")
 
 	rec := httptest.NewRecorder()
 	promhttp.HandlerFor(reg, promhttp.HandlerOpts{}).ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/metrics", nil))
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -30,14 +30,14 @@
 
 // Limits are the limits of one request.
 type Limits struct {
-	// Begin limits the time until the response header is received: it covers
+	// HeaderTimeout limits the time until the response header is received: it covers
 	// connecting, sending the request and the server's processing.
-	Begin time.Duration
-	// Silence limits the time in which the next minProgress bytes of the body, or
+	HeaderTimeout time.Duration
+	// StallTimeout limits the time in which the next minProgress bytes of the body, or
 	// its end, must arrive.
-	Silence time.Duration
-	// Most limits the size of the body, in bytes.
-	Most int64
+	StallTimeout time.Duration
+	// MaxBody limits the size of the body, in bytes.
+	MaxBody int64
 }
 
 // Response is a complete response of any status.
@@ -52,9 +52,9 @@
 type Error struct {
 	// HeaderReceived reports whether the response header was received.
 	HeaderReceived bool
-	// Got is how many bytes of the body were received.
-	Got int
-	Err error
+	// BodyBytes is how many bytes of the body were received.
+	BodyBytes int
+	Err       error
 }
 
 // Error implements error.
@@ -72,7 +72,7 @@
 func Do(client *http.Client, req *http.Request, l Limits) (Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	defer cancel(nil)
-	stallTimer := time.AfterFunc(l.Begin, func() { cancel(ErrStalled) })
+	stallTimer := time.AfterFunc(l.HeaderTimeout, func() { cancel(ErrStalled) })
 	defer stallTimer.Stop()
 	resp, err := client.Do(req.WithContext(ctx))
 	if err != nil {
@@ -80,10 +80,10 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	bodyStart := time.Now()
-	stallTimer.Reset(l.Silence)
-	body, err := readBody(resp, l, func() { stallTimer.Reset(l.Silence) })
+	stallTimer.Reset(l.StallTimeout)
+	body, err := readBody(resp, l, func() { stallTimer.Reset(l.StallTimeout) })
 	if err != nil {
-		return Response{}, &Error{HeaderReceived: true, Got: len(body), Err: withStallCause(ctx, err)}
+		return Response{}, &Error{HeaderReceived: true, BodyBytes: len(body), Err: withStallCause(ctx, err)}
 	}
 	return Response{Status: resp.StatusCode, Body: body, TransferTime: time.Since(bodyStart)}, nil
 }
@@ -100,7 +100,7 @@
 // readBody reads the body and calls onProgress after every minProgress bytes or more.
 // With an error it returns the bytes received so far.
 func readBody(resp *http.Response, l Limits, onProgress func()) ([]byte, error) {
-	if resp.ContentLength > l.Most {
+	if resp.ContentLength > l.MaxBody {
 		return nil, ErrTooLarge
 	}
 	body := make([]byte, 0, max(resp.ContentLength+1, 512))
@@ -112,7 +112,7 @@
 		n, err := resp.Body.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		switch {
-		case int64(len(body)) > l.Most:
+		case int64(len(body)) > l.MaxBody:
 			return body, ErrTooLarge
 		case errors.Is(err, io.EOF):
 			return body, nil
--- a/transfer/transfer_test.go
+++ b/transfer/transfer_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestDo(t *testing.T) {
-	limits := Limits{Begin: testStallTimeout, Silence: testStallTimeout, Most: 1 << 20}
+	limits := Limits{HeaderTimeout: testStallTimeout, StallTimeout: testStallTimeout, MaxBody: 1 << 20}
 	forever := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	for name, c := range map[string]struct {
 		handler        http.HandlerFunc
@@ -86,7 +86,7 @@
 	require.NoError(t, ln.Close())
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address, nil)
 	require.NoError(t, err)
-	_, err = Do(http.DefaultClient, req, Limits{Begin: time.Second, Silence: time.Second, Most: 1})
+	_, err = Do(http.DefaultClient, req, Limits{HeaderTimeout: time.Second, StallTimeout: time.Second, MaxBody: 1})
 	var op *net.OpError
 	require.ErrorAs(t, err, &op)
 	require.Equal(t, "dial", op.Op)
