--- a/standin/certs.go
+++ b/standin/certs.go
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// Authority is a certificate authority for tests and the trial.
+// Authority is a self-signed certificate authority for tests and the trial.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
-	// PEM is the authority's own certificate.
+	// PEM is the PEM-encoded certificate of the authority.
 	PEM []byte
 }
 
-const certLife = 24 * time.Hour
+const certValidity = 24 * time.Hour
 
-// NewAuthority makes an authority.
+// NewAuthority returns an authority with a new key.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -34,7 +34,7 @@
 		SerialNumber:          big.NewInt(1),
 		Subject:               pkix.Name{CommonName: "poppywall trial"},
 		NotBefore:             time.Now().Add(-time.Hour),
-		NotAfter:              time.Now().Add(certLife),
+		NotAfter:              time.Now().Add(certValidity),
 		IsCA:                  true,
 		KeyUsage:              x509.KeyUsageCertSign,
 		BasicConstraintsValid: true,
@@ -50,15 +50,15 @@
 	return &Authority{cert: cert, key: key, PEM: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}, nil
 }
 
-// Pool returns the authority as callers trust it.
+// Pool returns a certificate pool with which a client trusts the authority.
 func (a *Authority) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
-// WritePair writes a key pair for the names and loopback into dir and returns
-// the paths of certificate and key.
+// WritePair issues a server certificate for the DNS names and 127.0.0.1, writes it
+// and its key to dir and returns the paths of both files.
 func (a *Authority) WritePair(dir string, names ...string) (cert, key string, err error) {
 	priv, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -68,7 +68,7 @@
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
 		Subject:      pkix.Name{CommonName: names[0]},
 		NotBefore:    time.Now().Add(-time.Hour),
-		NotAfter:     time.Now().Add(certLife),
+		NotAfter:     time.Now().Add(certValidity),
 		DNSNames:     names,
 		IPAddresses:  []net.IP{net.IPv4(127, 0, 0, 1)},
 		KeyUsage:     x509.KeyUsageDigitalSignature,
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,4 +1,4 @@
-// Package standin holds small stand-ins for what surrounds the project in
-// tests and in the trial: the platform's key-value service and a target. They
-// speak the published protocols and can be made to fail.
+// Package standin provides test doubles for the systems around the load balancer:
+// the platform's key-value service, targets, a certificate authority and network
+// links. They speak the published protocols and can inject faults.
 package standin
--- a/standin/gateway.go
+++ b/standin/gateway.go
@@ -10,18 +10,19 @@
 	"github.com/poppywall/poppywall/store/gateway"
 )
 
-// PathFaults takes a Faults document by POST.
+// PathFaults is the path of an endpoint that takes a Faults document by POST.
 const PathFaults = "/standin/faults"
 
-// maxBody bounds a request to the gateway.
-const maxBody = 4 << 20
+// maxRequestBytes is the maximum size of a request body.
+const maxRequestBytes = 4 << 20
 
-// Gateway serves a Store over the platform's HTTP protocol.
+// Gateway returns a handler that serves s over the platform's HTTP protocol and
+// takes faults to inject at PathFaults.
 func Gateway(s *Store) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+gateway.PathRange, serve(s, rangeCall))
-	mux.HandleFunc("POST "+gateway.PathTxn, serve(s, txnCall))
-	mux.HandleFunc("POST "+gateway.PathGrant, serve(s, grantCall))
+	mux.HandleFunc("POST "+gateway.PathRange, jsonHandler(s, rangeCall))
+	mux.HandleFunc("POST "+gateway.PathTxn, jsonHandler(s, txnCall))
+	mux.HandleFunc("POST "+gateway.PathGrant, jsonHandler(s, grantCall))
 	mux.HandleFunc("POST "+PathFaults, func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
 		if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -33,11 +34,13 @@
 	return mux
 }
 
-func serve[Req, Resp any](s *Store, call func(context.Context, *Store, Req) (Resp, error)) http.HandlerFunc {
+// jsonHandler returns a handler that decodes a request, delays it by the injected
+// delay and encodes the response of call. A failed call is answered with 503.
+func jsonHandler[Req, Resp any](s *Store, call func(context.Context, *Store, Req) (Resp, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(s.Delay())
 		var req Req
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&req); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&req); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
--- a/standin/pace.go
+++ b/standin/pace.go
@@ -7,66 +7,69 @@
 	"time"
 )
 
-// pieceTime is how long the pieces take that a link lets through at a time.
-const pieceTime = 5 * time.Millisecond
+// chunkTime is the transmission time of the largest chunk that one read takes off a
+// rate-limited link.
+const chunkTime = 5 * time.Millisecond
 
-// Link is a VM's link of a bounded rate: the connections dialed over it share it
-// in the direction towards the dialer. It is safe for concurrent use.
+// Link simulates a VM's network link of limited rate. All connections dialed over it
+// share the rate in the direction towards the dialer; the other direction is not
+// limited. It is safe for concurrent use.
 type Link struct {
-	// bytesPerSecond is the rate; zero is no bound.
+	// bytesPerSecond is the rate; zero is unlimited.
 	bytesPerSecond int
 
-	// mu guards free.
+	// mu guards busyUntil.
 	mu sync.Mutex
-	// free is when the bytes let through so far have passed.
-	free time.Time
+	// busyUntil is when the transmission of all bytes accepted so far ends.
+	busyUntil time.Time
 }
 
-// NewLink returns a link of a rate in bytes a second.
+// NewLink returns a link with a rate in bytes per second; zero is unlimited.
 func NewLink(bytesPerSecond int) *Link { return &Link{bytesPerSecond: bytesPerSecond} }
 
-// DialContext opens a connection whose bytes towards the dialer pass the link.
+// DialContext opens a connection whose inbound bytes share the link's rate.
 func (l *Link) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &pacedConn{Conn: conn, link: l}, nil
+	return &linkConn{Conn: conn, link: l}, nil
 }
 
-// piece is how many of the wanted bytes may be read at a time.
-func (l *Link) piece(wanted int) int {
+// chunkSize returns how many of the wanted bytes one read may take.
+func (l *Link) chunkSize(wanted int) int {
 	if l.bytesPerSecond == 0 {
 		return wanted
 	}
-	return min(wanted, max(1, int(int64(l.bytesPerSecond)*int64(pieceTime)/int64(time.Second))))
+	return min(wanted, max(1, int(int64(l.bytesPerSecond)*int64(chunkTime)/int64(time.Second))))
 }
 
-// pass waits until n bytes have passed the link.
-func (l *Link) pass(n int) {
+// transmit queues n bytes on the link and waits until they are transmitted.
+func (l *Link) transmit(n int) {
 	if l.bytesPerSecond == 0 {
 		return
 	}
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.busyUntil.Before(now) {
+		l.busyUntil = now
 	}
-	l.free = l.free.Add(time.Duration(n) * time.Second / time.Duration(l.bytesPerSecond))
-	wait := l.free.Sub(now)
+	l.busyUntil = l.busyUntil.Add(time.Duration(n) * time.Second / time.Duration(l.bytesPerSecond))
+	wait := l.busyUntil.Sub(now)
 	l.mu.Unlock()
 	time.Sleep(wait)
 }
 
-type pacedConn struct {
+// linkConn is a connection whose reads are limited to the rate of a link.
+type linkConn struct {
 	net.Conn
 	link *Link
 }
 
 // Read implements net.Conn.
-func (c *pacedConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b[:c.link.piece(len(b))])
-	c.link.pass(n)
+func (c *linkConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b[:c.link.chunkSize(len(b))])
+	c.link.transmit(n)
 	return n, err
 }
--- a/standin/pace_test.go
+++ b/standin/pace_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sendTo serves one connection with size bytes.
-func sendTo(t *testing.T, size int) net.Listener {
+// serveBytes listens on loopback and sends size bytes on each connection.
+func serveBytes(t *testing.T, size int) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -30,10 +30,11 @@
 	return ln
 }
 
-// TestALinkBoundsTheRateOfAllItsConnections, and so does a narrowed proxy.
-func TestALinkBoundsTheRateOfAllItsConnections(t *testing.T) {
+// TestLinkAndProxyLimitTheRateOfAllConnectionsTogether:
+// a link and a rate-limited proxy must not grant the rate to each connection.
+func TestLinkAndProxyLimitTheRateOfAllConnectionsTogether(t *testing.T) {
 	const size, rate = 50_000, 500_000
-	ln := sendTo(t, size)
+	ln := serveBytes(t, size)
 	link := NewLink(rate)
 	proxy, err := NewProxy(ln.Addr().String())
 	require.NoError(t, err)
@@ -42,18 +43,18 @@
 	overLink := func() (net.Conn, error) { return link.DialContext(t.Context(), "tcp4", ln.Addr().String()) }
 	overProxy := func() (net.Conn, error) { return net.Dial("tcp4", proxy.Addr()) }
 	for name, dial := range map[string]func() (net.Conn, error){"link": overLink, "proxy": overProxy} {
-		began := time.Now()
-		done := make(chan int64)
+		start := time.Now()
+		received := make(chan int64)
 		for range 2 {
 			conn, err := dial()
 			require.NoError(t, err)
 			go func() {
 				defer func() { _ = conn.Close() }()
 				n, _ := io.Copy(io.Discard, conn)
-				done <- n
+				received <- n
 			}()
 		}
-		require.EqualValues(t, 2*size, <-done+<-done, name)
-		require.GreaterOrEqual(t, time.Since(began), 2*size*time.Second/rate, name)
+		require.EqualValues(t, 2*size, <-received+<-received, name)
+		require.GreaterOrEqual(t, time.Since(start), 2*size*time.Second/rate, name)
 	}
 }
--- a/standin/ports.go
+++ b/standin/ports.go
@@ -8,27 +8,29 @@
 	"github.com/go-faster/errors"
 )
 
-// Ports below the kernel's range for ephemeral ones: a port that is free now is
-// not handed to somebody's outgoing socket before it is bound.
+// The ports are below the kernel's ephemeral range, so that the kernel does not
+// assign a free port to an outgoing socket before the caller binds it.
 const (
 	firstPort = 20000
 	lastPort  = 32000
 	portTries = 200
 )
 
-// FreeAddress returns a loopback address whose port is free for TCP and UDP.
+// FreeAddress returns a loopback address whose port is free for TCP and UDP. The port
+// is not reserved.
 func FreeAddress() (netip.AddrPort, error) {
 	for range portTries {
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(port))
-		if free(address) {
+		if isFree(address) {
 			return address, nil
 		}
 	}
-	return netip.AddrPort{}, errors.New("no free port")
+	return netip.AddrPort{}, errors.New("no loopback port is free for both TCP and UDP")
 }
 
-func free(address netip.AddrPort) bool {
+// isFree reports whether the address can be bound for TCP and UDP.
+func isFree(address netip.AddrPort) bool {
 	tcp, err := net.Listen("tcp4", address.String())
 	if err != nil {
 		return false
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -7,128 +7,133 @@
 	"time"
 )
 
-// Proxy carries TCP connections to one address and injects the faults of the
-// way there. New connections are carried whatever happened to earlier ones.
+// Proxy forwards TCP connections to one address and injects network faults. Faults
+// of open connections (Silence, Cut, Reset) do not affect later ones.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
 	// mu guards the rest.
-	mu      sync.Mutex
-	links   map[*link]bool
-	refuses bool
-	delay   time.Duration
-	// link carries what the target sends.
-	link *Link
+	mu     sync.Mutex
+	conns  map[*proxyConn]bool
+	refuse bool
+	delay  time.Duration
+	// fromTarget limits the rate of the bytes that the target sends.
+	fromTarget *Link
 }
 
-// Way is a direction of a connection.
-type Way uint8
+// Direction is a direction of a connection.
+type Direction uint8
 
-// The directions.
+// The directions of a connection.
 const (
-	ToTarget Way = iota
+	ToTarget Direction = iota
 	FromTarget
 )
 
-// link is one connection.
-type link struct {
+// proxyConn is a client connection and its connection to the target.
+type proxyConn struct {
 	client, server net.Conn
-	// mu guards cut.
-	mu  sync.Mutex
-	cut [2]bool
+	// mu guards blackholed.
+	mu sync.Mutex
+	// blackholed marks the directions whose bytes are dropped.
+	blackholed [2]bool
 }
 
-func (l *link) isCut(w Way) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.cut[w]
+func (c *proxyConn) isBlackholed(dir Direction) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.blackholed[dir]
 }
 
-// reset closes both ends so that each sees a reset.
-func (l *link) reset() {
-	for _, conn := range []net.Conn{l.client, l.server} {
+// reset closes both connections so that each peer sees a TCP reset.
+func (c *proxyConn) reset() {
+	for _, conn := range []net.Conn{c.client, c.server} {
 		if conn == nil {
 			continue
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			// Zero linger turns the close into a reset; a failure leaves a plain close.
+			// With a linger time of zero, Close sends a reset. If setting it fails, Close
+			// ends the connection normally.
 			_ = tcp.SetLinger(0)
 		}
 		_ = conn.Close()
 	}
 }
 
-// NewProxy starts a proxy on a loopback port. Close ends it.
+// NewProxy starts a proxy to target on a loopback port. The caller must Close it.
 func NewProxy(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: listener, target: target, links: map[*link]bool{}, link: NewLink(0)}
+	p := &Proxy{listener: listener, target: target, conns: map[*proxyConn]bool{}, fromTarget: NewLink(0)}
 	go p.accept()
 	return p, nil
 }
 
-// Addr is the address to connect to.
+// Addr returns the address of the proxy's listener.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Silence lets the open connections go silent for good, without a reset.
+// Silence drops all further bytes of the open connections in both directions,
+// without a reset.
 func (p *Proxy) Silence() {
 	p.Cut(ToTarget)
 	p.Cut(FromTarget)
 }
 
-// Cut drops the bytes of the open connections in one direction for good.
-func (p *Proxy) Cut(w Way) {
-	for _, l := range p.open() {
-		l.mu.Lock()
-		l.cut[w] = true
-		l.mu.Unlock()
+// Cut drops all further bytes of the open connections in one direction, without a
+// reset.
+func (p *Proxy) Cut(dir Direction) {
+	for _, conn := range p.openConns() {
+		conn.mu.Lock()
+		conn.blackholed[dir] = true
+		conn.mu.Unlock()
 	}
 }
 
 // Reset resets the open connections.
 func (p *Proxy) Reset() {
-	for _, l := range p.open() {
-		l.reset()
+	for _, conn := range p.openConns() {
+		conn.reset()
 	}
 }
 
-// Refuse makes new connections be closed at once, or ends that.
-func (p *Proxy) Refuse(refuses bool) {
+// Refuse sets whether new connections are reset at once.
+func (p *Proxy) Refuse(refuse bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refuses = refuses
+	p.refuse = refuse
 }
 
-// Delay holds all bytes back for a while, in each direction.
+// Delay sets the delay that each chunk of bytes gets, in both directions.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Narrow bounds the rate of what the target sends, of all connections together,
-// in bytes a second.
+// Narrow limits the rate at which the target's bytes are forwarded on all connections
+// together, in bytes per second; zero is unlimited.
 func (p *Proxy) Narrow(bytesPerSecond int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.link = NewLink(bytesPerSecond)
+	p.fromTarget = NewLink(bytesPerSecond)
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and resets the open connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
 }
 
-func (p *Proxy) open() []*link {
+// openConns returns the open connections.
+func (p *Proxy) openConns() []*proxyConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]*link, 0, len(p.links))
-	for l := range p.links {
-		out = append(out, l)
+	out := make([]*proxyConn, 0, len(p.conns))
+	for conn := range p.conns {
+		out = append(out, conn)
 	}
 	return out
 }
@@ -140,56 +145,59 @@
 			return
 		}
 		p.mu.Lock()
-		refuses := p.refuses
+		refuse := p.refuse
 		p.mu.Unlock()
-		if refuses {
-			(&link{client: client}).reset()
+		if refuse {
+			(&proxyConn{client: client}).reset()
 			continue
 		}
-		go p.carry(client)
+		go p.serve(client)
 	}
 }
 
-func (p *Proxy) carry(client net.Conn) {
+// serve forwards a client's connection until both directions have ended.
+func (p *Proxy) serve(client net.Conn) {
 	server, err := net.Dial("tcp4", p.target)
 	if err != nil {
 		_ = client.Close()
 		return
 	}
-	l := &link{client: client, server: server}
+	conn := &proxyConn{client: client, server: server}
 	p.mu.Lock()
-	p.links[l] = true
+	p.conns[conn] = true
 	p.mu.Unlock()
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); p.pump(l, ToTarget, client, server) }()
-	go func() { defer both.Done(); p.pump(l, FromTarget, server, client) }()
+	go func() { defer both.Done(); p.copyDirection(conn, ToTarget, client, server) }()
+	go func() { defer both.Done(); p.copyDirection(conn, FromTarget, server, client) }()
 	both.Wait()
 	p.mu.Lock()
-	delete(p.links, l)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 }
 
-// wide is a link that bounds nothing.
-var wide = NewLink(0)
+// unlimited is a link without a rate limit.
+var unlimited = NewLink(0)
 
-func (p *Proxy) linkOf(w Way) *Link {
+// linkFor returns the link that limits the rate of a direction.
+func (p *Proxy) linkFor(dir Direction) *Link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if w == FromTarget {
-		return p.link
+	if dir == FromTarget {
+		return p.fromTarget
 	}
-	return wide
+	return unlimited
 }
 
-// pump copies one direction. A cut direction swallows everything, its end too.
-func (p *Proxy) pump(l *link, w Way, from, to net.Conn) {
+// copyDirection copies one direction. In a blackholed direction it discards everything,
+// the end of the stream included.
+func (p *Proxy) copyDirection(conn *proxyConn, dir Direction, src, dst net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
-		narrow := p.linkOf(w)
-		n, err := from.Read(buf[:narrow.piece(len(buf))])
-		narrow.pass(n)
-		if l.isCut(w) {
+		link := p.linkFor(dir)
+		n, err := src.Read(buf[:link.chunkSize(len(buf))])
+		link.transmit(n)
+		if conn.isBlackholed(dir) {
 			if err != nil {
 				return
 			}
@@ -200,12 +208,12 @@
 		p.mu.Unlock()
 		time.Sleep(delay)
 		if n > 0 {
-			if _, werr := to.Write(buf[:n]); werr != nil {
+			if _, writeErr := dst.Write(buf[:n]); writeErr != nil {
 				return
 			}
 		}
 		if err == io.EOF {
-			_ = to.Close()
+			_ = dst.Close()
 		}
 		if err != nil {
 			return
--- a/standin/store.go
+++ b/standin/store.go
@@ -13,28 +13,30 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// Faults are what the platform does wrong; the zero value is health.
+// Faults are the faults that the store injects; the zero value injects none.
 type Faults struct {
-	// Down refuses every call before it has an effect.
+	// Down fails every call before it has an effect.
 	Down bool `json:"down"`
-	// LoseAnswers drops the answer of this many writes after their effect.
+	// LoseAnswers is the number of coming writes whose response is lost after they
+	// were applied.
 	LoseAnswers int `json:"loseAnswers"`
-	// LoseRequests drops this many writes before their effect, with the same
-	// error as a lost answer: the caller cannot tell.
+	// LoseRequests is the number of coming writes that are lost before they are
+	// applied. The error is that of a lost response, so the caller cannot tell the
+	// two apart.
 	LoseRequests int `json:"loseRequests"`
-	// StaleBy makes reads of the latest revision answer as if this many
-	// revisions had not happened yet.
+	// StaleBy is how many revisions reads of the latest revision lag behind.
 	StaleBy int64 `json:"staleBy"`
-	// DelayMillis holds every answer back, served over HTTP only.
+	// DelayMillis delays every request over HTTP; direct calls are not delayed.
 	DelayMillis int `json:"delayMillis"`
 }
 
+// version is the state of a key from a revision on.
 type version struct {
-	revision int64
-	value    []byte
-	create   int64
-	deleted  bool
-	lease    store.LeaseID
+	revision       int64
+	value          []byte
+	createRevision int64
+	deleted        bool
+	lease          store.LeaseID
 }
 
 // Store is an in-memory key-value service with the platform's semantics:
@@ -47,16 +49,16 @@
 	revision int64
 	history  map[string][]version
 	leases   map[store.LeaseID]lease
-	// compacted is the revision up to which the history is gone for watches.
+	// compacted is the revision before which watches cannot start.
 	compacted int64
-	next      store.LeaseID
+	lastLease store.LeaseID
 	faults    Faults
 	calls     int
 }
 
 var errInjected = errors.New("injected fault")
 
-// NewStore returns an empty store that reads the time from now.
+// NewStore returns an empty store that uses now as its clock.
 func NewStore(now func() time.Time) *Store {
 	return &Store{
 		now:      now,
@@ -66,14 +68,14 @@
 	}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Delay returns how long an answer is to be held back.
+// Delay returns the injected delay of a request over HTTP.
 func (s *Store) Delay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,18 +89,20 @@
 	return s.calls
 }
 
-// LapseLeases ends all leases at once.
+// LapseLeases expires all leases at once and removes their keys.
 func (s *Store) LapseLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.leases {
-		l.till = time.Time{}
+		l.expires = time.Time{}
 		s.leases[id] = l
 	}
 	s.expire()
 }
 
-func (s *Store) begin() error {
+// beginCall counts a call, fails it if the store is down and expires leases. The
+// caller holds mu.
+func (s *Store) beginCall() error {
 	s.calls++
 	if s.faults.Down {
 		return &verdict.Error{Verdict: verdict.NotRun, Reason: "platform-down", Err: errInjected}
@@ -107,9 +111,10 @@
 	return nil
 }
 
+// expire removes the leases that have expired, with their keys.
 func (s *Store) expire() {
 	for id, l := range s.leases {
-		if s.now().Before(l.till) {
+		if s.now().Before(l.expires) {
 			continue
 		}
 		delete(s.leases, id)
@@ -117,6 +122,7 @@
 	}
 }
 
+// deleteLeased deletes the keys of a lease, each at a revision of its own.
 func (s *Store) deleteLeased(id store.LeaseID) {
 	for key, vs := range s.history {
 		last := vs[len(vs)-1]
@@ -127,8 +133,9 @@
 	}
 }
 
-// at returns the version of a key at a revision.
-func (s *Store) at(key string, revision int64) (version, bool) {
+// versionAt returns the version of a key at a revision and reports whether the key
+// existed then.
+func (s *Store) versionAt(key string, revision int64) (version, bool) {
 	vs := s.history[key]
 	for i := len(vs) - 1; i >= 0; i-- {
 		if vs[i].revision <= revision {
@@ -142,7 +149,7 @@
 func (s *Store) Range(_ context.Context, req store.RangeRequest) (store.RangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return store.RangeResponse{}, err
 	}
 	rev := req.Revision
@@ -150,8 +157,8 @@
 		rev = max(s.revision-s.faults.StaleBy, 1)
 	}
 	resp := store.RangeResponse{Revision: max(s.revision-s.faults.StaleBy, 1)}
-	for _, key := range s.keysIn(req.Key, req.End) {
-		v, ok := s.at(key, rev)
+	for _, key := range s.keysInRange(req.Key, req.End) {
+		v, ok := s.versionAt(key, rev)
 		if !ok || v.revision < req.MinModRevision {
 			continue
 		}
@@ -159,12 +166,14 @@
 			resp.More = true
 			break
 		}
-		resp.KVs = append(resp.KVs, store.KV{Key: key, Value: v.value, CreateRevision: v.create, ModRevision: v.revision})
+		resp.KVs = append(resp.KVs, store.KV{Key: key, Value: v.value, CreateRevision: v.createRevision, ModRevision: v.revision})
 	}
 	return resp, nil
 }
 
-func (s *Store) keysIn(from, end string) []string {
+// keysInRange returns the keys in [from, end) that ever existed, sorted. An empty end
+// is the key from alone, "\x00" is no upper bound.
+func (s *Store) keysInRange(from, end string) []string {
 	var keys []string
 	for key := range s.history {
 		if key == from || (end != "" && key >= from && (end == "\x00" || key < end)) {
@@ -179,20 +188,20 @@
 func (s *Store) Txn(_ context.Context, txn store.Txn) (store.TxnResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return store.TxnResponse{}, err
 	}
-	lost := &verdict.Error{Verdict: verdict.Unknown, Reason: "platform-answer-lost", Err: errInjected}
+	answerLost := &verdict.Error{Verdict: verdict.Unknown, Reason: "platform-answer-lost", Err: errInjected}
 	if s.faults.LoseRequests > 0 {
 		s.faults.LoseRequests--
-		return store.TxnResponse{}, lost
+		return store.TxnResponse{}, answerLost
 	}
 	for _, p := range txn.Puts {
 		if _, ok := s.leases[p.Lease]; p.Lease != 0 && !ok {
 			return store.TxnResponse{}, noLease()
 		}
 	}
-	resp := store.TxnResponse{Succeeded: s.holds(txn.Compares)}
+	resp := store.TxnResponse{Succeeded: s.compareAll(txn.Compares)}
 	if resp.Succeeded {
 		s.put(txn.Puts)
 		s.remove(txn.Removes)
@@ -200,20 +209,21 @@
 	resp.Revision = s.revision
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
-		return store.TxnResponse{}, lost
+		return store.TxnResponse{}, answerLost
 	}
 	return resp, nil
 }
 
-func (s *Store) holds(compares []store.Compare) bool {
+// compareAll reports whether all conditions of a transaction are met.
+func (s *Store) compareAll(compares []store.Compare) bool {
 	for _, c := range compares {
-		v, ok := s.at(c.Key, s.revision)
+		v, ok := s.versionAt(c.Key, s.revision)
 		got := int64(0)
 		if ok && c.Field == store.ModRevision {
 			got = v.revision
 		}
 		if ok && c.Field == store.CreateRevision {
-			got = v.create
+			got = v.createRevision
 		}
 		if got != c.Equal {
 			return false
@@ -222,7 +232,7 @@
 	return true
 }
 
-// put writes all pairs at one new revision.
+// put writes all pairs at one new revision, the next one.
 func (s *Store) put(puts []store.Put) {
 	if len(puts) == 0 {
 		return
@@ -230,19 +240,19 @@
 	before := s.revision
 	s.revision++
 	for _, p := range puts {
-		v := version{revision: s.revision, value: p.Value, create: s.revision, lease: p.Lease}
-		if old, ok := s.at(p.Key, before); ok {
-			v.create = old.create
+		v := version{revision: s.revision, value: p.Value, createRevision: s.revision, lease: p.Lease}
+		if old, ok := s.versionAt(p.Key, before); ok {
+			v.createRevision = old.createRevision
 		}
 		s.history[p.Key] = append(s.history[p.Key], v)
 	}
 }
 
-// remove removes those keys that exist at one new revision.
+// remove deletes the keys that exist, all at one new revision.
 func (s *Store) remove(keys []string) {
 	before := s.revision
 	for _, key := range keys {
-		if _, ok := s.at(key, before); ok {
+		if _, ok := s.versionAt(key, before); ok {
 			s.revision = before + 1
 			s.history[key] = append(s.history[key], version{revision: s.revision, deleted: true})
 		}
@@ -253,51 +263,52 @@
 func (s *Store) Grant(_ context.Context, ttl time.Duration) (store.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return 0, err
 	}
-	s.next++
-	s.leases[s.next] = lease{ttl: ttl, till: s.now().Add(ttl)}
-	return s.next, nil
+	s.lastLease++
+	s.leases[s.lastLease] = lease{ttl: ttl, expires: s.now().Add(ttl)}
+	return s.lastLease, nil
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults; its counts are those that are left.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// LoseAnswer drops the answer of the next write after its effect.
+// LoseAnswer drops the response to one more coming write after it was applied.
 func (s *Store) LoseAnswer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.LoseAnswers++
 }
 
-// Down makes every call fail before it has an effect, or ends that.
+// Down sets whether every call fails without an effect.
 func (s *Store) Down(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.Down = down
 }
 
-// Operator writes past the faults, which are those of the system's own calls.
+// Operator writes pairs as an operator does. Injected faults do not apply: they are
+// faults of the calls of the system under test.
 func (s *Store) Operator(puts ...store.Put) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(puts)
 }
 
-// Has tells whether a key is there, past the faults.
+// Has reports whether a key exists, regardless of injected faults.
 func (s *Store) Has(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.at(key, s.revision)
+	_, ok := s.versionAt(key, s.revision)
 	return ok
 }
 
-// OperatorRemoves removes keys in the same way.
+// OperatorRemoves deletes keys as an operator does, regardless of injected faults.
 func (s *Store) OperatorRemoves(keys ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/target.go
+++ b/standin/target.go
@@ -18,28 +18,29 @@
 	"github.com/go-faster/errors"
 )
 
-// Headers of the target's little application.
+// Headers of the target's HTTP application.
 const (
-	// HeaderRequestID names a request; the target logs which it ran.
+	// HeaderRequestID identifies a request; the target counts its executions by it.
 	HeaderRequestID = "Request-Id"
-	// HeaderTarget names the target that answered.
+	// HeaderTarget is the name of the target that responded.
 	HeaderTarget = "Target-Name"
 )
 
-// TargetOptions describe a target stand-in.
+// TargetOptions configure a Target.
 type TargetOptions struct {
-	Name   string
+	Name string
+	// Slots is the number of slots that the target announces.
 	Slots  int
 	Labels map[string]string
 	// Agent is the base URL of the agent's announcement endpoint.
 	Agent string
 	// Heartbeat is the period of announcements.
 	Heartbeat time.Duration
-	// Work is how long a move, hold or catalogue answer takes.
+	// Work is the service time of a move, hold or catalogue request.
 	Work time.Duration
 }
 
-// Announcement is the document that a target puts to its agent.
+// Announcement is the JSON body with which a target announces itself to its agent.
 type Announcement struct {
 	Address  string            `json:"address"`
 	Slots    int               `json:"slots"`
@@ -47,38 +48,39 @@
 	Draining bool              `json:"draining,omitempty"`
 }
 
-// Behaviour is how the target misbehaves.
-type Behaviour struct {
-	// FailAll answers every request with 500.
+// TargetFaults are the faults that a target injects.
+type TargetFaults struct {
+	// FailAll responds to every request with status 500.
 	FailAll atomic.Bool
-	// DieMidAnswer cuts the connection in the middle of an answer.
+	// DieMidAnswer closes the connection in the middle of a response to a move or hold.
 	DieMidAnswer atomic.Bool
-	// Frozen holds every request and announcement back until it is lifted.
+	// Frozen suspends announcements and the execution of requests until it is unset.
 	Frozen atomic.Bool
-	// Silent stops announcements without a farewell.
+	// Silent stops announcements without announcing a drain first.
 	Silent atomic.Bool
 }
 
-// Target is a small HTTP/1.1 application: board streams, moves, holds, uploads
-// and a catalogue, with a log of what ran.
+// Target is a small HTTP/1.1 server with board streams, moves, holds, uploads and a
+// catalogue. It counts how often each request was executed.
 type Target struct {
-	Behaviour
+	TargetFaults
 	opts     TargetOptions
 	listener net.Listener
 	server   *http.Server
 	client   *http.Client
 	draining atomic.Bool
 
-	// mu guards runs.
-	mu   sync.Mutex
-	runs map[string]int
-	// streams and open count what is in progress, requests what arrived.
+	// mu guards executions, the number of executions by request ID.
+	mu         sync.Mutex
+	executions map[string]int
+	// streams is the number of open board streams, inFlight that of requests in
+	// progress, requests that of requests received so far.
 	streams  atomic.Int64
-	open     atomic.Int64
+	inFlight atomic.Int64
 	requests atomic.Int64
 }
 
-const idlePoll = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
 // NewTarget opens the target's listener on a loopback port.
 func NewTarget(opts TargetOptions) (*Target, error) {
@@ -86,33 +88,35 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Target{opts: opts, listener: ln, runs: map[string]int{}, client: &http.Client{Timeout: 2 * time.Second}}
+	t := &Target{opts: opts, listener: ln, executions: map[string]int{}, client: &http.Client{Timeout: 2 * time.Second}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /board", t.board)
 	mux.HandleFunc("POST /upload", t.upload)
 	mux.HandleFunc("GET /catalogue", t.catalogue)
-	mux.HandleFunc("POST /", t.act)
-	t.server = &http.Server{Handler: t.observe(mux), ReadHeaderTimeout: 5 * time.Second}
+	mux.HandleFunc("POST /", t.echo)
+	t.server = &http.Server{Handler: t.countRequests(mux), ReadHeaderTimeout: 5 * time.Second}
 	return t, nil
 }
 
 // Address returns the listener's address.
 func (t *Target) Address() string { return t.listener.Addr().String() }
 
-// Runs returns how often the request ran.
+// Runs returns how often the request with this ID was executed. An execution counts
+// from its start, before injected faults apply.
 func (t *Target) Runs(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.runs[id]
+	return t.executions[id]
 }
 
-// Requests returns the number of requests that arrived.
+// Requests returns the number of requests received.
 func (t *Target) Requests() int64 { return t.requests.Load() }
 
 // Streams returns the number of open board streams.
 func (t *Target) Streams() int64 { return t.streams.Load() }
 
-// Serve serves and announces until ctx ends, then says farewell.
+// Serve serves requests and announces the target until ctx ends. It then closes all
+// connections without announcing a drain.
 func (t *Target) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = t.server.Close() })
 	defer stop()
@@ -123,12 +127,13 @@
 	return nil
 }
 
-// Drain announces that the target is leaving.
+// Drain announces that the target is draining. It goes on serving requests.
 func (t *Target) Drain() {
 	t.draining.Store(true)
 	_ = t.announce(context.Background())
 }
 
+// announceLoop announces the target once in each heartbeat period until ctx ends.
 func (t *Target) announceLoop(ctx context.Context) {
 	tick := time.NewTicker(t.opts.Heartbeat)
 	defer tick.Stop()
@@ -144,6 +149,7 @@
 	}
 }
 
+// announce sends one announcement to the agent.
 func (t *Target) announce(ctx context.Context) error {
 	body, err := json.Marshal(Announcement{
 		Address:  t.Address(),
@@ -166,18 +172,20 @@
 	return resp.Body.Close()
 }
 
-func (t *Target) observe(next http.Handler) http.Handler {
+// countRequests wraps next: it counts requests and executions and injects the faults
+// Frozen and FailAll.
+func (t *Target) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		t.requests.Add(1)
-		t.open.Add(1)
-		defer t.open.Add(-1)
+		t.inFlight.Add(1)
+		defer t.inFlight.Add(-1)
 		w.Header().Set(HeaderTarget, t.opts.Name)
 		if id := r.Header.Get(HeaderRequestID); id != "" {
 			t.mu.Lock()
-			t.runs[id]++
+			t.executions[id]++
 			t.mu.Unlock()
 		}
-		t.waitThawed(r.Context())
+		t.waitUnfrozen(r.Context())
 		if t.FailAll.Load() {
 			http.Error(w, "broken", http.StatusInternalServerError)
 			return
@@ -186,14 +194,14 @@
 	})
 }
 
-func (t *Target) waitThawed(ctx context.Context) {
+func (t *Target) waitUnfrozen(ctx context.Context) {
 	for t.Frozen.Load() && ctx.Err() == nil {
-		time.Sleep(idlePoll)
+		time.Sleep(pollInterval)
 	}
 }
 
-// board streams server-sent events: one every interval until the count or the
-// caller ends it.
+// board streams server-sent events, one per interval, until it has sent count events
+// or the caller closes the stream.
 func (t *Target) board(w http.ResponseWriter, r *http.Request) {
 	t.streams.Add(1)
 	defer t.streams.Add(-1)
@@ -218,23 +226,25 @@
 	}
 }
 
+// upload responds with the size and the SHA-256 of the request body.
 func (t *Target) upload(w http.ResponseWriter, r *http.Request) {
 	h := sha256.New()
 	n, err := io.Copy(h, r.Body)
 	if err != nil {
-		http.Error(w, "upload cut short", http.StatusBadRequest)
+		http.Error(w, "upload ended early", http.StatusBadRequest)
 		return
 	}
 	fmt.Fprintf(w, "%d %s\n", n, hex.EncodeToString(h.Sum(nil)))
 }
 
-// act runs a move or a hold and echoes its body.
-func (t *Target) act(w http.ResponseWriter, r *http.Request) {
+// echo handles a move or a hold: it responds with the request body after the service
+// time.
+func (t *Target) echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	t.work(r)
+	t.simulateWork(r)
 	if t.DieMidAnswer.Load() {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)+1000))
 		_, _ = w.Write(body)
@@ -245,12 +255,13 @@
 }
 
 func (t *Target) catalogue(w http.ResponseWriter, r *http.Request) {
-	t.work(r)
+	t.simulateWork(r)
 	size := intParam(r, "size", 1000)
 	_, _ = w.Write(bytes.Repeat([]byte("x"), size))
 }
 
-func (t *Target) work(r *http.Request) {
+// simulateWork waits for the service time or until the caller has gone.
+func (t *Target) simulateWork(r *http.Request) {
 	select {
 	case <-r.Context().Done():
 	case <-time.After(t.opts.Work):
@@ -265,10 +276,10 @@
 	return v
 }
 
-// WaitIdle waits until nothing is in progress, at most for limit.
+// WaitIdle waits until no request is in progress, at most for limit.
 func (t *Target) WaitIdle(limit time.Duration) {
 	deadline := time.Now().Add(limit)
-	for t.open.Load() > 0 && time.Now().Before(deadline) {
-		time.Sleep(idlePoll)
+	for t.inFlight.Load() > 0 && time.Now().Before(deadline) {
+		time.Sleep(pollInterval)
 	}
 }
--- a/standin/watch.go
+++ b/standin/watch.go
@@ -10,35 +10,36 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// watchPoll is how often a waiting watch looks for changes.
-const watchPoll = 5 * time.Millisecond
+// watchPollInterval is how often a waiting watch checks for changes.
+const watchPollInterval = 5 * time.Millisecond
 
 type lease struct {
-	ttl  time.Duration
-	till time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 // Watch implements store.Watcher.
 func (s *Store) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (store.Changes, error) {
-	end := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
-		changes, err := s.changes(prefix, after)
-		if err != nil || len(changes.Events) > 0 || !time.Now().Before(end) {
+		changes, err := s.changesAfter(prefix, after)
+		if err != nil || len(changes.Events) > 0 || !time.Now().Before(deadline) {
 			return changes, err
 		}
 		select {
 		case <-ctx.Done():
 			return store.Changes{}, &verdict.Error{Verdict: verdict.Unknown, Reason: "watch-cut", Err: ctx.Err()}
-		case <-time.After(watchPoll):
+		case <-time.After(watchPollInterval):
 		}
 	}
 }
 
-// changes returns what happened below prefix after a revision.
-func (s *Store) changes(prefix string, after int64) (store.Changes, error) {
+// changesAfter returns the changes of keys with prefix after a revision, in the order of
+// their revisions.
+func (s *Store) changesAfter(prefix string, after int64) (store.Changes, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return store.Changes{}, err
 	}
 	if after < s.compacted {
@@ -51,7 +52,7 @@
 		}
 		for _, v := range versions {
 			if v.revision > after {
-				kv := store.KV{Key: key, Value: v.value, CreateRevision: v.create, ModRevision: v.revision}
+				kv := store.KV{Key: key, Value: v.value, CreateRevision: v.createRevision, ModRevision: v.revision}
 				out.Events = append(out.Events, store.Event{KV: kv, Removed: v.deleted})
 			}
 		}
@@ -60,7 +61,8 @@
 	return out, nil
 }
 
-// Compact drops the history: watches from earlier revisions are refused.
+// Compact makes watches from before the current revision fail, as after a compaction.
+// Reads at earlier revisions still work.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
