--- a/binaries/internal/process/process.go
+++ b/binaries/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what all binaries share: flags, settings, the log and the
-// stop on a signal.
+// Package process holds what all binaries share: the command line, settings and their
+// reload, the logger and the stop on a signal.
 package process
 
 import (
@@ -31,13 +31,13 @@
 	return p
 }
 
-// Fail prints an error and exits.
+// Fail prints an error to standard error and exits with code.
 func Fail(code int, err error) {
 	fmt.Fprintln(os.Stderr, "error:", err)
 	os.Exit(code)
 }
 
-// Runner is a process's main object.
+// Runner is the main object of a process. Run returns when ctx ends or on an error.
 type Runner interface {
 	Run(ctx context.Context) error
 }
@@ -46,13 +46,16 @@
 type Daemon[T any] struct {
 	Name, Description string
 	Defaults          T
-	Log               func(T) settings.Log
-	New               func(T, *zap.Logger) (Runner, error)
+	// Log returns the log settings.
+	Log func(T) settings.Log
+	// New returns the main object; it may implement Reloader.
+	New func(T, *zap.Logger) (Runner, error)
 }
 
 // Main parses flags, checks settings and runs until SIGTERM or SIGINT.
 func (d Daemon[T]) Main(args []string) {
-	// First of all: a signal that comes while the process starts must not end it.
+	// Register for SIGHUP first: by default, one that arrives during the start would
+	// terminate the process.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	path, check := "", false
@@ -62,7 +65,7 @@
 	if err := p.ParseArgs(args); err != nil {
 		Fail(ExitUsage, err)
 	}
-	cfg := d.load(path)
+	cfg := d.loadSettings(path)
 	if check {
 		fmt.Println("settings are valid")
 		return
@@ -72,7 +75,8 @@
 	}
 }
 
-func (d Daemon[T]) load(path string) T {
+// loadSettings reads and checks the settings file. It exits if that fails.
+func (d Daemon[T]) loadSettings(path string) T {
 	if path == "" {
 		Fail(ExitUsage, fmt.Errorf("--settings is required"))
 	}
@@ -96,20 +100,21 @@
 	}
 	ctx, stop := SignalContext()
 	defer stop()
-	go d.follow(ctx, path, cfg, hangup, r, log, level)
+	go d.watchSettings(ctx, path, cfg, hangup, r, log, level)
 	return r.Run(ctx)
 }
 
-// Fronts runs the front that the first argument names, else the default one.
-func Fronts(byDefault func(args []string), named map[string]func(args []string)) {
+// RunFront runs the front that the first argument of the command line names, with
+// the arguments after it, or else the default front with all of them.
+func RunFront(defaultFront func(args []string), fronts map[string]func(args []string)) {
 	args := os.Args[1:]
 	if len(args) > 0 {
-		if run, ok := named[args[0]]; ok {
+		if run, ok := fronts[args[0]]; ok {
 			run(args[1:])
 			return
 		}
 	}
-	byDefault(args)
+	defaultFront(args)
 }
 
 // SignalContext returns a context that ends on SIGTERM or SIGINT.
--- a/binaries/internal/process/reload.go
+++ b/binaries/internal/process/reload.go
@@ -13,25 +13,26 @@
 	"github.com/poppywall/poppywall/telemetry"
 )
 
-// settingsPoll is how often the settings file is looked at: it may change
-// without a signal.
-const settingsPoll = 2 * time.Second
+// settingsPollInterval is the interval at which the settings file is checked for
+// changes made without a SIGHUP.
+const settingsPollInterval = 2 * time.Second
 
-// Reloader is a Runner that takes changed settings while it runs. It returns
-// the names of the fields that it has taken over; others need a restart.
+// Reloader is a Runner that can apply changed settings while it runs. Reload returns the
+// names of the fields that it applies; changes of others need a restart.
 type Reloader[T any] interface {
-	Reload(cfg T) (taken []string)
+	Reload(cfg T) (applied []string)
 }
 
-// fieldLog is the field that every process takes over by itself.
+// fieldLog is the settings field that the reload applies for every Runner.
 const fieldLog = "log"
 
-// follow reloads the settings on SIGHUP and when their file has changed.
-func (d Daemon[T]) follow(ctx context.Context, path string, cfg T, hangup <-chan os.Signal, r Runner, log *zap.Logger, level zap.AtomicLevel) {
-	tick := time.NewTicker(settingsPoll)
+// watchSettings reloads the settings on SIGHUP and when their file has changed, until
+// ctx ends.
+func (d Daemon[T]) watchSettings(ctx context.Context, path string, cfg T, hangup <-chan os.Signal, r Runner, log *zap.Logger, level zap.AtomicLevel) {
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
-	// A file that cannot be read is taken for unchanged; the next look tells.
-	last, _ := os.ReadFile(path)
+	// If this read fails, the next successful one counts as a change of the file.
+	lastData, _ := os.ReadFile(path)
 	for {
 		cause := "file changed"
 		select {
@@ -46,35 +47,35 @@
 			log.Error("settings refused, the old ones stay", zap.Error(err))
 			continue
 		}
-		if bytes.Equal(data, last) {
+		if bytes.Equal(data, lastData) {
 			if cause == "signal" {
 				log.Info("settings reloaded", zap.String("cause", cause), zap.Strings("changed", nil))
 			}
 			continue
 		}
-		last = data
+		lastData = data
 		cfg = d.reload(data, cause, cfg, r, log, level)
 	}
 }
 
-// reload puts changed settings in force, or refuses them with one line. It
-// returns those that are in force.
+// reload applies changed settings and returns them. If they are invalid, it logs one line
+// and returns the old ones.
 func (d Daemon[T]) reload(data []byte, cause string, old T, r Runner, log *zap.Logger, level zap.AtomicLevel) T {
 	cfg, err := settings.Parse(data, d.Defaults)
 	if err != nil {
 		log.Error("settings refused, the old ones stay", zap.String("cause", cause), zap.Error(err))
 		return old
 	}
-	// The level was validated with the rest.
+	// Parse has validated the level, so no error is expected.
 	if l, err := telemetry.ParseLevel(d.Log(cfg)); err == nil {
 		level.SetLevel(l)
 	}
-	taken := []string{fieldLog}
+	applied := []string{fieldLog}
 	if reloader, ok := r.(Reloader[T]); ok {
-		taken = append(taken, reloader.Reload(cfg)...)
+		applied = append(applied, reloader.Reload(cfg)...)
 	}
 	changed := settings.Changed(old, cfg)
-	restart := slices.DeleteFunc(slices.Clone(changed), func(f string) bool { return slices.Contains(taken, f) })
-	log.Info("settings reloaded", zap.String("cause", cause), zap.Strings("changed", changed), zap.Strings("need_restart", restart))
+	needRestart := slices.DeleteFunc(slices.Clone(changed), func(f string) bool { return slices.Contains(applied, f) })
+	log.Info("settings reloaded", zap.String("cause", cause), zap.Strings("changed", changed), zap.Strings("need_restart", needRestart))
 	return cfg
 }
--- a/binaries/internal/process/reload_test.go
+++ b/binaries/internal/process/reload_test.go
@@ -16,8 +16,9 @@
 	Log  settings.Log `json:"log"`
 }
 
-// TestBadSettingsAreRefusedWithOneLine: the old ones stay, also the log's level.
-func TestBadSettingsAreRefusedWithOneLine(t *testing.T) {
+// TestInvalidSettingsAreRejectedWithOneLogLine checks that a reload with invalid
+// settings logs one line each time and leaves the settings and the log level unchanged.
+func TestInvalidSettingsAreRejectedWithOneLogLine(t *testing.T) {
 	d := Daemon[testSettings]{Log: func(s testSettings) settings.Log { return s.Log }}
 	core, lines := observer.New(zapcore.InfoLevel)
 	level := zap.NewAtomicLevelAt(zapcore.InfoLevel)
--- a/binaries/poppywall-agent/main.go
+++ b/binaries/poppywall-agent/main.go
@@ -1,5 +1,6 @@
-// Command poppywall-agent runs beside the targets of a host: it ends QUIC,
-// admits requests and hands them to targets.
+// Command poppywall-agent runs beside the targets of a host. Its QUIC front terminates
+// QUIC, admits requests and passes them to targets; its packet front delivers the packets
+// of opaque flows.
 package main
 
 import (
@@ -11,11 +12,11 @@
 	"github.com/poppywall/poppywall/settings"
 )
 
-// frontPackets is the argument that selects the front for opaque flows.
+// frontPackets is the argument that selects the packet front.
 const frontPackets = "packets"
 
 func main() {
-	process.Fronts(quicFront().Main, map[string]func([]string){frontPackets: packetFront().Main})
+	process.RunFront(quicFront().Main, map[string]func([]string){frontPackets: packetFront().Main})
 }
 
 func quicFront() process.Daemon[agent.Settings] {
--- a/binaries/poppywall-balancer/main.go
+++ b/binaries/poppywall-balancer/main.go
@@ -1,4 +1,5 @@
-// Command poppywall-balancer forwards datagrams of callers to agents.
+// Command poppywall-balancer is a layer-4 load balancer. Its QUIC front forwards datagrams
+// of callers to agents; its packet front forwards packets of opaque flows.
 package main
 
 import (
@@ -10,11 +11,11 @@
 	"github.com/poppywall/poppywall/settings"
 )
 
-// frontPackets is the argument that selects the front for opaque flows.
+// frontPackets is the argument that selects the packet front.
 const frontPackets = "packets"
 
 func main() {
-	process.Fronts(quicFront().Main, map[string]func([]string){frontPackets: packetFront().Main})
+	process.RunFront(quicFront().Main, map[string]func([]string){frontPackets: packetFront().Main})
 }
 
 func quicFront() process.Daemon[balancer.Settings] {
--- a/binaries/poppywall-load/main.go
+++ b/binaries/poppywall-load/main.go
@@ -1,5 +1,5 @@
-// Command poppywall-load runs an experiment file: a site, a load and a
-// timetable of faults, and prints what callers saw.
+// Command poppywall-load runs an experiment file, which describes a site, a load and a
+// schedule of faults, and prints what callers observed.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/poppywall/poppywall/trial"
 )
 
-// experiment is an experiment file.
+// experiment is the contents of an experiment file.
 type experiment struct {
 	Title string     `json:"title" validate:"required"`
 	Site  trial.Site `json:"site" validate:"required"`
--- a/binaries/poppywall-measure/main.go
+++ b/binaries/poppywall-measure/main.go
@@ -1,4 +1,4 @@
-// Command poppywall-measure runs the measurements that docs/DESIGN.md and
+// Command poppywall-measure runs the measurements whose results docs/DESIGN.md and
 // docs/CAPACITY.md quote.
 package main
 
@@ -23,7 +23,7 @@
 		runs[sub] = run
 		return sub
 	}
-	only := 0
+	balancers := 0
 	add("choice", "Policies for the choice of host.", measure.PrintChoice)
 	add("overload", "Goodput under overload and retries.", measure.PrintOverload)
 	add("ejection", "Judges for the ejection of failing targets.", measure.PrintEjection)
@@ -38,12 +38,12 @@
 	var flags modelFlags
 	flags.attach(add("model", "Load and faults on a simulated deployment: what callers get.", flags.run))
 	add("capacity", "Costs of control over the size of the fleet.", measure.PrintCapacity)
-	fleet.Int(&only, "n", "balancers", "Only this number of balancers.")
+	fleet.Int(&balancers, "n", "balancers", "Only this number of balancers.")
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
 		process.Fail(process.ExitUsage, err)
 	}
-	if only > 0 {
-		measure.FleetSizes = []int{only}
+	if balancers > 0 {
+		measure.FleetSizes = []int{balancers}
 	}
 	for sub, run := range runs {
 		if !sub.Used {
--- a/binaries/poppywall-measure/model.go
+++ b/binaries/poppywall-measure/model.go
@@ -29,18 +29,19 @@
 	sub.Int(&f.drawn, "d", "drawn", "Number of deployments drawn at random besides.")
 }
 
-// run plays an experiment; the table goes to w, progress to the standard error.
+// run runs the model. It writes the table of results to w and its progress to standard
+// error.
 func (f *modelFlags) run(w io.Writer) error {
-	s, err := f.load()
+	s, err := f.resolve()
 	if err == nil {
 		err = s.Check()
 	}
 	if err != nil {
 		process.Fail(process.ExitUsage, err)
 	}
-	rows := model.Run(s, func(done, of int) {
-		fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, of)
-		if done == of {
+	rows := model.Run(s, func(done, total int) {
+		fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, total)
+		if done == total {
 			fmt.Fprintln(os.Stderr)
 		}
 	})
@@ -52,8 +53,8 @@
 	return model.Print(w, rows, f.brief)
 }
 
-// load returns the settings, with what the flags say.
-func (f *modelFlags) load() (model.Settings, error) {
+// resolve returns the settings of the file or the defaults, overridden by the flags.
+func (f *modelFlags) resolve() (model.Settings, error) {
 	s := model.DefaultSettings()
 	if f.settings != "" {
 		var err error
--- a/binaries/poppywall-soak/main.go
+++ b/binaries/poppywall-soak/main.go
@@ -1,4 +1,5 @@
-// Command poppywall-soak runs either front under faults, seed after seed.
+// Command poppywall-soak runs the packet front or the QUIC front under random faults, once
+// for each seed, and checks what it guarantees.
 package main
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/poppywall/poppywall/soak"
 )
 
-// Defaults of a run: a small site, some 20 s a seed.
+// Defaults: a small site, with runs of about 20 s per seed.
 const (
 	defaultBalancers = 4
 	defaultAgents    = 8
@@ -50,6 +51,8 @@
 	os.Exit(run(front, cfg, bin, dir, seed, seeds))
 }
 
+// run runs the front once per seed, prints a report and the violations of each run, and
+// returns the exit code. It keeps the logs of the runs with violations.
 func run(front func(soak.Config) (soak.Report, error), cfg soak.Config, bin, dir string, seed, seeds int) int {
 	failed := 0
 	for i := range seeds {
@@ -63,7 +66,7 @@
 		if err != nil {
 			process.Fail(process.ExitFailure, err)
 		}
-		fmt.Printf("seed %d: %d requests, %d refused, %d resets, %d silent, %d broken promises\n",
+		fmt.Printf("seed %d: %d requests, %d refused, %d resets, %d silent, %d violations\n",
 			report.Seed, report.Requests, report.Refused, report.Resets, report.Silent, len(report.Violations))
 		if len(report.Violations) == 0 {
 			_ = os.RemoveAll(cfg.Dir)
@@ -76,7 +79,7 @@
 		for _, line := range report.Journal {
 			fmt.Println("      ", line)
 		}
-		fmt.Printf("   again: poppywall-soak --seed %d, with the same flags; logs in %s\n", cfg.Seed, cfg.Dir)
+		fmt.Printf("   reproduce with: poppywall-soak --seed %d and the same flags; logs in %s\n", cfg.Seed, cfg.Dir)
 	}
 	fmt.Printf("%d passed, %d failed\n", seeds-failed, failed)
 	if failed > 0 {
--- a/binaries/poppywall-standin/main.go
+++ b/binaries/poppywall-standin/main.go
@@ -17,6 +17,7 @@
 	"github.com/poppywall/poppywall/standin"
 )
 
+// targetFlags are the flags of the subcommand target.
 type targetFlags struct {
 	name, agent, service string
 	slots, workMillis    int
@@ -55,7 +56,7 @@
 	case target:
 		return runTarget(ctx, t)
 	default:
-		return errors.New("say which stand-in: platform or target")
+		return errors.New("a subcommand is required: platform or target")
 	}
 }
 
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// farewell is how long a stopping target lets its open work end.
-const farewell = 30 * time.Second
+// drainLimit is how long a stopping target waits for requests in progress to end.
+const drainLimit = 30 * time.Second
 
 func runTarget(ctx context.Context, f targetFlags) error {
 	t, err := standin.NewTarget(standin.TargetOptions{
@@ -90,12 +91,12 @@
 		return err
 	}
 	fmt.Println("target", t.Address())
-	serving, stop := context.WithCancel(context.Background())
+	serveCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	context.AfterFunc(ctx, func() {
 		t.Drain()
-		t.WaitIdle(farewell)
+		t.WaitIdle(drainLimit)
 		stop()
 	})
-	return t.Serve(serving)
+	return t.Serve(serveCtx)
 }
--- a/binaries/poppywall-trial/main.go
+++ b/binaries/poppywall-trial/main.go
@@ -1,6 +1,6 @@
-// Command poppywall-trial runs a whole small site in one process, drives a
-// short workload through it while a balancer and a target drain, and prints a
-// summary as one JSON line.
+// Command poppywall-trial runs a small site in one process and sends a short workload to
+// it, during which a target is drained and a balancer stopped. It prints a summary as one
+// line of JSON.
 package main
 
 import (
@@ -62,7 +62,7 @@
 		return keepRunning(ctx, c)
 	}
 	if summary.BrokenFlows > 0 {
-		return fmt.Errorf("%d flows broke", summary.BrokenFlows)
+		return fmt.Errorf("%d flows were broken", summary.BrokenFlows)
 	}
 	return nil
 }
--- a/binaries/poppywallctl/changes.go
+++ b/binaries/poppywallctl/changes.go
@@ -13,7 +13,7 @@
 	"github.com/poppywall/poppywall/settings"
 )
 
-// readDocument reads a change; a bad one changes nothing.
+// readDocument reads and validates a change document.
 func readDocument(path string) (change.Document, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -31,12 +31,12 @@
 	if err != nil {
 		process.Fail(process.ExitUsage, err)
 	}
-	return t.report(ctx, t.applier.Apply(ctx, doc))
+	return t.finish(ctx, t.applier.Apply(ctx, doc))
 }
 
-// report prints a result, waits for its being in force and returns the exit
-// code.
-func (t *tool) report(ctx context.Context, res change.Result) int {
+// finish prints the result of a change, waits until it is in force if the flags ask for
+// that, and returns the exit code.
+func (t *tool) finish(ctx context.Context, res change.Result) int {
 	printJSON(res)
 	switch res.Outcome {
 	case change.Rejected:
@@ -50,6 +50,7 @@
 	return t.waitInForce(ctx, res.Revision)
 }
 
+// diff prints how each item of a change document differs from the stored configuration.
 func (t *tool) diff(ctx context.Context, path string) int {
 	doc, err := readDocument(path)
 	if err != nil {
@@ -65,6 +66,8 @@
 	return process.ExitOK
 }
 
+// diffItem returns the line of an item: "+" adds, "-" removes, "~" changes, "=" leaves
+// the record as it is.
 func diffItem(state *catalog.State, it *change.Item) string {
 	key, err := it.Key()
 	if err != nil {
@@ -78,14 +81,16 @@
 		return "- " + key
 	case !found:
 		return "+ " + key
-	case sameContent(&old, it):
+	case unchanged(&old, it):
 		return "= " + key
 	default:
 		return "~ " + key
 	}
 }
 
-func sameContent(old *catalog.Record, it *change.Item) bool {
+// unchanged reports whether a record has the contents of an item. The ID of a service is
+// not compared: it is assigned when the change is applied.
+func unchanged(old *catalog.Record, it *change.Item) bool {
 	if it.Service != nil && old.Service != nil {
 		want := *it.Service
 		want.ID = old.Service.ID
@@ -94,8 +99,9 @@
 	return it.Target != nil && old.Target != nil && reflect.DeepEqual(*old.Target, *it.Target)
 }
 
-// stored is one record as get prints it, in the form that apply takes.
-type stored struct {
+// storedDocument is the output of get: the stored configuration as a document that apply
+// accepts.
+type storedDocument struct {
 	Items []change.Item `json:"items"`
 }
 
@@ -104,7 +110,7 @@
 	if err != nil {
 		process.Fail(process.ExitFailure, err)
 	}
-	out := stored{Items: []change.Item{}}
+	out := storedDocument{Items: []change.Item{}}
 	for _, r := range state.Records(catalog.KeepAll) {
 		rev := r.Revision
 		out.Items = append(out.Items, change.Item{Service: r.Service, Target: r.Target, Revision: &rev})
@@ -113,7 +119,7 @@
 	return process.ExitOK
 }
 
-func (t *tool) label(ctx context.Context, where string, changes []string) int {
+func (t *tool) label(ctx context.Context, hostOrTarget string, changes []string) int {
 	if len(changes) == 0 {
 		process.Fail(process.ExitUsage, fmt.Errorf("--set is required: key=value or key-"))
 	}
@@ -122,9 +128,10 @@
 			process.Fail(process.ExitUsage, fmt.Errorf("--set %q: want key=value or key-", c))
 		}
 	}
-	return t.edit(ctx, where, func(target *catalog.Target) { setLabels(target, changes) })
+	return t.edit(ctx, hostOrTarget, func(target *catalog.Target) { setLabels(target, changes) })
 }
 
+// setLabels applies changes of the forms key=value and key- to a copy of the labels.
 func setLabels(target *catalog.Target, changes []string) {
 	labels := catalog.Labels{}
 	for k, v := range target.Labels {
@@ -140,14 +147,14 @@
 	target.Labels = labels
 }
 
-func (t *tool) drain(ctx context.Context, where string, drain bool) int {
-	return t.edit(ctx, where, func(target *catalog.Target) { target.Drain = drain })
+func (t *tool) drain(ctx context.Context, hostOrTarget string, drain bool) int {
+	return t.edit(ctx, hostOrTarget, func(target *catalog.Target) { target.Drain = drain })
 }
 
-func (t *tool) edit(ctx context.Context, where string, edit func(*catalog.Target)) int {
-	host, name, _ := strings.Cut(where, "/")
+func (t *tool) edit(ctx context.Context, hostOrTarget string, edit func(*catalog.Target)) int {
+	host, name, _ := strings.Cut(hostOrTarget, "/")
 	build := change.EditTarget(t.store, host, name, edit)
-	return t.report(ctx, t.applier.Edit(ctx, build))
+	return t.finish(ctx, t.applier.Edit(ctx, build))
 }
 
 func (t *tool) history(ctx context.Context) int {
--- a/binaries/poppywallctl/main.go
+++ b/binaries/poppywallctl/main.go
@@ -1,5 +1,5 @@
-// Command poppywallctl is the operators' tool: it changes the configuration at
-// the platform and shows what is in force.
+// Command poppywallctl is the operators' tool. It changes the configuration stored on the
+// platform and shows what is in force on the balancers.
 package main
 
 import (
@@ -23,36 +23,38 @@
 
 // Exit codes of changes.
 const (
-	exitRejected = 3
-	exitUnknown  = 4
-	exitNotYet   = 5
+	exitRejected   = 3
+	exitUnknown    = 4
+	exitNotInForce = 5
 )
 
-// ctlSettings are the tool's settings file.
+// ctlSettings are the contents of the settings file.
 type ctlSettings struct {
 	// Platform is the base URL of the platform's key-value service.
 	Platform string `json:"platform" validate:"required,url"`
-	// Balancers are control addresses to ask for status.
+	// Balancers are the control addresses of balancers to query for their status.
 	Balancers []string `json:"balancers" validate:"required,min=1,dive,addrport4"`
 	// Secrets is the cluster secret list.
 	Secrets []settings.Secret `json:"secrets" validate:"required,min=1,max=8,dive"`
-	// Author is written to the history; the user's name when empty.
+	// Author is recorded in the history of changes; the user's login name by default.
 	Author string `json:"author,omitempty"`
 }
 
 const (
 	platformTimeout = 5 * time.Second
 	callTimeout     = 3 * time.Second
-	idleConn        = time.Minute
+	idleConnTimeout = time.Minute
 )
 
-// tool is one run of the command.
+// tool is an invocation of the command.
 type tool struct {
 	cfg     ctlSettings
 	store   store.Store
 	client  *control.Client
 	applier *change.Applier
-	wait    time.Duration
+	// wait is how long to wait until a change is in force on every balancer; zero does
+	// not wait.
+	wait time.Duration
 }
 
 // flags are the values of the command line.
@@ -73,7 +75,7 @@
 	p.Bool(&f.check, "", "check", "Check the settings and exit.")
 	p.Duration(&f.wait, "w", "wait", "Wait until the change is in force on every balancer, at most this long.")
 	p.Duration(&f.timeout, "t", "timeout", "Longest time to ask the platform.")
-	commands := attach(p, &f)
+	commands := addCommands(p, &f)
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
 		process.Fail(process.ExitUsage, err)
 	}
@@ -98,7 +100,8 @@
 	run func(context.Context, *tool) int
 }
 
-func attach(p *flaggy.Parser, f *flags) []command {
+// addCommands adds the subcommands and their arguments to p.
+func addCommands(p *flaggy.Parser, f *flags) []command {
 	add := func(name, description string, run func(context.Context, *tool) int) command {
 		sub := flaggy.NewSubcommand(name)
 		sub.Description = description
@@ -141,12 +144,13 @@
 	return &tool{
 		cfg:     cfg,
 		store:   store,
-		client:  control.NewClient(secrets, &control.Traffic{}, callTimeout, idleConn),
+		client:  control.NewClient(secrets, &control.Traffic{}, callTimeout, idleConnTimeout),
 		applier: change.NewApplier(store, change.Options{Author: author(cfg), Now: time.Now, NewID: uuid.NewString}),
 		wait:    f.wait,
 	}
 }
 
+// author returns the author of changes: from the settings, else the login name.
 func author(cfg ctlSettings) string {
 	if cfg.Author != "" {
 		return cfg.Author
@@ -157,7 +161,7 @@
 	return "unknown"
 }
 
-// printJSON prints a value for people and programs.
+// printJSON prints a value as indented JSON.
 func printJSON(v any) {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
--- a/binaries/poppywallctl/status.go
+++ b/binaries/poppywallctl/status.go
@@ -18,72 +18,77 @@
 )
 
 const (
-	// askAtOnce bounds the balancers asked at the same time.
-	askAtOnce = 32
-	waitPoll  = 200 * time.Millisecond
+	// maxConcurrentCalls is the maximum number of balancers queried at the same time.
+	maxConcurrentCalls = 32
+	waitPollInterval   = 200 * time.Millisecond
 )
 
-// view is one balancer's answer.
-type view struct {
+// balancerStatus is the status of a balancer, or the error of the query.
+type balancerStatus struct {
 	name, address string
 	status        control.StatusReply
 	err           error
 }
 
-// first asks the balancers of the settings until one answers.
-func (t *tool) first(ctx context.Context) (control.StatusReply, error) {
-	var last error
+// queryAny queries the balancers of the settings one after the other and returns the first
+// response.
+func (t *tool) queryAny(ctx context.Context) (control.StatusReply, error) {
+	var lastErr error
 	for _, address := range t.cfg.Balancers {
 		var reply control.StatusReply
-		last = t.client.Call(ctx, address, control.MethodStatus, control.StatusRequest{Entries: true}, &reply)
-		if last == nil {
+		lastErr = t.client.Call(ctx, address, control.MethodStatus, control.StatusRequest{Entries: true}, &reply)
+		if lastErr == nil {
 			return reply, nil
 		}
 	}
-	return control.StatusReply{}, last
+	return control.StatusReply{}, lastErr
 }
 
-// all asks every live balancer that the first one knows.
-func (t *tool) all(ctx context.Context) ([]view, control.StatusReply, error) {
-	first, err := t.first(ctx)
+// queryAll queries every live balancer that the first response lists, and returns their
+// statuses by name, with the first response.
+func (t *tool) queryAll(ctx context.Context) ([]balancerStatus, control.StatusReply, error) {
+	first, err := t.queryAny(ctx)
 	if err != nil {
 		return nil, first, err
 	}
-	p := pool.NewWithResults[view]().WithMaxGoroutines(askAtOnce)
+	p := pool.NewWithResults[balancerStatus]().WithMaxGoroutines(maxConcurrentCalls)
 	for _, b := range first.Balancers {
-		p.Go(func() view {
-			v := view{name: b.Name, address: b.Control.String()}
+		p.Go(func() balancerStatus {
+			v := balancerStatus{name: b.Name, address: b.Control.String()}
 			v.err = t.client.Call(ctx, v.address, control.MethodStatus, control.StatusRequest{}, &v.status)
 			return v
 		})
 	}
-	views := p.Wait()
-	slices.SortFunc(views, func(a, b view) int { return strings.Compare(a.name, b.name) })
-	return views, first, nil
+	statuses := p.Wait()
+	slices.SortFunc(statuses, func(a, b balancerStatus) int { return strings.Compare(a.name, b.name) })
+	return statuses, first, nil
 }
 
-// waitInForce waits until every live balancer reports the revision.
+// waitInForce waits until every live balancer has the revision in force, and returns the
+// exit code.
 func (t *tool) waitInForce(ctx context.Context, rev catalog.Revision) int {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.wait)
 	defer cancel()
 	for {
-		views, _, err := t.all(ctx)
-		if err == nil && behind(views, rev) == 0 {
-			fmt.Printf("in force on %d balancers\n", len(views))
+		statuses, _, err := t.queryAll(ctx)
+		if err == nil && countNotInForce(statuses, rev) == 0 {
+			fmt.Printf("in force on %d balancers\n", len(statuses))
 			return process.ExitOK
 		}
 		select {
 		case <-ctx.Done():
-			fmt.Fprintf(os.Stderr, "accepted, but not yet in force on %d of %d balancers\n", behind(views, rev), len(views))
-			return exitNotYet
-		case <-time.After(waitPoll):
+			fmt.Fprintf(os.Stderr, "accepted, but not yet in force on %d of %d balancers\n", countNotInForce(statuses, rev), len(statuses))
+			return exitNotInForce
+		case <-time.After(waitPollInterval):
 		}
 	}
 }
 
-func behind(views []view, rev catalog.Revision) int {
+// countNotInForce returns how many balancers have an older revision in force or did not
+// respond.
+func countNotInForce(statuses []balancerStatus, rev catalog.Revision) int {
 	n := 0
-	for _, v := range views {
+	for _, v := range statuses {
 		if v.err != nil || v.status.Revision < rev {
 			n++
 		}
@@ -91,8 +96,9 @@
 	return n
 }
 
+// status prints the services, the balancers and the hosts.
 func (t *tool) status(ctx context.Context) int {
-	views, first, err := t.all(ctx)
+	statuses, first, err := t.queryAll(ctx)
 	if err != nil {
 		process.Fail(process.ExitFailure, err)
 	}
@@ -102,27 +108,27 @@
 		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\n", s.Name, s.ID, s.Address, s.Hosts, s.Slots)
 	}
 	fmt.Fprintln(w, "\nBALANCER\tZONE\tREVISION\tROLE\tSTATE")
-	for _, v := range views {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", v.name, v.status.Self.Zone, v.status.Revision, role(&v), state(&v))
+	for _, v := range statuses {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", v.name, v.status.Self.Zone, v.status.Revision, balancerRole(&v), balancerState(&v))
 	}
 	fmt.Fprintln(w, "\nHOST\tZONE\tDATA\tSTATE\tREADY SLOTS")
 	for _, e := range first.Entries {
 		if e.Kind == directory.KindHost {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\n", e.Name, e.Zone, e.Data, hostState(&e), slots(&e))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\n", e.Name, e.Zone, e.Data, hostState(&e), readySlots(&e))
 		}
 	}
 	_ = w.Flush()
 	return process.ExitOK
 }
 
-func role(v *view) string {
+func balancerRole(v *balancerStatus) string {
 	if v.status.Feeder {
 		return "feeder"
 	}
 	return "-"
 }
 
-func state(v *view) string {
+func balancerState(v *balancerStatus) string {
 	switch {
 	case v.err != nil:
 		return "no answer"
@@ -141,14 +147,15 @@
 		return "gone"
 	case e.Status == directory.Left:
 		return "left"
-	case slots(e) == 0:
+	case readySlots(e) == 0:
 		return "draining"
 	default:
 		return "serving"
 	}
 }
 
-func slots(e *directory.Entry) int {
+// readySlots returns the slots that a host offers, over all services.
+func readySlots(e *directory.Entry) int {
 	n := 0
 	for _, o := range e.Offers {
 		n += int(o.Slots)
