--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -1,7 +1,6 @@
-// Package trial runs a whole small site in one process: the platform stand-in,
-// balancers, agents and target stand-ins on loopback, with the kernel spraying
-// each datagram to a random balancer. It is the embedded default of
-// poppywall-trial and the bed of load experiments; every part is the real one.
+// Package trial runs a small site in one process on loopback: real balancers and
+// agents with stand-ins for the platform and the targets. The kernel distributes the
+// datagrams among the balancers at random. poppywall-trial and poppywall-load run on it.
 package trial
 
 import (
@@ -29,53 +28,54 @@
 	"github.com/poppywall/poppywall/standin"
 )
 
-// LabelService is the label that the trial's selectors match.
+// LabelService is the target label that the selectors of the site's services match.
 const LabelService = "service"
 
 // ServiceSpec describes one service of a site.
 type ServiceSpec struct {
 	Name string `json:"name" validate:"required,hostname_rfc1123"`
-	// Hosts and Slots are the hosts and the slots of each.
+	// Hosts is the number of hosts, Slots the number of slots of each host's target.
 	Hosts int `json:"hosts" validate:"gte=1,lte=64"`
 	Slots int `json:"slots" validate:"gte=1,lte=64"`
-	// SlotRequests bounds requests at one slot; zero is the default.
+	// SlotRequests limits the concurrent requests per slot; zero is the default.
 	SlotRequests int `json:"slotRequests,omitempty" validate:"gte=0"`
-	// SlotStreams bounds streams at one slot; zero is the default.
+	// SlotStreams limits the open streams per slot; zero is the default.
 	SlotStreams int `json:"slotStreams,omitempty" validate:"gte=0"`
-	// Workspaces are the weights of workspaces by authority.
+	// Workspaces are the weights of the workspaces, by authority.
 	Workspaces map[string]int `json:"members,omitempty"`
-	// WorkMillis is how long a target takes for a short request.
+	// WorkMillis is the service time of a short request in milliseconds.
 	WorkMillis int `json:"workMillis,omitempty" validate:"gte=0"`
 }
 
-// Site describes what to run.
+// Site describes the site to run.
 type Site struct {
 	Zones     []string      `json:"zones" validate:"required,min=1,dive,required"`
 	Balancers int           `json:"balancers" validate:"gte=1,lte=16"`
 	Services  []ServiceSpec `json:"services" validate:"required,min=1,max=16,dive"`
 }
 
-// Host is one host of a running site: an agent and its target.
+// Host is a host of a running site: an agent and its target.
 type Host struct {
 	Service string
 	Name    string
 	Agent   *agent.Agent
 	Target  *standin.Target
-	// StopAgent begins a graceful stop of the agent.
+	// StopAgent starts a graceful stop of the agent.
 	StopAgent context.CancelFunc
 	// Stopped is closed when the agent has stopped.
 	Stopped chan struct{}
 
-	slots   int
-	drained atomic.Bool
-	// killTarget ends the target at once, with all its connections.
+	slots int
+	// outOfService is set by faults that drain or kill the target or stop the agent.
+	outOfService atomic.Bool
+	// killTarget stops the target at once and closes all its connections.
 	killTarget context.CancelFunc
 }
 
-// Node is one balancer of a running site.
+// Node is a balancer of a running site.
 type Node struct {
 	Balancer *balancer.Balancer
-	// Stop begins a graceful stop.
+	// Stop starts a graceful stop.
 	Stop context.CancelFunc
 	// Stopped is closed when the balancer has stopped.
 	Stopped chan struct{}
@@ -83,45 +83,54 @@
 
 // Cluster is a running site.
 type Cluster struct {
-	Site      Site
-	Store     *standin.Store
-	Platform  string
+	Site  Site
+	Store *standin.Store
+	// Platform is the base URL of the platform stand-in.
+	Platform string
+	// Addresses are the addresses of the services by name.
 	Addresses map[string]string
-	Roots     *x509.CertPool
-	CAPEM     []byte
-	Nodes     []*Node
-	// Hosts grows while faults are injected; hosts returns a safe copy.
+	// Roots and CAPEM are the certificate of the authority that signed the agents'
+	// certificates, CAPEM in PEM form.
+	Roots *x509.CertPool
+	CAPEM []byte
+	Nodes []*Node
+	// Hosts grows when hosts are added; hosts returns a copy that is safe to read
+	// meanwhile.
 	Hosts   []*Host
 	Secrets []settings.Secret
 
 	// mu guards Hosts after Start.
 	mu sync.Mutex
 
-	log     *zap.Logger
-	dir     string
-	period  settings.Duration
-	cert    string
-	key     string
-	gateway *httptest.Server
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      conc.WaitGroup
+	log *zap.Logger
+	// dir is a temporary directory with the agents' certificate and key, at the paths
+	// cert and key.
+	dir string
+	// controlInterval is the balancers' gossip and pull interval.
+	controlInterval settings.Duration
+	cert            string
+	key             string
+	gateway         *httptest.Server
+	ctx             context.Context
+	cancel          context.CancelFunc
+	wg              conc.WaitGroup
 }
 
 const (
-	trialSecret   = "706f70707977616c6c2d747269616c2d7365637265742d3030303030303030"
-	fastPeriod    = 200 * time.Millisecond
-	trialLeave    = time.Second
-	readyTimeout  = 30 * time.Second
-	readyPoll     = 20 * time.Millisecond
-	loopbackAny   = "127.0.0.1:0"
-	targetPeriod  = 500 * time.Millisecond
-	trialDrainMax = 30 * time.Second
+	trialSecret          = "706f70707977616c6c2d747269616c2d7365637265742d3030303030303030"
+	trialControlInterval = 200 * time.Millisecond
+	trialLeaveDelay      = time.Second
+	readyTimeout         = 30 * time.Second
+	readyPollInterval    = 20 * time.Millisecond
+	loopbackAnyPort      = "127.0.0.1:0"
+	targetHeartbeat      = 500 * time.Millisecond
+	trialDrainLimit      = 30 * time.Second
 )
 
-// Start runs the site and waits until every service has all its slots.
+// Start starts the site and waits until every balancer is healthy and has all slots of
+// every service.
 func Start(ctx context.Context, site Site, log *zap.Logger) (*Cluster, error) {
-	c, err := newCluster(ctx, site, log, settings.Duration(fastPeriod))
+	c, err := newCluster(ctx, site, log, settings.Duration(trialControlInterval))
 	if err != nil {
 		return nil, err
 	}
@@ -132,10 +141,10 @@
 	return c, nil
 }
 
-// StartBare runs only the platform stand-in and the balancers, at the given
-// period of exchanges and pulls: the bed of measurements with fake hosts.
-func StartBare(ctx context.Context, site Site, log *zap.Logger, period settings.Duration) (*Cluster, error) {
-	c, err := newCluster(ctx, site, log, period)
+// StartBare starts only the platform stand-in and the balancers, with the given gossip
+// and pull interval. Measurements add simulated hosts to it.
+func StartBare(ctx context.Context, site Site, log *zap.Logger, interval settings.Duration) (*Cluster, error) {
+	c, err := newCluster(ctx, site, log, interval)
 	if err != nil {
 		return nil, err
 	}
@@ -148,8 +157,8 @@
 	return c, nil
 }
 
-// newCluster makes a site in which nothing runs but the platform stand-in.
-func newCluster(ctx context.Context, site Site, log *zap.Logger, period settings.Duration) (*Cluster, error) {
+// newCluster returns a site in which only the platform stand-in runs.
+func newCluster(ctx context.Context, site Site, log *zap.Logger, interval settings.Duration) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "poppywall-trial-")
 	if err != nil {
 		return nil, err
@@ -159,15 +168,15 @@
 		return nil, err
 	}
 	c := &Cluster{
-		Site:      site,
-		Store:     standin.NewStore(time.Now),
-		Addresses: map[string]string{},
-		Roots:     ca.Pool(),
-		CAPEM:     ca.PEM,
-		Secrets:   []settings.Secret{{Number: 1, Hex: trialSecret}},
-		log:       log,
-		dir:       dir,
-		period:    period,
+		Site:            site,
+		Store:           standin.NewStore(time.Now),
+		Addresses:       map[string]string{},
+		Roots:           ca.Pool(),
+		CAPEM:           ca.PEM,
+		Secrets:         []settings.Secret{{Number: 1, Hex: trialSecret}},
+		log:             log,
+		dir:             dir,
+		controlInterval: interval,
 	}
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	c.gateway = httptest.NewServer(standin.Gateway(c.Store))
@@ -176,7 +185,7 @@
 	return c, err
 }
 
-// authorities lists all names that callers may use.
+// authorities returns all authorities that callers may use.
 func (c *Cluster) authorities() []string {
 	names := []string{"poppywall.example"}
 	for _, s := range c.Site.Services {
@@ -209,11 +218,12 @@
 	return c.waitReady()
 }
 
-// Applier returns a means to change the site's configuration.
+// Applier returns an applier for changes of the site's configuration.
 func (c *Cluster) Applier() *change.Applier {
 	return change.NewApplier(c.Store, change.Options{Author: "trial", Now: time.Now, NewID: uuid.NewString})
 }
 
+// configure assigns an address to each service and stores the configuration.
 func (c *Cluster) configure() error {
 	var doc change.Document
 	for _, s := range c.Site.Services {
@@ -227,7 +237,7 @@
 	}
 	res := c.Applier().Apply(c.ctx, doc)
 	if res.Outcome != change.Accepted {
-		return errors.Errorf("configuration %s: %s", res.Text, res.Reason)
+		return errors.Errorf("apply configuration: %s: %s", res.Text, res.Reason)
 	}
 	return nil
 }
@@ -244,20 +254,20 @@
 	}
 }
 
-// AddBalancer starts one more balancer.
+// AddBalancer starts another balancer. Its seeds are the balancers started before it.
 func (c *Cluster) AddBalancer() error {
 	cfg := balancer.Defaults()
 	i := len(c.Nodes)
 	cfg.Name = fmt.Sprintf("balancer-%d", i)
 	cfg.Zone = c.Site.Zones[i%len(c.Site.Zones)]
-	cfg.Data, cfg.Control, cfg.Metrics = loopbackAny, loopbackAny, loopbackAny
+	cfg.Data, cfg.Control, cfg.Metrics = loopbackAnyPort, loopbackAnyPort, loopbackAnyPort
 	cfg.Platform = c.Platform
 	cfg.Seeds = c.controlAddrs()
 	cfg.Secrets = c.Secrets
 	cfg.SprayMembers = c.Site.Balancers
-	cfg.GossipInterval = c.period
-	cfg.PullInterval = c.period
-	cfg.LeaveDelay = settings.Duration(trialLeave)
+	cfg.GossipInterval = c.controlInterval
+	cfg.PullInterval = c.controlInterval
+	cfg.LeaveDelay = settings.Duration(trialLeaveDelay)
 	b, err := balancer.New(cfg, c.log.Named(cfg.Name))
 	if err != nil {
 		return err
@@ -272,6 +282,7 @@
 	return nil
 }
 
+// controlAddrs returns the control addresses of the balancers.
 func (c *Cluster) controlAddrs() []string {
 	var out []string
 	for _, n := range c.Nodes {
@@ -280,17 +291,17 @@
 	return out
 }
 
-// AddHost starts one more host of a service.
+// AddHost starts another host of a service: an agent and its target.
 func (c *Cluster) AddHost(s ServiceSpec, zone string) error {
 	cfg := agent.Defaults()
 	cfg.Host = fmt.Sprintf("%s-host-%d", s.Name, len(c.Hosts))
 	cfg.Zone = zone
-	cfg.Data, cfg.Announce, cfg.Metrics = loopbackAny, loopbackAny, loopbackAny
+	cfg.Data, cfg.Announce, cfg.Metrics = loopbackAnyPort, loopbackAnyPort, loopbackAnyPort
 	cfg.Balancers = c.controlAddrs()
 	cfg.Secrets = c.Secrets
 	cfg.Certificates = []agent.Certificate{{Cert: c.cert, Key: c.key}}
-	cfg.Heartbeat = settings.Duration(fastPeriod)
-	cfg.DrainLimit = settings.Duration(trialDrainMax)
+	cfg.Heartbeat = settings.Duration(trialControlInterval)
+	cfg.DrainLimit = settings.Duration(trialDrainLimit)
 	a, err := agent.New(cfg, c.log.Named(cfg.Host))
 	if err != nil {
 		return err
@@ -300,7 +311,7 @@
 		Slots:     s.Slots,
 		Labels:    catalog.Labels{LabelService: s.Name},
 		Agent:     a.AnnounceURL(),
-		Heartbeat: targetPeriod,
+		Heartbeat: targetHeartbeat,
 		Work:      time.Duration(s.WorkMillis) * time.Millisecond,
 	})
 	if err != nil {
@@ -321,22 +332,23 @@
 	return nil
 }
 
+// hosts returns a copy of Hosts.
 func (c *Cluster) hosts() []*Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.Hosts)
 }
 
-// waitReady waits until every balancer is healthy and sees all slots.
+// waitReady waits until every balancer is healthy and has all slots of every service.
 func (c *Cluster) waitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if c.ready() {
 			return nil
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
-	return errors.New("the site did not become ready")
+	return errors.New("the site did not become ready in time")
 }
 
 func (c *Cluster) ready() bool {
@@ -354,6 +366,7 @@
 	return true
 }
 
+// healthy reports whether the health check at a metrics address succeeds.
 func healthy(address string) bool {
 	resp, err := http.Get("http://" + address + "/healthz")
 	if err != nil {
@@ -363,7 +376,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Close stops everything and removes the site's files.
+// Close stops the site, waits for its parts to end and removes its files.
 func (c *Cluster) Close() {
 	c.cancel()
 	c.wg.Wait()
@@ -371,7 +384,7 @@
 	_ = os.RemoveAll(c.dir)
 }
 
-// Drain changes the drain of a host as an operator does.
+// Drain sets whether a host drains, as an operator does.
 func (c *Cluster) Drain(host string, drain bool) change.Result {
 	build := change.EditTarget(c.Store, host, "", func(t *catalog.Target) { t.Drain = drain })
 	return c.Applier().Edit(c.ctx, build)
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -19,7 +19,7 @@
 	"github.com/poppywall/poppywall/standin"
 )
 
-const patience = 60 * time.Second
+const waitLimit = 60 * time.Second
 
 func startCluster(t *testing.T, site Site) *Cluster {
 	t.Helper()
@@ -29,8 +29,8 @@
 	return c
 }
 
-// runs sums how often the targets of the site ran a request.
-func (c *Cluster) runs(id string) int {
+// executions returns how often the targets of the site executed a request.
+func (c *Cluster) executions(id string) int {
 	n := 0
 	for _, h := range c.hosts() {
 		n += h.Target.Runs(id)
@@ -38,38 +38,39 @@
 	return n
 }
 
-// TestWholeAnswersOverABadFabric doubles, delays and reorders datagrams, the
-// first ones included, so that Initials reach several agents. Every caller
-// gets its own whole answer and every move runs exactly once. Points 3 and 5.
-func TestWholeAnswersOverABadFabric(t *testing.T) {
+// TestDuplicatedAndReorderedDatagramsRunEachRequestOnce duplicates, delays and
+// reorders datagrams. Initial packets are among them and reach several agents. Each
+// caller must get its own complete responses and each move must run exactly once.
+// Points 3 and 5.
+func TestDuplicatedAndReorderedDatagramsRunEachRequestOnce(t *testing.T) {
 	c := startCluster(t, Site{
 		Zones:     []string{"a", "b"},
 		Balancers: 3,
 		Services:  []ServiceSpec{{Name: "tables", Hosts: 3, Slots: 5}},
 	})
-	fabric := newBadFabric(t, c.Addresses["tables"])
+	network := newImpairedNetwork(t, c.Addresses["tables"])
 	p := pool.New().WithErrors()
 	for i := range 40 {
-		p.Go(func() error { return c.converse(t, fabric.address(), i) })
+		p.Go(func() error { return c.runCaller(t, network.address(), i) })
 	}
 	require.NoError(t, p.Wait())
 	for i := range 40 {
 		for n := range 5 {
-			require.Equal(t, 1, c.runs(fmt.Sprintf("move-%d-%d", i, n)))
+			require.Equal(t, 1, c.executions(fmt.Sprintf("move-%d-%d", i, n)))
 		}
 	}
 }
 
-// converse has one caller make moves and an upload and checks the answers.
-func (c *Cluster) converse(t *testing.T, address string, i int) error {
+// runCaller makes moves and an upload as one caller and checks the responses.
+func (c *Cluster) runCaller(t *testing.T, address string, i int) error {
 	caller, err := load.NewCaller(address, "tables.example", c.Roots)
 	if err != nil {
 		return err
 	}
 	defer caller.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
 	defer cancel()
-	ask := func(path, id, body, want string) error {
+	post := func(path, id, body, want string) error {
 		resp, err := caller.Do(ctx, http.MethodPost, path, strings.NewReader(body), http.Header{standin.HeaderRequestID: {id}})
 		if err != nil {
 			return fmt.Errorf("%s: %w", id, err)
@@ -83,18 +84,18 @@
 	}
 	for n := range 5 {
 		id := fmt.Sprintf("move-%d-%d", i, n)
-		if err := ask("/move", id, strings.Repeat(id, 500), strings.Repeat(id, 500)); err != nil {
+		if err := post("/move", id, strings.Repeat(id, 500), strings.Repeat(id, 500)); err != nil {
 			return err
 		}
 	}
 	body := strings.Repeat(fmt.Sprint(i), 20000)
 	sum := sha256.Sum256([]byte(body))
-	return ask("/upload", fmt.Sprint("upload-", i), body, fmt.Sprintf("%d %s\n", len(body), hex.EncodeToString(sum[:])))
+	return post("/upload", fmt.Sprint("upload-", i), body, fmt.Sprintf("%d %s\n", len(body), hex.EncodeToString(sum[:])))
 }
 
-// TestGracefulStopsCutNothing stops a balancer, an agent and a target while
-// slow moves, uploads and streams are in progress, and lets the platform go
-// down meanwhile. Points 1 and 7.
+// TestGracefulStopsCutNothing drains a target, stops a balancer and an agent and takes
+// the platform down while slow moves, uploads and streams are in progress. No flow may
+// break. Points 1 and 7.
 func TestGracefulStopsCutNothing(t *testing.T) {
 	c := startCluster(t, Site{
 		Zones:     []string{"a", "b"},
@@ -124,8 +125,9 @@
 	require.Greater(t, summary.Streams, int64(40))
 }
 
-// TestDeadAnswerIsReset lets targets die in the middle of every answer.
-func TestDeadAnswerIsReset(t *testing.T) {
+// TestAbortedResponseIsReset checks that a response that the target breaks off fails at
+// the caller and does not look complete.
+func TestAbortedResponseIsReset(t *testing.T) {
 	c := startCluster(t, Site{Zones: []string{"a"}, Balancers: 2, Services: []ServiceSpec{{Name: "tables", Hosts: 1, Slots: 5}}})
 	c.Hosts[0].Target.DieMidAnswer.Store(true)
 	caller, err := c.NewCaller("tables", "")
@@ -136,39 +138,39 @@
 		_, err = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 	}
-	require.Error(t, err, "a cut answer ended cleanly")
+	require.Error(t, err, "an aborted response ended without an error")
 }
 
-// TestSpoiltTargetsLoseNewWork spoils one of two targets: every request fails
-// behind good health, or the process is frozen. New work leaves it, and comes
-// back when it does well again. Point 10.
-func TestSpoiltTargetsLoseNewWork(t *testing.T) {
-	for name, spoil := range map[string]func(*standin.Target, bool){
+// TestFailingTargetsGetNoNewRequests makes one of two targets fail every request
+// while it still announces itself, or freezes it. New requests must go to the other
+// target, and return to the first when it has recovered. Point 10.
+func TestFailingTargetsGetNoNewRequests(t *testing.T) {
+	for name, setFault := range map[string]func(*standin.Target, bool){
 		"failing": func(target *standin.Target, on bool) { target.FailAll.Store(on) },
 		"frozen":  func(target *standin.Target, on bool) { target.Frozen.Store(on) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := startCluster(t, Site{Zones: []string{"a"}, Balancers: 2, Services: []ServiceSpec{{Name: "tables", Hosts: 2, Slots: 5}}})
-			bad := c.Hosts[0].Target
-			spoil(bad, true)
-			inARow := 0
-			for deadline := time.Now().Add(patience); inARow < 20; inARow++ {
-				require.True(t, time.Now().Before(deadline), "the spoilt target keeps getting work")
-				if c.move(t) != http.StatusOK {
-					inARow = -1
+			faulty := c.Hosts[0].Target
+			setFault(faulty, true)
+			consecutive := 0
+			for deadline := time.Now().Add(waitLimit); consecutive < 20; consecutive++ {
+				require.True(t, time.Now().Before(deadline), "the faulty target still gets new requests")
+				if c.sendMove(t) != http.StatusOK {
+					consecutive = -1
 				}
 			}
-			spoil(bad, false)
-			before := bad.Requests()
-			for deadline := time.Now().Add(patience); bad.Requests() < before+5; c.move(t) {
-				require.True(t, time.Now().Before(deadline), "the healed target gets no work again")
+			setFault(faulty, false)
+			before := faulty.Requests()
+			for deadline := time.Now().Add(waitLimit); faulty.Requests() < before+5; c.sendMove(t) {
+				require.True(t, time.Now().Before(deadline), "the recovered target gets no new requests")
 			}
 		})
 	}
 }
 
-// move makes one move on a flow of its own and returns the status.
-func (c *Cluster) move(t *testing.T) int {
+// sendMove sends one move over a connection of its own and returns the status.
+func (c *Cluster) sendMove(t *testing.T) int {
 	t.Helper()
 	caller, err := c.NewCaller("tables", "")
 	require.NoError(t, err)
@@ -179,25 +181,26 @@
 	return resp.StatusCode
 }
 
-// TestAcceptedChangeIsInForceEverywhere makes changes while answers are lost,
-// reads are stale and a balancer joins during an outage. Point 8, end to end.
+// TestAcceptedChangeIsInForceEverywhere makes changes while the platform's responses are
+// lost or its reads are stale, and a balancer joins during an outage of the platform.
+// Each accepted change must come into force on every balancer. Point 8, end to end.
 func TestAcceptedChangeIsInForceEverywhere(t *testing.T) {
 	c := startCluster(t, Site{Zones: []string{"a", "b"}, Balancers: 4, Services: []ServiceSpec{{Name: "tables", Hosts: 2, Slots: 5}}})
 	drain := func(host string, drain bool) {
 		t.Helper()
 		res := c.Drain(host, drain)
 		require.Equal(t, "accepted", res.Text, res.Reason)
-		for deadline := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-			behind := 0
+		for deadline := time.Now().Add(waitLimit); ; time.Sleep(10 * time.Millisecond) {
+			lagging := 0
 			for _, n := range c.Nodes {
 				if n.Balancer.Revision() < res.Revision {
-					behind++
+					lagging++
 				}
 			}
-			if behind == 0 {
+			if lagging == 0 {
 				return
 			}
-			require.True(t, time.Now().Before(deadline), "%d balancers behind", behind)
+			require.True(t, time.Now().Before(deadline), "%d balancers have an older revision", lagging)
 		}
 	}
 	drain("nobody", true)
@@ -207,23 +210,23 @@
 	time.Sleep(500 * time.Millisecond)
 	c.Store.SetFaults(standin.Faults{Down: true})
 	require.NoError(t, c.AddBalancer())
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitLimit)
 	for c.Nodes[4].Balancer.Revision() < c.Nodes[0].Balancer.Revision() {
-		require.True(t, time.Now().Before(deadline), "a fresh balancer learns nothing during an outage")
+		require.True(t, time.Now().Before(deadline), "a new balancer does not get the configuration during an outage")
 		time.Sleep(10 * time.Millisecond)
 	}
 	c.Store.SetFaults(standin.Faults{})
 	drain(c.Hosts[0].Name, true)
 	for c.Nodes[1].Balancer.Slots()["tables"] != 5 {
-		require.True(t, time.Now().Before(deadline), "the drained host keeps its slots")
+		require.True(t, time.Now().Before(deadline), "the slots of the drained host are still offered")
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// TestSelectorChangeKeepsOpenStreams relabels every host out of its service
-// while streams are open, and back: streams run on, new work stops and comes
-// back. Found by reading: the agent dropped a service that lost its last target
-// at once and reset its open flows. Point 1.
+// TestSelectorChangeKeepsOpenStreams changes the labels of all hosts of a service so
+// that its selector matches none, and back, while streams are open. The streams must
+// go on, and the service's slots must go and return. An agent that dropped a service
+// at once when it lost its last target reset the open flows. Point 1.
 func TestSelectorChangeKeepsOpenStreams(t *testing.T) {
 	c := startCluster(t, Site{Zones: []string{"a"}, Balancers: 2, Services: []ServiceSpec{{Name: "tables", Hosts: 2, Slots: 5}}})
 	relabel := func(value string) {
@@ -233,9 +236,9 @@
 			require.Equal(t, "accepted", res.Text, res.Reason)
 		}
 	}
-	slots := func(want int) {
+	waitForSlots := func(want int) {
 		t.Helper()
-		for deadline := time.Now().Add(patience); c.Nodes[0].Balancer.Slots()["tables"] != want; time.Sleep(10 * time.Millisecond) {
+		for deadline := time.Now().Add(waitLimit); c.Nodes[0].Balancer.Slots()["tables"] != want; time.Sleep(10 * time.Millisecond) {
 			require.True(t, time.Now().Before(deadline))
 		}
 	}
@@ -252,10 +255,10 @@
 		open = float64(c.Hosts[0].Target.Streams() + c.Hosts[1].Target.Streams())
 	}
 	relabel("elsewhere")
-	slots(0)
+	waitForSlots(0)
 	time.Sleep(time.Second)
 	relabel("tables")
-	slots(10)
+	waitForSlots(10)
 	summary := <-done
 	require.Equal(t, int64(20), summary.Streams)
 	require.Zero(t, summary.BrokenFlows, summary.Errors)
--- a/trial/workload.go
+++ b/trial/workload.go
@@ -10,7 +10,7 @@
 	"github.com/poppywall/poppywall/standin"
 )
 
-// DefaultSite is the small site of poppywall-trial.
+// DefaultSite returns the site that poppywall-trial runs.
 func DefaultSite() Site {
 	return Site{
 		Zones:     []string{"zone-a", "zone-b"},
@@ -22,8 +22,8 @@
 	}
 }
 
-// Workload drives streams, moves and uploads through the default site while a
-// target and a balancer drain.
+// Workload sends streams, moves and uploads to the default site for a time. Meanwhile a
+// target is drained and a balancer stopped.
 func Workload(ctx context.Context, c *Cluster, length time.Duration) (load.Summary, error) {
 	s := length.Seconds()
 	plan := load.Plan{
@@ -49,7 +49,7 @@
 func (c *Cluster) NewCaller(service, workspace string) (*load.Caller, error) {
 	address, ok := c.Addresses[service]
 	if !ok {
-		return nil, errors.Errorf("no service %q", service)
+		return nil, errors.Errorf("service %q does not exist", service)
 	}
 	if workspace == "" {
 		workspace = service + ".example"
@@ -57,12 +57,12 @@
 	return load.NewCaller(address, workspace, c.Roots)
 }
 
-// OpenStreams implements load.Site. Hosts that drain are left out: they are
-// meant to empty.
+// OpenStreams implements load.Site. Hosts out of service are left out: their
+// streams are expected to end.
 func (c *Cluster) OpenStreams(service string) map[string]float64 {
 	out := map[string]float64{}
 	for _, h := range c.hosts() {
-		if h.Service == service && !h.drained.Load() {
+		if h.Service == service && !h.outOfService.Load() {
 			out[h.Name] = float64(h.Target.Streams()) / float64(h.slots)
 		}
 	}
@@ -81,7 +81,7 @@
 	case load.AddBalancer:
 		return c.AddBalancer()
 	case load.AddHost:
-		return c.addHostOf(f.Service)
+		return c.addHostToService(f.Service)
 	case load.StopBalancer:
 		return c.stopBalancer(f.Index)
 	default:
@@ -89,38 +89,39 @@
 	}
 }
 
-func (c *Cluster) addHostOf(service string) error {
+func (c *Cluster) addHostToService(service string) error {
 	for _, s := range c.Site.Services {
 		if s.Name == service {
 			return c.AddHost(s, c.Site.Zones[0])
 		}
 	}
-	return errors.Errorf("no service %q", service)
+	return errors.Errorf("service %q does not exist", service)
 }
 
 func (c *Cluster) stopBalancer(i int) error {
 	if i >= len(c.Nodes) {
-		return errors.Errorf("no balancer %d", i)
+		return errors.Errorf("balancer %d does not exist", i)
 	}
 	c.Nodes[i].Stop()
 	return nil
 }
 
+// injectHost injects a fault of a host, its agent or its target.
 func (c *Cluster) injectHost(f load.Fault) error {
 	hosts := c.hosts()
 	if f.Index >= len(hosts) {
-		return errors.Errorf("no host %d", f.Index)
+		return errors.Errorf("host %d does not exist", f.Index)
 	}
 	h := hosts[f.Index]
 	switch f.Kind {
 	case load.DrainTarget:
-		h.drained.Store(true)
+		h.outOfService.Store(true)
 		h.Target.Drain()
 	case load.StopAgent:
-		h.drained.Store(true)
+		h.outOfService.Store(true)
 		h.StopAgent()
 	case load.KillTarget:
-		h.drained.Store(true)
+		h.outOfService.Store(true)
 		h.killTarget()
 	case load.FreezeTarget:
 		h.Target.Frozen.Store(true)
