--- a/agent/packetfront/acks.go
+++ b/agent/packetfront/acks.go
@@ -11,7 +11,7 @@
 // Retries of announcements that a balancer has not acknowledged.
 const (
 	// ackTimeout is how long an agent waits for the acknowledgement of a change of its
-	// target's state before it repeats the announcement: far more than a round trip.
+	// target's state before it sends the announcement again: far more than a round trip.
 	ackTimeout = 50 * time.Millisecond
 	// maxAckRetries bounds the retries; the periodic announcements follow.
 	maxAckRetries = 5
@@ -76,7 +76,7 @@
 	return !known || int32(p.acknowledged-a.changeSeq) < 0
 }
 
-// dueForRetry returns the balancers to which the announcement is to be repeated now, sorted
+// dueForRetry returns the balancers to which the announcement must be sent again now, sorted
 // by address, and counts the retries.
 func (a *acks) dueForRetry(now time.Time) []flow.IPv4 {
 	if !a.pending {
@@ -98,5 +98,5 @@
 	return out
 }
 
-// forget removes a balancer.
-func (a *acks) forget(ip flow.IPv4) { delete(a.peers, ip) }
+// remove removes a balancer.
+func (a *acks) remove(ip flow.IPv4) { delete(a.peers, ip) }
--- a/agent/packetfront/admission.go
+++ b/agent/packetfront/admission.go
@@ -35,8 +35,7 @@
 	defaultServiceTime = 50 * time.Millisecond
 )
 
-// requestParams are the parameters of a flow's requests, as stated by its route and its
-// opening packet.
+// requestParams are the parameters of a flow's requests, as stated by its route and its SYN.
 type requestParams struct {
 	priority            uint8
 	objective, deadline time.Duration
@@ -53,8 +52,8 @@
 	return p.deadline > 0 && !p.began.IsZero() && now.After(p.began.Add(p.deadline))
 }
 
-// requestParamsOf returns the parameters of a flow from its opening packet h and the
-// current envelope. It first updates the outage detection from the retransmission count.
+// requestParamsOf returns the parameters of a flow from its SYN h and the current envelope. It
+// first updates the outage detection from the retransmission count.
 func (c *Core) requestParamsOf(now time.Time, h *flow.Header) requestParams {
 	if c.env.Flags&envelope.Retransmitted == 0 {
 		c.outage.Opened(now, h.Ack)
@@ -90,8 +89,8 @@
 	r.packets = append(r.packets, queuedPacket{seq, slices.Clone(packet)})
 }
 
-// targetLimit returns how many requests the target may have: the ones that run or queue
-// there, and in addition those whose bodies are still in transfer. The latter occupy no
+// targetLimit returns how many requests may be at the target: those that run or queue there,
+// and in addition those whose bodies are still in transfer. The latter occupy no
 // slot, however long they take: otherwise a few slow uploads would block an idle target.
 func (c *Core) targetLimit() int {
 	slots := c.target.slots()
@@ -99,12 +98,12 @@
 	return int(float64(working) / c.estimate.WorkShare())
 }
 
-// atLimit reports whether the target has as many requests as it may, including the ones
-// queued at the agent and the expected ones of new flows.
+// atLimit reports whether the target has reached targetLimit, counting also the requests that
+// are queued at the agent and those expected of new flows.
 func (c *Core) atLimit() bool { return c.flows.busy >= c.targetLimit() }
 
-// expectedWait returns how long a new request would wait for a slot if served in order.
-// During an overload, queued requests that cannot meet their objective are not ahead of it.
+// expectedWait returns how long a new request would wait for a slot if requests were served in
+// order. During an overload, queued requests that cannot meet their objective are not ahead of it.
 func (c *Core) expectedWait(now time.Time) time.Duration {
 	busy := c.flows.busy
 	if c.overload.active {
--- a/agent/packetfront/cold.go
+++ b/agent/packetfront/cold.go
@@ -38,6 +38,6 @@
 // coldLimitReached reports whether the target is cold and may not get another new flow now.
 func (c *Core) coldLimitReached(now time.Time) bool {
 	c.cold.rate = c.env.ColdRate
-	headroom, bounded := c.coldHeadroom(now)
-	return bounded && headroom == 0
+	headroom, limited := c.coldHeadroom(now)
+	return limited && headroom == 0
 }
--- a/agent/packetfront/core.go
+++ b/agent/packetfront/core.go
@@ -26,16 +26,16 @@
 type Options struct {
 	Self          flow.IPv4
 	Zone, Service flow.Tag
-	// Seeds are the addresses of balancers that the agent first announces the target to.
+	// Seeds are the addresses of the balancers to which the target is announced first.
 	Seeds []flow.IPv4
-	// Incarnation identifies this process and is chosen at random at each start.
+	// Incarnation identifies this incarnation of the process; it is random for each start.
 	Incarnation uint64
 	// HeartbeatPeriod is the time between two heartbeats of the target.
 	HeartbeatPeriod time.Duration
 	// FlowTTL is the idle time after which a flow may expire.
 	FlowTTL time.Duration
-	// RelayThreshold is the number of balancers in a zone from which on nodes of other zones
-	// reach it through relays; zero for zonecast.RelayThreshold.
+	// RelayThreshold is the number of balancers in a zone at and above which nodes of other zones
+	// reach the zone through relays; zonecast.RelayThreshold if zero.
 	RelayThreshold int
 }
 
@@ -91,8 +91,8 @@
 
 	// targetKnown is set once the target has sent something or a probe has finished.
 	targetKnown bool
-	// wantedEntryState is the entry that the registry should have, registration the entry that
-	// it has as far as known.
+	// wantedEntryState is the desired state of the registry entry, registration its last known
+	// state.
 	wantedEntryState fleet.EntryState
 	registration     fleet.Registration
 	// introduced is set once the agent may send announcements.
@@ -115,7 +115,8 @@
 	buf []byte
 }
 
-// New returns a core without any knowledge of its target or of balancers.
+// New returns the core of an agent that has just started: the state of its target is unknown
+// and its view is empty.
 func New(now time.Time, opts Options, port Port, codec flow.Codec, events Events) *Core {
 	if opts.RelayThreshold == 0 {
 		opts.RelayThreshold = zonecast.RelayThreshold
@@ -132,7 +133,7 @@
 	return c
 }
 
-// SetSeeds replaces Options.Seeds.
+// SetSeeds replaces the seeds, the balancers to which the target is announced first.
 func (c *Core) SetSeeds(seeds []flow.IPv4) { c.opts.Seeds = seeds }
 
 // Busy returns the number of flows that count as load: they wait for an answer or soon will.
@@ -227,7 +228,7 @@
 	c.deliverRecorded(now, key, packet)
 }
 
-// refusal reports whether the target may get a new flow now, and if not, why.
+// refusal returns whether the target may get a new flow now, and if not, the reason.
 func (c *Core) refusal() (string, bool) {
 	switch {
 	case c.env.Service != c.opts.Service:
@@ -286,7 +287,7 @@
 	return h.Len == 0 && (h.Flags.Has(flow.FIN) || h.Flags.Has(flow.RST))
 }
 
-// acceptData reports whether a client's data is to be delivered now, and not withheld or queued.
+// acceptData reports whether a client's data is delivered now rather than withheld or queued.
 func (c *Core) acceptData(now time.Time, key flow.Key, r *record, h *flow.Header, packet []byte) bool {
 	if c.withhold(now, key, r, packet) {
 		return false
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -67,8 +67,8 @@
 func (t *eventCounts) AbandonedAtTarget(flow.Key, time.Duration) { t.unwanted++ }
 func (t *eventCounts) AbandonedInQueue(flow.Key, time.Duration)  { t.expired++ }
 
-func (t *eventCounts) Overloaded(stands bool, _ backlog.Load, _ int, _ time.Duration) {
-	if stands {
+func (t *eventCounts) Overloaded(active bool, _ backlog.Load, _ int, _ time.Duration) {
+	if active {
 		t.overloads++
 	}
 }
--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -35,58 +35,61 @@
 // AbandonReasons lists all reasons for abandonment.
 var AbandonReasons = []AbandonReason{ClientLeft, DeadlinePassed}
 
-// Events is notified of the core's decisions, in order to log and count them.
+// Events receives the decisions of a core.
 type Events interface {
-	// Delivered is a packet sent to the target.
+	// Delivered reports a packet that was sent to the target.
 	Delivered()
-	// Request is a request whose first packet was delivered to the target. busy is the number
-	// of requests that the target has then, this one included; slots is its concurrency.
+	// Request reports a request whose first packet was delivered to the target. busy is the
+	// number of requests at the target, this one included; slots is its concurrency.
 	Request(key flow.Key, requestID []byte, busy, slots int)
-	// Queued is a request that waits for a free slot of the target. queued is the number of
+	// Queued reports a request that waits for a free slot of the target. queued is the number of
 	// requests that were waiting before it, wait its expected wait.
 	Queued(key flow.Key, requestID []byte, queued int, wait time.Duration)
-	// Postponed is a new flow left to its client's next retransmission of the SYN; wait is
-	// its expected wait at this target, which has the shortest wait of its candidates.
+	// Postponed reports a new flow that is left to its client's next retransmission of the SYN;
+	// wait is its expected wait at this target, the shortest of its candidates.
 	Postponed(key flow.Key, wait time.Duration)
-	// AbandonedInQueue is a queued request that was abandoned after it had waited for the given time.
+	// AbandonedInQueue reports a queued request that was abandoned after waiting for the given
+	// time.
 	AbandonedInQueue(key flow.Key, waited time.Duration)
-	// Withheld is a request, or a repetition of one, that arrived after it was abandoned and
-	// was not delivered to the target. Each request is reported once.
+	// Withheld reports a request, or a retransmission of one, that was not delivered to the target
+	// because it arrived after the client had abandoned it. Each request is reported once.
 	Withheld(key flow.Key, requestID []byte, reason AbandonReason)
-	// AbandonedAtTarget is a request whose client left after the target had had it for the given time.
+	// AbandonedAtTarget reports a request that its client abandoned the given time after its
+	// delivery to the target.
 	AbandonedAtTarget(key flow.Key, after time.Duration)
-	// PassedOn is a new flow that this target does not take; hops is how often the flow was
+	// PassedOn reports a new flow that this target does not take; hops is how often the flow was
 	// passed on before.
 	PassedOn(key flow.Key, reason string, hops int)
-	// Bounced is a packet that the target returned because it does not hold the flow, or
-	// refuses it; opening states that it was a SYN.
+	// Bounced reports a packet that the target returned because it does not hold the flow, or
+	// refuses it; opening is set if the packet is a SYN.
 	Bounced(key flow.Key, opening bool)
-	// Reset is a flow reset at its client.
+	// Reset reports a flow that was reset at its client.
 	Reset(key flow.Key, reason string)
-	// Dropped is a packet that was dropped.
+	// Dropped reports a packet that was dropped.
 	Dropped(reason DropReason)
-	// TargetReport is a change of, or a report from, the target; what describes it.
+	// TargetReport reports a change of the target's state, or a message from the target that was
+	// ignored; what is the text of the log line.
 	TargetReport(what string, b fleet.Heartbeat)
-	// RequestFailed is a request that the target answered with a failure or a reset.
+	// RequestFailed reports a request that the target answered with a failure or a reset.
 	RequestFailed()
-	// Ejected is the start of an ejection, during which the target gets no new flows because
-	// its requests fail, or its end. trials and failures are the outcomes that led to it.
+	// Ejected reports the start or the end of an ejection, during which the target gets no new
+	// flows because its requests fail. trials and failures are the outcomes that led to it.
 	Ejected(ejected bool, trials, failures int)
-	// OnProbation is a target that is up again after a number of consecutive crashes and gets
-	// no new flows for the time of its probation.
+	// OnProbation reports a target that is up again after the given number of consecutive crashes
+	// and gets no new flows during its probation.
 	OnProbation(crashes int, probation time.Duration)
-	// Overloaded is the start or the end of an overload of the target. queued is the number of
-	// requests that wait for a slot, wait the expected wait of a new one.
+	// Overloaded reports the start or the end of an overload of the target. queued is the number
+	// of requests that wait for a slot, wait the expected wait of a new one.
 	Overloaded(active bool, load backlog.Load, queued int, wait time.Duration)
-	// PeerChanged is a balancer that became known or was forgotten.
-	PeerChanged(ip flow.IPv4, what string)
-	// ZoneRelayed is a change between relayed and direct announcements to another zone;
-	// balancers is the number of its balancers from which a message was received recently.
+	// PeerChanged reports that a balancer has joined or was removed from the view.
+	PeerChanged(ip flow.IPv4, change string)
+	// ZoneRelayed reports whether announcements to another zone go through relays from now on, or
+	// directly, and how many of its balancers were seen recently.
 	ZoneRelayed(zone flow.Tag, balancers int, relayed bool)
-	// BalancerProbed is an overdue balancer of another zone that was probed because its relayed
-	// messages have stopped arriving; unseen is the time since its last message.
-	BalancerProbed(ip flow.IPv4, unseen time.Duration)
-	// EvacuationsChanged is a change of the evacuated zones; from is the address of the
-	// balancer that sent it.
-	EvacuationsChanged(now, former flow.Evacuations, from string)
+	// BalancerProbed reports that a balancer of another zone is probed because its relayed messages
+	// have stopped arriving; sinceLastSeen is the time since it was last seen.
+	BalancerProbed(ip flow.IPv4, sinceLastSeen time.Duration)
+	// EvacuationsChanged reports that the set of evacuated zones has changed; from is the balancer
+	// that the change came from.
+	EvacuationsChanged(current, previous flow.Evacuations, from string)
 }
--- a/agent/packetfront/flows.go
+++ b/agent/packetfront/flows.go
@@ -105,7 +105,7 @@
 	byKey map[flow.Key]*record
 	// overflowed is set once a record was evicted because the table was full.
 	overflowed bool
-	// onDequeue is called for a queued request that is dropped.
+	// onDequeue is called when a queued request is dropped.
 	onDequeue func(*queuedRequest)
 	// busy counts the flows that wait for an answer or soon will, running those whose
 	// request was delivered to the target, open those in stage open.
--- a/agent/packetfront/fromtarget.go
+++ b/agent/packetfront/fromtarget.go
@@ -131,7 +131,7 @@
 	env := c.deliveries.take(h.Echo, key)
 	r := c.flows.get(key)
 	if env == nil {
-		c.handleBouncedOpen(now, key, r, h)
+		c.handleBouncedOpenFlow(now, key, r, h)
 		return
 	}
 	// A target may bounce a retransmission of a SYN whose flow it holds half open.
@@ -143,9 +143,9 @@
 	c.passToNextCandidate(packet, true)
 }
 
-// handleBouncedOpen handles a bounced packet of an open flow. The flow was seen open here, so no
+// handleBouncedOpenFlow handles a bounced packet of an open flow. The flow was seen open here, so no
 // other target can hold it: the target that held it has ended, and the flow is reset.
-func (c *Core) handleBouncedOpen(now time.Time, key flow.Key, r *record, h *flow.Header) {
+func (c *Core) handleBouncedOpenFlow(now time.Time, key flow.Key, r *record, h *flow.Header) {
 	if r == nil || r.stage != open || !r.matches(h) {
 		c.events.Dropped(DropBounced)
 		return
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -37,11 +37,11 @@
 	storeTimeout = 900 * time.Millisecond
 )
 
-// Front is an agent's packet front: the sockets and the lock around a Core.
+// Front is an agent's packet front. It runs a Core with its sockets, the store and a lock.
 type Front struct {
 	cfg Settings
 	log *zap.Logger
-	// registry is the store, for reads of the registry of nodes.
+	// registry is the store client for reads of the node registry.
 	registry store.Store
 	reg      *prometheus.Registry
 
@@ -56,17 +56,18 @@
 	mu       sync.Mutex
 	core     *Core
 	observer *observer
-	// sent counts the datagrams to other nodes.
+	// sent counts the messages and bytes sent to other nodes.
 	sent      *telemetry.SentTraffic
 	isolation fleet.IsolationTimer
-	entry     *registry.Registration
+	// entry is this agent's own entry in the registry.
+	entry *registry.Registrar
 	// configCopy is the agent's copy of the configuration, nil before the first fetch.
 	configCopy *configcopy.Copy
 	// peers fetches configuration copies from balancers.
 	peers *configcopy.Client
 }
 
-// NewFront opens the sockets of a front.
+// NewFront returns a front with open sockets.
 func NewFront(cfg Settings, log *zap.Logger) (*Front, error) {
 	f := &Front{
 		cfg: cfg, log: log, reg: prometheus.NewRegistry(), peers: configcopy.NewClient(nil), target: netip.MustParseAddrPort(cfg.Target),
@@ -94,8 +95,8 @@
 	return f, nil
 }
 
-// ToNode implements Port. Send errors are ignored, here and in the methods below: a
-// datagram may be lost anyway.
+// ToNode implements Port. Here and in the methods below, a failed send is treated like a lost
+// datagram.
 func (f *Front) ToNode(node flow.IPv4, head, packet []byte) {
 	if kind, err := envelope.KindOf(head); err == nil {
 		f.sent.Count(kind.Index(), f.core.ReceiverZone(node), len(head)+len(packet))
@@ -154,15 +155,16 @@
 
 func (f *Front) tick() {
 	f.locked(f.core.Tick)
-	f.updatePresence()
+	f.updateEntryState()
 }
 
-// updatePresence requests the registry entry that the target's state calls for.
-func (f *Front) updatePresence() {
-	presence := fleet.EntryUnchanged
-	f.locked(func(now time.Time) { presence = f.core.WantedEntryState(now) })
-	if presence != fleet.EntryUnchanged {
-		f.entry.SetPresence(presence)
+// updateEntryState requests the registry entry's desired state, which follows from the state of
+// the target.
+func (f *Front) updateEntryState() {
+	wanted := fleet.EntryUnchanged
+	f.locked(func(now time.Time) { wanted = f.core.WantedEntryState(now) })
+	if wanted != fleet.EntryUnchanged {
+		f.entry.SetEntryState(wanted)
 	}
 }
 
@@ -177,12 +179,13 @@
 	f.locked(f.core.Stop)
 }
 
-// Reload implements process.Reloader. Only the seeds are applied.
+// Reload implements process.Reloader. It applies the seeds and no other setting.
 func (f *Front) Reload(cfg Settings) []string {
 	f.locked(func(time.Time) { f.core.SetSeeds(flow.ParseAddrs(cfg.Seeds)) })
 	return []string{"seeds"}
 }
 
+// locked calls do with the lock held.
 func (f *Front) locked(do func(now time.Time)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -236,7 +239,7 @@
 		if wanted {
 			p := probe(ctx, f.target)
 			f.locked(func(now time.Time) { f.core.Probed(now, p) })
-			f.updatePresence()
+			f.updateEntryState()
 		}
 		if wanted && tries < maxFastProbes {
 			worker.Sleep(ctx, fastProbePause)
@@ -269,7 +272,7 @@
 		}
 		balancers, err := registry.List(ctx, f.registry, fleet.RoleBalancer)
 		if err != nil {
-			f.log.Warn("registry not read", zap.Error(err))
+			f.log.Warn("reading the registry failed", zap.Error(err))
 			return
 		}
 		if balancers.Skipped > 0 {
@@ -279,8 +282,8 @@
 	})
 }
 
-// registryReadDue reports whether the registry is to be read because no balancer has been
-// known for a while.
+// registryReadDue reports whether to read the registry, because no balancer has been known for
+// some time.
 func (f *Front) registryReadDue() (due bool) {
 	f.locked(func(now time.Time) { due = f.isolation.Due(now, f.core.Balancers() == 0) })
 	return due
--- a/agent/packetfront/health.go
+++ b/agent/packetfront/health.go
@@ -102,7 +102,7 @@
 	c.announceChange(now)
 }
 
-// checkHealth ends an ejection whose time is over.
+// checkHealth ends an ejection, or a probation, whose time is over.
 func (c *Core) checkHealth(now time.Time) {
 	if !c.health.ejected || c.health.detector.Ejected(now, onlyTarget) || now.Before(c.health.probationEnd) {
 		return
@@ -112,8 +112,8 @@
 	c.announceChange(now)
 }
 
-// warmup returns how long the target gets less than its share: as it reports itself after
-// its start, or because it was readmitted after an ejection.
+// warmup returns how long the target still gets less than its share of new flows: for the
+// warm-up that it reports after its start, or because it was readmitted after an ejection.
 func (c *Core) warmup(now time.Time) time.Duration {
 	readmission := c.health.readmittedAt.Add(readmissionWarmup).Sub(now)
 	return max(c.target.warmup(now), readmission, 0)
--- a/agent/packetfront/keepconfig.go
+++ b/agent/packetfront/keepconfig.go
@@ -13,10 +13,10 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// An agent keeps a copy of the newest configuration that any balancer has, in the form in
-// which it was fetched: when all balancers have restarted and the store is unavailable, no
-// other node has one. Fetching is not urgent: a version that is missing for a few seconds
-// matters only if all balancers end in that time.
+// An agent stores a copy of the newest configuration of any balancer, in the form in which it was
+// fetched: when all balancers have restarted and the store is unavailable, no other node has
+// one. Fetching is not urgent: a version that is missing for a few seconds matters only if all
+// balancers end in that time.
 
 // Timing of the configuration copies.
 const (
@@ -34,13 +34,13 @@
 // configCopy holds the version of the agent's copy and the state of the next fetch.
 type configCopy struct {
 	version int64
-	// newest is the newest version that a balancer has, dueAt when it is to be fetched next.
+	// newest is the newest version of any balancer, dueAt the earliest time to fetch it.
 	newest int64
 	dueAt  time.Time
 }
 
-// CopySource returns a balancer from which a newer configuration is to be fetched now, and
-// that configuration's version.
+// CopySource returns the balancer to fetch a newer configuration from, and its version, if a
+// fetch is due.
 func (c *Core) CopySource(now time.Time) (from flow.IPv4, version int64, due bool) {
 	from, version, newer := c.view.PreferredConfigSource(c.configCopy.version, c.opts.Zone)
 	if !newer {
@@ -84,7 +84,7 @@
 	fields := []zap.Field{zap.Stringer(telemetry.FieldPeer, from), zap.Int64(telemetry.FieldConfig, version)}
 	stored, err := f.peers.FetchCopy(ctx, netip.AddrPortFrom(from.Addr(), f.port))
 	if err != nil {
-		f.log.Info("copy of the configuration not fetched", append(fields, zap.Error(err))...)
+		f.log.Info("fetching the configuration copy failed", append(fields, zap.Error(err))...)
 		return
 	}
 	f.locked(func(time.Time) {
@@ -92,7 +92,7 @@
 			f.configCopy = stored
 		}
 	})
-	f.log.Info("copy of the configuration kept", append(fields, zap.Int(telemetry.FieldBytes, len(stored.Compressed())))...)
+	f.log.Info("configuration copy stored", append(fields, zap.Int(telemetry.FieldBytes, len(stored.Compressed())))...)
 }
 
 // currentCopy returns the agent's copy of the configuration, nil before the first fetch.
--- a/agent/packetfront/nodes.go
+++ b/agent/packetfront/nodes.go
@@ -8,8 +8,8 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// handleBeacon records a balancer. A new one is sent an announcement at once unless it has
-// the last change of state already.
+// handleBeacon applies a balancer's beacon. A new balancer is sent an announcement at once,
+// unless it has already acknowledged the last change of state.
 func (c *Core) handleBeacon(now time.Time, from flow.IPv4, datagram []byte) error {
 	m, err := fleet.DecodeBeacon(datagram)
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// handlePeers announces the target to balancers that are not known yet.
+// handlePeers announces the target to the listed balancers that the agent has not seen yet.
 func (c *Core) handlePeers(now time.Time, datagram []byte) error {
 	nodes, err := fleet.DecodeNodeList(datagram)
 	if err != nil {
@@ -61,11 +61,11 @@
 	return nil
 }
 
-// Contact announces the target to balancers from the registry.
+// Contact announces the target to balancers listed in the registry.
 func (c *Core) Contact(now time.Time, balancers []flow.IPv4) { c.contact(now, balancers, true) }
 
-// contact announces the target to those of the balancers that are not known yet; they answer
-// with a beacon.
+// contact announces the target to the given balancers that the agent has not seen yet. They
+// answer with a beacon.
 func (c *Core) contact(now time.Time, balancers []flow.IPv4, wantPeers bool) {
 	for _, ip := range balancers {
 		if !c.view.HasBalancer(ip) && c.crossZone.introduced.Allow(now, ip, zonecast.IntroductionPause) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Tick performs all work that is due at the given time.
+// Tick runs the periodic work that is due.
 func (c *Core) Tick(now time.Time) {
 	c.introduce(now)
 	c.join(now)
@@ -102,14 +102,14 @@
 	c.flows.expire(now, c.opts.FlowTTL)
 	_, balancers := c.view.Expire(now)
 	for _, e := range balancers {
-		c.acks.forget(e.IP)
-		c.events.PeerChanged(e.IP, "forgotten")
+		c.acks.remove(e.IP)
+		c.events.PeerChanged(e.IP, "expired")
 	}
 }
 
-// join announces the target to the seeds while no balancer is known. It also does so
-// while the target is not in the registry, from which balancers that start would
-// otherwise learn of it; without an entry they can learn of it only from other balancers.
+// join announces the target to the seeds while no balancer is known. It also does so while the
+// target is not in the registry: without an entry, balancers that start can learn of the target
+// only from other balancers.
 func (c *Core) join(now time.Time) {
 	isolated, unregistered := len(c.view.Balancers()) == 0, c.target.up && c.registration != fleet.RegistrationPresent
 	if !c.introduced || !(isolated || unregistered) || now.Before(c.nextJoin) {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Stop announces to the balancers that no packets will be delivered for a while, and resets
+// Stop announces that the agent stops, so that it delivers no packets for a while, and resets
 // the flows of a target that has deregistered. If the target has ended and its registry
 // entry could not be removed, the entry is announced as abandoned, for the balancers to
 // remove.
@@ -265,7 +265,7 @@
 	c.introduce(now)
 }
 
-// EntryStored records that the registry entry has been brought to the given state.
+// EntryStored records that the store has applied the given state of the registry entry.
 func (c *Core) EntryStored(now time.Time, shown fleet.EntryState) {
 	switch {
 	case shown != c.wantedEntryState:
@@ -287,9 +287,9 @@
 	return c.target.up && c.registration != fleet.RegistrationPresent && now.Sub(c.target.upSince) < registrationTimeout
 }
 
-// introduce sends the first announcements once the agent knows its target's state. An
-// earlier announcement would carry an unknown state, which balancers would keep for long
-// if it was the last one that they received.
+// introduce sends the first announcements once the agent knows its target's state. An earlier
+// announcement would carry an unknown state, which would stay in a balancer's view for long if
+// it was the last one that the balancer received.
 func (c *Core) introduce(now time.Time) {
 	if c.introduced || !c.targetKnown || c.awaitsRegistration(now) {
 		return
@@ -319,7 +319,7 @@
 	c.port.ToNode(to, a.Append(c.buf[:0]), nil)
 }
 
-// announcementTo returns the next announcement to a balancer and records it as sent.
+// announcementTo returns the next announcement to a balancer and records that it was sent.
 func (c *Core) announcementTo(now time.Time, to flow.IPv4) fleet.Announcement {
 	a := c.announcement(now)
 	c.seq++
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -12,7 +12,7 @@
 	"github.com/poppywall/poppywall/telemetry"
 )
 
-// Log field names of the packet front; shared ones are in package telemetry.
+// Log field names of the packet front. Package telemetry has those that are shared.
 const (
 	fieldFlow     = "flow"
 	fieldRequest  = "request"
@@ -23,62 +23,61 @@
 	fieldTargetID = "target_id"
 )
 
-// Maximum log lines per second of each kind. Suppressed lines are counted, and the count
-// is logged with the next line of the kind.
+// Maximum log lines per second of each kind. Further lines are only counted; the next line of
+// the kind contains their number.
 const (
-	requestLines   = 200
-	admissionLines = 50
-	reportLines    = 20
-	otherLines     = 50
-	// abandonedLines has a budget of its own, because an overload exhausts admissionLines.
-	abandonedLines = 50
+	requestLinesPerSecond   = 200
+	admissionLinesPerSecond = 50
+	reportLinesPerSecond    = 20
+	otherLinesPerSecond     = 50
+	// abandonedLinesPerSecond has a budget of its own, because an overload exhausts admissionLines.
+	abandonedLinesPerSecond = 50
 )
 
-// observer logs and counts the core's decisions. It is called with the front's lock
-// held.
+// observer logs and counts the events of a Core. It is called with the front's lock held.
 type observer struct {
 	telemetry.RateLimitedLog
 
 	requests, admissions, reports, other, abandoned telemetry.RateLimit
 
-	delivered, requested, queued, postponed, expired, unwanted, passedOn, bounced, resets prometheus.Counter
-	failed, ejections, probations, probed                                                 prometheus.Counter
-	refusedReports                                                                        *prometheus.CounterVec
-	drops                                                                                 map[DropReason]prometheus.Counter
-	withheld                                                                              map[AbandonReason]prometheus.Counter
-	load                                                                                  prometheus.Histogram
-	evacuated                                                                             *telemetry.ZoneGauges
-	overloads                                                                             prometheus.Counter
-	overloaded                                                                            prometheus.Gauge
+	delivered, requested, queued, postponed, abandonedInQueue, abandonedAtTarget, passedOn, bounced, resets prometheus.Counter
+	failed, ejections, probations, probed                                                                   prometheus.Counter
+	refusedReports                                                                                          *prometheus.CounterVec
+	dropped                                                                                                 map[DropReason]prometheus.Counter
+	withheld                                                                                                map[AbandonReason]prometheus.Counter
+	load                                                                                                    prometheus.Histogram
+	evacuatedZones                                                                                          *telemetry.ZoneGauges
+	overloads                                                                                               prometheus.Counter
+	overloaded                                                                                              prometheus.Gauge
 }
 
 func newObserver(log *zap.Logger, reg *prometheus.Registry) *observer {
 	c := telemetry.Metrics{Registry: reg, Subsystem: "packetagent"}
 	o := &observer{
-		RateLimitedLog: telemetry.RateLimitedLog{Log: log, Now: time.Now},
-		requests:       telemetry.RateLimit{PerSecond: requestLines},
-		admissions:     telemetry.RateLimit{PerSecond: admissionLines},
-		reports:        telemetry.RateLimit{PerSecond: reportLines},
-		other:          telemetry.RateLimit{PerSecond: otherLines},
-		abandoned:      telemetry.RateLimit{PerSecond: abandonedLines},
-		delivered:      c.Counter("delivered_packets_total", "Packets handed to the target."),
-		requested:      c.Counter("requests_total", "Requests whose first packet was handed to the target."),
-		queued:         c.Counter("waiting_requests_total", "Requests that waited for a slot of the target."),
-		postponed:      c.Counter("postponed_flows_total", "New flows left to their client's next opening packet."),
-		expired:        c.Counter("given_up_requests_total", "Requests that waited until their client had gone."),
+		RateLimitedLog:   telemetry.RateLimitedLog{Log: log, Now: time.Now},
+		requests:         telemetry.RateLimit{PerSecond: requestLinesPerSecond},
+		admissions:       telemetry.RateLimit{PerSecond: admissionLinesPerSecond},
+		reports:          telemetry.RateLimit{PerSecond: reportLinesPerSecond},
+		other:            telemetry.RateLimit{PerSecond: otherLinesPerSecond},
+		abandoned:        telemetry.RateLimit{PerSecond: abandonedLinesPerSecond},
+		delivered:        c.Counter("delivered_packets_total", "Packets handed to the target."),
+		requested:        c.Counter("requests_total", "Requests whose first packet was handed to the target."),
+		queued:           c.Counter("waiting_requests_total", "Requests that waited for a slot of the target."),
+		postponed:        c.Counter("postponed_flows_total", "New flows left to their client's next opening packet."),
+		abandonedInQueue: c.Counter("given_up_requests_total", "Requests that waited until their client had gone."),
 		withheld: telemetry.CountersByReason(c, "withheld_requests_total",
 			"Requests that came when nobody waited for them any more and were not handed to the target, by reason.", AbandonReasons),
-		unwanted:   c.Counter("unwanted_requests_total", "Requests whose client left while the target had them."),
-		passedOn:   c.Counter("passed_on_packets_total", "Packets that the agent did not hand to the target."),
-		bounced:    c.Counter("bounced_packets_total", "Packets that the target did not take."),
-		resets:     c.Counter("reset_flows_total", "Flows reset because their target has ended."),
-		failed:     c.Counter("failed_requests_total", "Requests that the target answered with a failure or a reset."),
-		ejections:  c.Counter("ejections_total", "Times that the target was taken out because it fails."),
-		probations: c.Counter("unproven_starts_total", "Starts of a target that had ended unplanned a moment ago."),
-		probed:     c.Counter("asked_nodes_total", "Balancers of other zones that were asked because no relay named them any more."),
-		drops:      telemetry.CountersByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
-		evacuated:  telemetry.NewZoneGauges(c),
-		overloads:  c.Counter("overloads_total", "Times that an overload of the target stood."),
+		abandonedAtTarget: c.Counter("unwanted_requests_total", "Requests whose client left while the target had them."),
+		passedOn:          c.Counter("passed_on_packets_total", "Packets that the agent did not hand to the target."),
+		bounced:           c.Counter("bounced_packets_total", "Packets that the target did not take."),
+		resets:            c.Counter("reset_flows_total", "Flows reset because their target has ended."),
+		failed:            c.Counter("failed_requests_total", "Requests that the target answered with a failure or a reset."),
+		ejections:         c.Counter("ejections_total", "Times that the target was taken out because it fails."),
+		probations:        c.Counter("unproven_starts_total", "Starts of a target that had ended unplanned a moment ago."),
+		probed:            c.Counter("asked_nodes_total", "Balancers of other zones that were asked because no relay named them any more."),
+		dropped:           telemetry.CountersByReason(c, "dropped_packets_total", "Packets dropped, by reason.", DropReasons),
+		evacuatedZones:    telemetry.NewZoneGauges(c),
+		overloads:         c.Counter("overloads_total", "Times that an overload of the target stood."),
 		load: c.Histogram("load_at_request",
 			"Requests that the target works on or has queued when another one comes.", []float64{0, 1, 2, 4, 8, 16, 32, 64}),
 	}
@@ -119,8 +118,8 @@
 
 // AbandonedInQueue implements Events.
 func (o *observer) AbandonedInQueue(key flow.Key, waited time.Duration) {
-	o.expired.Inc()
-	o.Write(&o.abandoned, "request's client has gone", zap.Stringer(fieldFlow, key), zap.Duration("waited", waited))
+	o.abandonedInQueue.Inc()
+	o.Write(&o.abandoned, "queued request abandoned", zap.Stringer(fieldFlow, key), zap.Duration("waited", waited))
 }
 
 // Withheld implements Events.
@@ -132,8 +131,8 @@
 
 // AbandonedAtTarget implements Events.
 func (o *observer) AbandonedAtTarget(key flow.Key, after time.Duration) {
-	o.unwanted.Inc()
-	o.Write(&o.abandoned, "request's client left while the target had it", zap.Stringer(fieldFlow, key), zap.Duration("had", after))
+	o.abandonedAtTarget.Inc()
+	o.Write(&o.abandoned, "running request abandoned", zap.Stringer(fieldFlow, key), zap.Duration("had", after))
 }
 
 // PassedOn implements Events.
@@ -156,7 +155,7 @@
 
 // Dropped implements Events.
 func (o *observer) Dropped(reason DropReason) {
-	o.drops[reason].Inc()
+	o.dropped[reason].Inc()
 	o.Write(&o.other, "packet dropped", zap.String(fieldReason, string(reason)))
 }
 
@@ -182,30 +181,30 @@
 // OnProbation implements Events.
 func (o *observer) OnProbation(crashes int, probation time.Duration) {
 	o.probations.Inc()
-	o.Write(&o.reports, "target up again, not proven", zap.Int("ends", crashes), zap.Duration("proof", probation))
+	o.Write(&o.reports, "target restarted, on probation", zap.Int("ends", crashes), zap.Duration("proof", probation))
 }
 
 // Overloaded implements Events.
 func (o *observer) Overloaded(active bool, load backlog.Load, queued int, wait time.Duration) {
-	what := "overload has ended"
+	msg := "overload has ended"
 	o.overloaded.Set(0)
 	if active {
-		what = "overload stands"
+		msg = "overload stands"
 		o.overloaded.Set(1)
 		o.overloads.Inc()
 	}
-	o.Log.Info(what, zap.Float64("arrived_per_s", load.Arrived), zap.Float64("answered_per_s", load.Answered),
+	o.Log.Info(msg, zap.Float64("arrived_per_s", load.Arrived), zap.Float64("answered_per_s", load.Answered),
 		zap.Float64("full", load.FullShare), zap.Duration("behind", load.Lag), zap.Duration("lasted", load.BacklogAge), zap.Int("held", queued), zap.Duration("wait", wait))
 }
 
 // PeerChanged implements Events.
-func (o *observer) PeerChanged(ip flow.IPv4, what string) {
-	o.Log.Info("balancer "+what, zap.Stringer(telemetry.FieldPeer, ip))
+func (o *observer) PeerChanged(ip flow.IPv4, change string) {
+	o.Log.Info("balancer "+change, zap.Stringer(telemetry.FieldPeer, ip))
 }
 
 // EvacuationsChanged implements Events.
-func (o *observer) EvacuationsChanged(now, former flow.Evacuations, from string) {
-	o.evacuated.Update(o.Log, now.Zones(), former.Zones(), now.Revision, from)
+func (o *observer) EvacuationsChanged(current, previous flow.Evacuations, from string) {
+	o.evacuatedZones.Update(o.Log, current.Zones(), previous.Zones(), current.Revision, from)
 }
 
 // ZoneRelayed implements Events.
@@ -214,7 +213,7 @@
 }
 
 // BalancerProbed implements Events.
-func (o *observer) BalancerProbed(ip flow.IPv4, silent time.Duration) {
+func (o *observer) BalancerProbed(ip flow.IPv4, sinceLastSeen time.Duration) {
 	o.probed.Inc()
-	o.Write(&o.other, "balancer not relayed any more, asked", zap.Stringer(telemetry.FieldPeer, ip), zap.Duration("silent", silent))
+	o.Write(&o.other, "relayed messages of a node stopped, probing it", zap.Stringer(telemetry.FieldPeer, ip), zap.Duration("silent", sinceLastSeen))
 }
--- a/agent/packetfront/overload.go
+++ b/agent/packetfront/overload.go
@@ -22,9 +22,9 @@
 const crossZoneNotifyPause = time.Second
 
 // countArrival counts a new flow as load offered to this target. A flow is counted once: by the
-// target that admits or postpones it, or else by the last candidate that declines it. Targets
-// that pass a flow on do not count it, because they do not have to answer it. A flow that a
-// balancer sends again is the same arrival.
+// target that admits or postpones it, or else by the last candidate that declines it. Other
+// targets pass it on without counting it, because they do not have to answer it. A SYN that
+// its balancer marks as a retransmission is not counted again.
 func (c *Core) countArrival(now time.Time, h *flow.Header) {
 	if c.env.Flags&envelope.Retransmitted == 0 {
 		c.overload.Arrived(now, c.env.Deadline, h.Ack > 0)
--- a/agent/packetfront/presence.go
+++ b/agent/packetfront/presence.go
@@ -25,7 +25,7 @@
 	return true
 }
 
-// WantedEntryState returns the state that the agent's registry entry is to have: it is present as
+// WantedEntryState returns the desired state of the agent's registry entry, which is present as
 // long as the target may be up.
 func (c *Core) WantedEntryState(now time.Time) fleet.EntryState {
 	t, wanted := &c.target, fleet.EntryUnchanged
--- a/agent/packetfront/probe.go
+++ b/agent/packetfront/probe.go
@@ -56,12 +56,12 @@
 	case p == ProbeAccepted:
 		t.awaitingSince = time.Time{}
 	case p == ProbeRefused:
-		c.targetRefused(now)
+		c.targetDown(now)
 	}
 }
 
-// targetRefused records that no target listens, and resets the flows of one that was up.
-func (c *Core) targetRefused(now time.Time) {
+// targetDown records that no target listens, and resets the flows of one that was up.
+func (c *Core) targetDown(now time.Time) {
 	t := &c.target
 	t.probeRefused = true
 	if t.downSince.IsZero() {
--- a/agent/packetfront/relay.go
+++ b/agent/packetfront/relay.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// relayFreshness is the maximum time since the last message of a balancer that is asked to
-	// relay: two of the periods in which beacons of other zones reach agents, and one round.
+	// relayFreshness is how recently a balancer must have been seen to be used as a relay: two of
+	// the periods in which beacons of other zones reach agents, and one round.
 	relayFreshness = 2*zonecast.AgentFlushPeriod + zonecast.RelayPeriod
 	// probeBalancersAfter is the time without a message after which a balancer of another zone
-	// is probed. After fleet.ExpireAfter it is forgotten and gets no changes any more.
+	// is probed. After fleet.ExpireAfter it expires, and changes are no longer announced to it.
 	probeBalancersAfter = fleet.ExpireAfter / 2
-	// maxIntroduced bounds the balancers whose last introduction is recorded.
+	// maxIntroduced is the maximum number of balancers for which the last introduction is recorded.
 	maxIntroduced = 4096
 )
 
@@ -25,7 +25,7 @@
 type crossZoneState struct {
 	// planner chooses between direct and relayed announcements to each zone.
 	planner zonecast.Planner
-	// introduced limits the rate of announcements to balancers that other nodes named.
+	// introduced limits the rate of announcements to balancers that are known from other nodes only.
 	introduced zonecast.IntroductionLimiter
 }
 
@@ -123,7 +123,8 @@
 	c.port.ToNode(ip, a.Append(c.buf[:0]), nil)
 }
 
-// ReceiverZone reports whether a node is in the local zone, in another one, or unknown.
+// ReceiverZone returns, for the traffic metrics, whether a node is in the local zone or in another
+// one.
 func (c *Core) ReceiverZone(node flow.IPv4) telemetry.ReceiverZone {
 	zone, known := c.view.NodeZone(node)
 	return telemetry.ReceiverZoneOf(c.opts.Zone, zone, known)
--- a/agent/packetfront/target.go
+++ b/agent/packetfront/target.go
@@ -7,7 +7,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// target is an agent's view of its target.
+// target is what an agent has observed of its target.
 type target struct {
 	// incarnation is the target's current incarnation, without an ID until it reports; sequence
 	// is the sequence of its last heartbeat.
@@ -76,7 +76,7 @@
 	return max(t.heartbeat.WarmupLeft-now.Sub(t.heartbeatAt), 0)
 }
 
-// expectAnswer records the delivery of a packet that the target is to answer.
+// expectAnswer records the delivery of a packet that the target should answer.
 func (t *target) expectAnswer(now time.Time) {
 	if t.awaitingSince.IsZero() {
 		t.awaitingSince = now
@@ -113,8 +113,8 @@
 	t.up, t.flowsEnded, t.downSince = true, false, time.Time{}
 }
 
-// Heartbeat handles a heartbeat and reports whether it is from the current target. Once it
-// has returned, a draining target gets no more new flows.
+// Heartbeat handles a heartbeat and reports whether it is from the current target. After its
+// return a draining target gets no new flows.
 func (c *Core) Heartbeat(now time.Time, b fleet.Heartbeat) bool {
 	t := &c.target
 	switch t.classify(now, b, c.opts.HeartbeatPeriod) {
@@ -129,7 +129,7 @@
 	if !t.deregisteredAt.IsZero() && now.Sub(t.deregisteredAt) > deregistrationGrace {
 		// The deregistration was from a former incarnation with the same ID.
 		t.deregisteredAt = time.Time{}
-		c.events.TargetReport("target has not left", b)
+		c.events.TargetReport("deregistration revoked by a heartbeat", b)
 	}
 	if !t.up || changed {
 		c.events.TargetReport("target state", b)
@@ -150,7 +150,7 @@
 	t.history.addFormer(t.incarnation)
 	t.history.rejected = fleet.Incarnation{}
 	*t = target{incarnation: b.Incarnation, history: t.history, up: t.up, upSince: t.upSince, probeRefused: sawStart, sawStart: sawStart, probedAt: t.probedAt, acceptedAt: t.acceptedAt, lastProbeFailed: t.lastProbeFailed}
-	c.events.TargetReport("target found", b)
+	c.events.TargetReport("new target incarnation", b)
 }
 
 // Deregister handles the deregistration of a target. One without a start time is attributed to
@@ -158,11 +158,11 @@
 func (c *Core) Deregister(now time.Time, left fleet.Incarnation) {
 	t := &c.target
 	if left.TargetID != t.incarnation.TargetID || (left.StartedMillis != 0 && left.StartedMillis != t.incarnation.StartedMillis) || !t.deregisteredAt.IsZero() {
-		c.events.TargetReport("late farewell ignored", fleet.Heartbeat{Incarnation: left})
+		c.events.TargetReport("late deregistration ignored", fleet.Heartbeat{Incarnation: left})
 		return
 	}
 	t.deregisteredAt = now
-	c.events.TargetReport("target left", t.heartbeat)
+	c.events.TargetReport("target deregistered", t.heartbeat)
 	c.announceChange(now)
 }
 
--- a/balancer/operator/gap.go
+++ b/balancer/operator/gap.go
@@ -21,14 +21,14 @@
 	copyFetchDelay    = 150 * time.Millisecond
 	copyFetchInterval = 100 * time.Millisecond
 	// watchDelay is how long after its start a balancer does not watch the store yet: it first
-	// has to learn which balancers do. The watch returns what has changed meanwhile.
+	// has to learn which balancers do. The watch then returns the changes since the first read.
 	watchDelay = 500 * time.Millisecond
 	// failedCopyBackoff is how long an agent is not asked again after its copy was incomplete
 	// or did not decode.
 	failedCopyBackoff = 5 * time.Second
 )
 
-// StoreDuty is what a balancer has to do at the store to follow the configuration.
+// StoreDuty is how a balancer has to use the store to follow the configuration.
 type StoreDuty uint8
 
 // Duties at the store.
@@ -97,7 +97,7 @@
 	return s.fleet.NewestConfigCopy(now, func(ip flow.IPv4) bool { return now.Before(s.copyRetryAt[ip]) }, s.rnd.IntN)
 }
 
-// StoreDuty returns what to do at the store now.
+// StoreDuty returns the current duty at the store.
 func (s *State) StoreDuty(now time.Time) StoreDuty {
 	g := s.updateGap(now)
 	switch {
--- a/balancer/operator/peers.go
+++ b/balancer/operator/peers.go
@@ -17,8 +17,7 @@
 // peerCheckInterval is how often a balancer checks whether others have a newer configuration.
 const peerCheckInterval = 100 * time.Millisecond
 
-// FollowPeers fetches configurations that other nodes have and this balancer does not get from
-// the store.
+// FollowPeers fetches newer configurations from other nodes until ctx ends.
 func (s *Source) FollowPeers(ctx context.Context) error {
 	return worker.Every(ctx, peerCheckInterval, func() {
 		var peer flow.IPv4
@@ -44,7 +43,7 @@
 		zap.Int(telemetry.FieldBytes, bytesOf(raw, err)), zap.Int64(fieldTookMS, time.Since(began).Milliseconds()),
 	}
 	if err != nil {
-		s.Log.Warn("configuration not fetched", append(fields, zap.Error(err))...)
+		s.Log.Warn("fetching the configuration failed", append(fields, zap.Error(err))...)
 		s.Locked(func(now time.Time) { s.State.FetchFailed(now, peer) })
 		return
 	}
@@ -52,14 +51,14 @@
 	s.Locked(s.State.FetchSucceeded)
 	c, err := decode(raw)
 	if err != nil {
-		s.Log.Error("configuration of another balancer refused", zap.Stringer(telemetry.FieldPeer, peer), zap.Int64(fieldSeenVersion, version), zap.Error(err))
+		s.Log.Error("fetched configuration does not decode", zap.Stringer(telemetry.FieldPeer, peer), zap.Int64(fieldSeenVersion, version), zap.Error(err))
 		s.Locked(func(now time.Time) { s.State.RejectVersion(now, peer, version) })
 		return
 	}
 	s.apply(c, raw, Origin(peer))
 }
 
-// bytesOf returns how many bytes of an answer were received, complete or not.
+// bytesOf returns how many bytes of a response were received, complete or not.
 func bytesOf(whole []byte, err error) int {
 	var part *transfer.Error
 	if errors.As(err, &part) {
--- a/balancer/operator/source.go
+++ b/balancer/operator/source.go
@@ -18,13 +18,12 @@
 	"github.com/poppywall/poppywall/worker"
 )
 
-// Timing of the configuration's watch.
+// Timing of reads and watches of the store.
 const (
 	// watchMargin is the time reserved, besides the transfer, after a silent loss of a watch
 	// is detected: for a connection, a read, and a watch that starts late.
 	watchMargin = 500 * time.Millisecond
-	// minWatchWait keeps a balancer from calling the store without a pause, whatever the bound
-	// is.
+	// minWatchWait limits the rate of calls at the store, even if Source.CatchUp cannot be met.
 	minWatchWait = 500 * time.Millisecond
 	// maxWatchWait bounds the waiting time of a watch: a balancer reports to others that it
 	// follows the store only while watches return.
@@ -37,8 +36,8 @@
 	// dutyCheckInterval is how often a balancer that does not watch the store checks whether
 	// it has to.
 	dutyCheckInterval = 100 * time.Millisecond
-	// decodePause is the pause between two pieces of a configuration that is decoded: long
-	// enough for the packets that came meanwhile, 33 of them for 4,200 routes.
+	// decodePause is the pause between two pieces of a configuration that is decoded, 33 pauses for
+	// 4,200 routes: long enough to handle the packets that came meanwhile.
 	decodePause = time.Millisecond
 )
 
@@ -70,13 +69,14 @@
 	// Peers calls other nodes, which serve their copies of the configuration at Port.
 	Peers *configcopy.Client
 	Port  uint16
-	// CatchUp is how long the source may take to catch up after connections went silent.
+	// CatchUp is the maximum time until the configuration is followed again after connections went
+	// silent.
 	CatchUp   time.Duration
 	Transfers *Transfers
 	Log       *zap.Logger
 
 	// stored is the configuration in force in its stored encoding, nil before the first; it is
-	// used while Locked.
+	// used only within Locked.
 	stored *configcopy.Copy
 	// transfer is how long the last configuration took to come from the store.
 	transfer time.Duration
@@ -97,7 +97,7 @@
 			worker.Sleep(ctx, dutyCheckInterval)
 			continue
 		case DutyRead:
-			s.Log.Info("behind other balancers, the store is read")
+			s.Log.Info("configuration older than other balancers', reading the store")
 			revision = 0
 		}
 		next, err := s.readOrWatch(ctx, revision)
@@ -114,7 +114,7 @@
 			}
 			// A read that does not close the gap is not repeated without a pause.
 		case revision != 0 && needsFullRead(err):
-			s.Log.Info("changes cannot be watched from here, read anew", zap.Int64(telemetry.FieldRevision, revision), zap.Error(err))
+			s.Log.Info("cannot watch from this revision, reading the store again", zap.Int64(telemetry.FieldRevision, revision), zap.Error(err))
 			revision = 0
 			continue
 		default:
@@ -153,11 +153,11 @@
 	return max(changes.Revision, revision), nil
 }
 
-// errNoRevision is returned for an answer that no watch can continue from.
-var errNoRevision = errors.New("answer without a revision")
+// errNoRevision is returned for a read without a revision from which a watch could continue.
+var errNoRevision = errors.New("store response has no revision")
 
-// read reads all pages and returns the revision of the first one: the watch from there returns
-// what has changed since, whether or not a later page already showed it.
+// read reads all pages and returns the revision of the first one: a watch from there returns all
+// later changes, including those that a later page already contains.
 func (s *Source) read(ctx context.Context) (int64, error) {
 	began := time.Now()
 	var config []byte
@@ -208,11 +208,11 @@
 	}
 }
 
-// setEvacuations puts the zones that the store lists as evacuated in force, as of a revision.
+// setEvacuations puts in force the zones that the store lists as evacuated at a revision.
 func (s *Source) setEvacuations(revision int64) {
 	evacuations, rejected := flow.NewEvacuations(revision, slices.Collect(maps.Keys(s.evacuated)))
 	if len(rejected) > 0 {
-		s.Log.Error("zones cannot be emptied", zap.Strings("zones", rejected), zap.Int64(telemetry.FieldRevision, revision))
+		s.Log.Error("zones cannot be evacuated", zap.Strings("zones", rejected), zap.Int64(telemetry.FieldRevision, revision))
 	}
 	s.Locked(func(now time.Time) { s.State.SetEvacuations(now, evacuations, FromStore) })
 }
@@ -227,8 +227,8 @@
 	s.apply(c, raw, FromStore)
 }
 
-// decode decodes a configuration off the packet path: its sleeps let the goroutines run that
-// wait for packets.
+// decode decodes a configuration. It sleeps between the pieces, so that the goroutines that handle
+// packets can run meanwhile.
 func decode(raw []byte) (*flow.Config, error) {
 	return platform.DecodeConfig(raw, func() { time.Sleep(decodePause) })
 }
@@ -264,10 +264,10 @@
 	if unavailable := err != nil; unavailable != s.storeUnavailable {
 		s.storeUnavailable = unavailable
 		if unavailable {
-			s.Log.Warn("store lost", zap.Error(err))
+			s.Log.Warn("store unavailable", zap.Error(err))
 			return
 		}
-		s.Log.Info("store regained")
+		s.Log.Info("store available again")
 	}
 }
 
--- a/balancer/operator/state.go
+++ b/balancer/operator/state.go
@@ -7,7 +7,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Fleet supplies what a State needs to know of other nodes; a fleet.View implements it.
+// Fleet is the view of the other nodes; fleet.View implements it.
 type Fleet interface {
 	// NewestConfig returns the balancer with the highest configuration version above the given one.
 	NewestConfig(above int64) (balancer flow.IPv4, version int64, ok bool)
@@ -20,7 +20,7 @@
 	ShouldFeed(now time.Time, self flow.IPv4, zone flow.Tag) bool
 }
 
-// Listener is called when a change comes into force, at once and under the owner's lock.
+// Listener is notified of each change that comes into force, under the lock of the State's owner.
 type Listener interface {
 	ConfigChanged(now time.Time)
 	// EvacuationsChanged reports that the set of evacuated zones has changed; from is where
@@ -42,7 +42,7 @@
 	return flow.IPv4(o).String()
 }
 
-// Options are a state's parameters.
+// Options are the parameters of a State.
 type Options struct {
 	// Self and Zone are the balancer's address and zone.
 	Self flow.IPv4
@@ -71,7 +71,7 @@
 	// decoded may be asked again; nextCopyFetchAt is when any agent may be.
 	copyRetryAt     map[flow.IPv4]time.Time
 	nextCopyFetchAt time.Time
-	// storeAnsweredAt is when the store last answered a read or a watch of the configuration.
+	// storeAnsweredAt is when the store last answered a read or a watch.
 	storeAnsweredAt time.Time
 }
 
@@ -91,7 +91,7 @@
 	return s.config.Version
 }
 
-// SetConfig puts a configuration in force if it is newer than the present one, and reports
+// SetConfig puts a configuration in force if it is newer than the current one, and reports
 // whether it was.
 func (s *State) SetConfig(now time.Time, next *flow.Config) bool {
 	if s.config != nil && next.Version <= s.config.Version {
@@ -108,7 +108,7 @@
 // Evacuated reports whether a zone is evacuated. Cost: a comparison for each evacuated zone.
 func (s *State) Evacuated(zone flow.Tag) bool { return s.evacuations.Has(zone) }
 
-// SetEvacuations puts evacuations in force if they are newer than the present ones; from is
+// SetEvacuations puts evacuations in force if they are newer than the current ones; from is
 // where they came from.
 func (s *State) SetEvacuations(now time.Time, next flow.Evacuations, from Origin) {
 	previous := s.evacuations
--- a/balancer/packetfront/core.go
+++ b/balancer/packetfront/core.go
@@ -64,7 +64,7 @@
 	// minIdle is the minimum time for which an idle flow stays in the table, even if the
 	// configured idle timeout is shorter.
 	minIdle = 20 * time.Second
-	// agentBeacons is the number of beacon periods from one beacon to agents to the next.
+	// agentBeacons is the number of beacon rounds after which agents get a beacon.
 	agentBeacons = 2
 )
 
@@ -83,7 +83,7 @@
 	proof     *search.Proof
 	finder    *search.Finder
 	startedAt time.Time
-	// wasFresh is whether the view still counted as incomplete at the last tick.
+	// wasFresh is whether the balancer was fresh at the last tick (search.Proof.Fresh).
 	wasFresh bool
 
 	// seq is the sequence number of the last beacon.
@@ -103,14 +103,15 @@
 	nextAudit           time.Time
 	// deadNodes are dead nodes that are still in the registry; nextRemoval is when they may
 	// be removed from it.
-	deadNodes    []DeadNode
-	nextRemoval  time.Time
-	relays       relayState
-	snapshots    snapshotSources
-	loads        serviceLoads
+	deadNodes   []DeadNode
+	nextRemoval time.Time
+	relays      relayState
+	snapshots   snapshotSources
+	loads       serviceLoads
+	// beaconRounds counts the rounds of beacons to the local zone.
 	beaconRounds int
-	// lastDigest is the view's digest as of digestAt, which is zero if nodes have joined or
-	// changed since.
+	// lastDigest is the view's digest at digestAt; digestAt is zero if nodes have joined, changed or
+	// expired since.
 	lastDigest uint32
 	digestAt   time.Time
 
@@ -132,12 +133,12 @@
 	c := &Core{
 		opts: opts, port: port, codec: codec, events: events, rnd: rnd,
 		view: fleet.NewView(), table: search.NewTable(search.MaxFlows), startedAt: now,
-		buf: make([]byte, 0, 2048), plan: newCandidatePlan(), relays: newRelays(opts, events.ZoneRelayed),
+		buf: make([]byte, 0, 2048), plan: newCandidatePlan(), relays: newRelayState(opts, events.ZoneRelayed),
 		loads: serviceLoads{}, snapshots: snapshotSources{avoidUntil: map[flow.IPv4]time.Time{}},
 	}
 	c.operator = operator.New(now, operator.Options{Self: opts.Self, Zone: opts.Zone, FollowTime: opts.FollowTime}, c.view, listener{c}, rnd)
 	c.proof = search.NewProof(now, opts.Self, opts.Seeds, c.view)
-	finderOpts := search.Options{Self: opts.Self, Zone: opts.Zone, Incarnation: opts.Incarnation, First: searchFirstTargets}
+	finderOpts := search.Options{Self: opts.Self, Zone: opts.Zone, Incarnation: opts.Incarnation, FirstTargets: searchFirstTargets}
 	c.finder = search.New(finderOpts, c.operator.Config, c.view, c.table, c.proof, codec, finderPort{c}, events)
 	return c
 }
@@ -177,7 +178,7 @@
 	c.sendBeacons(now, c.directAgents())
 }
 
-// idleTimeout returns how long an idleTimeout flow stays in the table.
+// idleTimeout returns how long an idle flow stays in the table.
 func (c *Core) idleTimeout() time.Duration {
 	if c.operator.Config() == nil {
 		return minIdle
@@ -225,7 +226,7 @@
 }
 
 // openFlow sends a client's SYN to a target. A retransmission goes to the target of the first
-// SYN, if that is still a candidate. The envelope names further candidates, in case the target
+// SYN, if that is still a candidate. The envelope lists further candidates, in case the target
 // refuses.
 func (c *Core) openFlow(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	route, ok := c.operator.Config().Routes[key.Front()]
@@ -293,9 +294,9 @@
 	c.refuse(key, h, reason, route.Name)
 }
 
-// refuse resets a flow that cannot be opened; no target has worked on it. Only the first SYN is
-// answered with a reset: when a retransmission is refused, the flow may already be open at the
-// target that accepted an earlier SYN.
+// refuse resets a flow that cannot be opened; no target has received its request. Only the first
+// SYN is answered with a reset: when a retransmission is refused, the flow may already be open at
+// the target that accepted an earlier SYN.
 func (c *Core) refuse(key flow.Key, h *flow.Header, reason, route string) {
 	if h.Ack > 0 {
 		c.events.Dropped(DropRetransmissionRefused)
--- a/balancer/packetfront/evacuations.go
+++ b/balancer/packetfront/evacuations.go
@@ -13,7 +13,7 @@
 	c.operator.SetEvacuations(now, next, operator.Origin(from))
 }
 
-// handleEvacuated handles the message of an agent that has newer evacuations.
+// handleEvacuated handles an agent's message with evacuations newer than this balancer's.
 func (c *Core) handleEvacuated(now time.Time, from flow.IPv4, datagram []byte) error {
 	next, err := fleet.DecodeEvacuations(datagram)
 	if err == nil {
--- a/balancer/packetfront/events.go
+++ b/balancer/packetfront/events.go
@@ -21,11 +21,11 @@
 // Reasons for dropping a packet, in addition to those of package search.
 const (
 	DropMalformed DropReason = "malformed"
-	// DropRetransmissionRefused is a refused SYN that is not answered with a reset, because the flow may
-	// be open by an earlier or later SYN.
+	// DropRetransmissionRefused is a refused SYN that is not answered with a reset, because an
+	// earlier or later SYN may have opened the flow.
 	DropRetransmissionRefused DropReason = "copy-refused"
-	// DropNotRelayed is a message of another zone's node that this balancer should have relayed,
-	// but could not buffer or did not send in time.
+	// DropNotRelayed is a message of another zone's node that this balancer did not relay: the
+	// buffer was full, or the message was too old when it was due.
 	DropNotRelayed DropReason = "not relayed"
 )
 
@@ -38,7 +38,7 @@
 	Route, Service string
 	Target         *fleet.Target
 	// Config is the version of the configuration, Evacuations the revision of the evacuated
-	// zones, Age the age of the target's load report.
+	// zones, ReportAge the age of the target's load report.
 	Config      int64
 	Evacuations int64
 	ReportAge   time.Duration
@@ -59,7 +59,8 @@
 	Forwarded()
 	// Opened reports a SYN that was sent to a target.
 	Opened(d Decision)
-	// Refused reports a flow that was reset because no target accepts it.
+	// Refused reports a flow that was reset because no target accepts it. route is empty if the
+	// targets themselves refused the flow.
 	Refused(key flow.Key, reason, route string)
 	// OverloadChanged reports that a service has become overloaded, or no longer is.
 	OverloadChanged(o Overload)
@@ -82,14 +83,14 @@
 	// Relayed reports a batch of messages of other zones' nodes that was relayed in the local
 	// zone.
 	Relayed(messages int)
-	// Probed reports that a node of another zone is probed because no relay passes its messages
-	// on any more; unseenFor is the time since it was last seen.
-	Probed(ip flow.IPv4, unseenFor time.Duration)
+	// Probed reports that a node of another zone is probed because its relayed messages have
+	// stopped arriving; sinceLastSeen is the time since it was last seen.
+	Probed(ip flow.IPv4, sinceLastSeen time.Duration)
 	// RotationChanged reports that the balancer leaves the rotation because its link is full, or
-	// returns to it: the rates at which it and all balancers of the zone send, and how many
-	// others are in rotation.
-	RotationChanged(out bool, ownMbps, zoneMbps float64, othersInRotation int)
+	// returns to it. mbps and zoneMbps are the rates at which it and all balancers of the zone
+	// send; othersInRotation is the number of other balancers in rotation.
+	RotationChanged(standby bool, mbps, zoneMbps float64, othersInRotation int)
 	// EvacuationsChanged reports that the set of evacuated zones has changed; from is the node
 	// that the change came from, or the store.
-	EvacuationsChanged(now, previous flow.Evacuations, from string)
+	EvacuationsChanged(current, previous flow.Evacuations, from string)
 }
--- a/balancer/packetfront/followregistry.go
+++ b/balancer/packetfront/followregistry.go
@@ -33,12 +33,12 @@
 	})
 }
 
-// register adds the balancer to the registry if that is needed.
+// register requests a registry entry for the balancer if it needs one.
 func (f *Front) register() {
 	wanted := false
 	f.locked(func(now time.Time) { wanted = f.core.MustRegister(now) })
 	if wanted {
-		f.entry.SetPresence(fleet.EntryPresent)
+		f.entry.SetEntryState(fleet.EntryPresent)
 	}
 }
 
@@ -108,7 +108,7 @@
 			f.recordSnapshot(snapshot, ip.String())
 			return
 		case errors.Is(err, surveycopy.ErrPending):
-			// Its read will have ended when the core asks for a snapshot again.
+			// That read will have ended when the next snapshot is due.
 			f.log.Debug("balancer is still reading the registry", zap.Stringer(telemetry.FieldPeer, ip))
 			f.locked(func(time.Time) { f.core.SnapshotPending() })
 			return
--- a/balancer/packetfront/front.go
+++ b/balancer/packetfront/front.go
@@ -40,7 +40,7 @@
 	// source keeps the operator's state up to date.
 	source *operator.Source
 	// entry is this balancer's own entry in the registry.
-	entry *registry.Registration
+	entry *registry.Registrar
 	reg   *prometheus.Registry
 	// sent counts the messages and bytes sent to other nodes.
 	sent *telemetry.SentTraffic
--- a/balancer/packetfront/keeper.go
+++ b/balancer/packetfront/keeper.go
@@ -7,18 +7,18 @@
 	"github.com/poppywall/poppywall/fleet"
 )
 
-// DeadNode is a dead node whose registry entry is to be removed.
+// DeadNode is a dead node whose registry entry should be removed.
 type DeadNode struct {
 	Role fleet.Role
 	fleet.Entry
 }
 
-// auditPeriod is how often the registry reaper reads the whole registry, to find the
-// entries of nodes that no live balancer has ever seen.
+// auditPeriod is how often the registry reaper reads the whole registry, to find the entries of
+// nodes that no running balancer has ever seen.
 const auditPeriod = 10 * time.Minute
 
-// AuditDue reports whether the whole registry is to be read. A balancer that has
-// just started does not know yet which nodes are alive.
+// AuditDue reports whether to read the whole registry now, and schedules the next audit if so. A
+// balancer that has just started does not know yet which nodes are alive.
 func (c *Core) AuditDue(now time.Time) bool {
 	if now.Sub(c.startedAt) < fleet.ExpireAfter || now.Before(c.nextAudit) || !c.view.IsReaper(now, c.opts.Self) {
 		return false
@@ -39,8 +39,8 @@
 // are billed too.
 const removalRetryPause = time.Second
 
-// DeadNodes returns the dead nodes that this balancer has to remove from the
-// registry, each only once.
+// DeadNodes removes and returns the queued dead nodes, which this balancer has to remove from the
+// registry.
 func (c *Core) DeadNodes(now time.Time) []DeadNode {
 	if now.Before(c.nextRemoval) {
 		return nil
--- a/balancer/packetfront/nodes.go
+++ b/balancer/packetfront/nodes.go
@@ -112,8 +112,8 @@
 
 // compareDigest requests the nodes that a balancer knows if its view differs from this
 // balancer's: any message about a node may have been lost. In a zone that is reached through
-// relays, views are compared within the zone only: relayed messages name the nodes of other
-// zones.
+// relays, views are compared within the zone only: nodes of other zones are known from relayed
+// messages.
 func (c *Core) compareDigest(now time.Time, peer flow.IPv4, digest uint32) {
 	if digest == c.view.Digest(now, c.opts.Self) || now.Before(c.nextNodeRequest) {
 		return
@@ -200,8 +200,8 @@
 	}
 }
 
-// updateFresh checks the flows that all targets have denied again once the balancer is no
-// longer fresh: if all nodes have started together, the clients of these flows wait for that.
+// updateFresh retries the flows that all targets have denied as soon as the balancer is no longer
+// fresh: until then none of them is reset, and their clients wait.
 func (c *Core) updateFresh(now time.Time) {
 	fresh := c.proof.Fresh(now)
 	if c.wasFresh && !fresh {
@@ -275,7 +275,7 @@
 	}
 }
 
-// periodTo returns the pause until the next beacon to a node.
+// periodTo returns the period of the beacons to a node.
 func (c *Core) periodTo(ip flow.IPv4) time.Duration {
 	if zone, known := c.view.ZoneOf(ip); known && zone == c.opts.Zone {
 		return fleet.SameZonePeriod
@@ -296,7 +296,7 @@
 	c.port.ToNode(to, m.Append(c.buf[:0]), nil)
 }
 
-// beacon fills in this balancer's state.
+// beacon returns m with this balancer's state filled in, as the next beacon to a node.
 func (c *Core) beacon(now time.Time, to flow.IPv4, m fleet.Beacon) fleet.Beacon {
 	c.seq++
 	m.MessageID = fleet.MessageID{Incarnation: c.opts.Incarnation, Seq: c.seq}
--- a/balancer/packetfront/operator.go
+++ b/balancer/packetfront/operator.go
@@ -11,7 +11,7 @@
 // Operator returns the operator's state; an operator.Source keeps it up to date.
 func (c *Core) Operator() *operator.State { return c.operator }
 
-// SetConfig puts a configuration in force if it is newer than the present one, and reports
+// SetConfig puts a configuration in force if it is newer than the current one, and reports
 // whether it was.
 func (c *Core) SetConfig(now time.Time, next *flow.Config) bool {
 	return c.operator.SetConfig(now, next)
@@ -26,7 +26,7 @@
 // Evacuations returns the evacuated zones in force.
 func (c *Core) Evacuations() flow.Evacuations { return c.operator.Evacuations() }
 
-// SetEvacuations puts the store's evacuations in force if they are newer than the present ones.
+// SetEvacuations puts the store's evacuations in force if they are newer than the current ones.
 func (c *Core) SetEvacuations(now time.Time, next flow.Evacuations) {
 	c.operator.SetEvacuations(now, next, operator.FromStore)
 }
--- a/balancer/packetfront/overload.go
+++ b/balancer/packetfront/overload.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// overloadStartShare is the share of a service's slots above which slots of overloaded
-	// targets make the service overloaded: the other targets cannot take over their load.
+	// overloadStartShare is the share of a service's slots at overloaded targets above which the
+	// service is overloaded: the other targets cannot take over their load.
 	overloadStartShare = 0.5
 	// overloadEndShare is the share at or below which the overload ends. It is lower than
 	// overloadStartShare because the agents announce the end of their overload one after the
@@ -108,8 +108,8 @@
 	l.Overload = o
 }
 
-// invalidateLoad makes the next use of a service's load evaluate it again, because one of its
-// targets has sent an announcement.
+// invalidateLoad invalidates the last evaluation of a service's load, because one of its targets
+// has sent an announcement.
 func (c *Core) invalidateLoad(service flow.Tag) {
 	if l, known := c.loads[service]; known {
 		l.updatedAt = time.Time{}
--- a/balancer/packetfront/relay.go
+++ b/balancer/packetfront/relay.go
@@ -22,19 +22,19 @@
 )
 
 // relayState is the state of the exchange with other zones: the messages that this balancer
-// relays within its zone, and how it reaches the nodes of other zones.
+// relays within its zone, and the plan of how it reaches the nodes of other zones.
 type relayState struct {
 	forBalancers, forAgents zonecast.RelayBuffer
 	nextProbe               time.Time
 	// usesRelays is set while nodes of other zones reach the local zone through relays.
 	usesRelays bool
-	// introduced limits the rate at which the balancer introduces itself to a node.
+	// introduced limits the rate of introductions to nodes that are known from other nodes only.
 	introduced zonecast.IntroductionLimiter
-	// planner plans through which balancers other zones are reached.
+	// planner chooses between direct and relayed beacons to each zone.
 	planner zonecast.Planner
 }
 
-func newRelays(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) relayState {
+func newRelayState(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) relayState {
 	self := opts.Self
 	return relayState{
 		forBalancers: zonecast.RelayBuffer{FlushPeriod: zonecast.FlushPeriod, Self: self},
@@ -72,7 +72,7 @@
 }
 
 // sendBeaconViaRelays sends a beacon to the balancers that relay it. All get the same
-// message, so that each recognizes when another one has relayed it.
+// message, so that a relay can detect that another one has relayed it already.
 func (c *Core) sendBeaconViaRelays(now time.Time, relays []flow.IPv4) {
 	if len(relays) == 0 {
 		return
--- a/balancer/packetfront/relayed.go
+++ b/balancer/packetfront/relayed.go
@@ -9,9 +9,8 @@
 	"github.com/poppywall/poppywall/flow/envelope"
 )
 
-// handleBatch handles a batch of messages that another balancer relays. A message of a
-// process that was not seen directly is not applied: this balancer introduces itself to
-// the node instead.
+// handleBatch handles a batch of messages that another balancer relays. A message of a process
+// that was not seen directly is not applied; the node is probed instead.
 func (c *Core) handleBatch(now time.Time, datagram []byte) error {
 	messages, err := fleet.DecodeBatch(datagram)
 	if err != nil {
@@ -57,8 +56,8 @@
 	return nil
 }
 
-// refreshTarget applies a relayed announcement of a known target. The parts that are valid only
-// from the agent itself make the balancer probe the agent.
+// refreshTarget applies a relayed announcement of a known target. If it contains changes that are
+// accepted only from the agent itself, the agent is probed.
 func (c *Core) refreshTarget(now time.Time, ip flow.IPv4, a fleet.Announcement) {
 	t, _ := c.view.Target(ip)
 	a, probe := t.FilterRelayed(a)
--- a/balancer/packetfront/rotation.go
+++ b/balancer/packetfront/rotation.go
@@ -3,9 +3,9 @@
 import "time"
 
 // The routers give every balancer in rotation in a zone the same share of the packets, whatever
-// the capacity of its link. If the link of a small VM is saturated, packets are lost,
-// clients retransmit them, and the retransmissions keep the link saturated: uploads of 40 ms
-// take seconds for as long as traffic lasts. Therefore a balancer whose link is full leaves the
+// the capacity of its link. If the link of a small VM is saturated, packets are lost, clients
+// retransmit them, and the retransmissions keep the link saturated: as long as that lasts, an
+// upload takes seconds instead of 40 ms. Therefore a balancer whose link is full leaves the
 // rotation while balancers with much larger links can carry the zone without it.
 
 // Limits of leaving the rotation.
@@ -48,7 +48,7 @@
 	changedAt time.Time
 }
 
-// recordSent adds a datagram of the given size to the current interval.
+// recordSent adds a datagram of the given size, and its headers, to the current interval.
 func (r *rotation) recordSent(bytes int) { r.bytesSent[r.currentInterval] += bytes + headerBytes }
 
 // advance begins the next interval if the current one has ended, and reports whether it did.
--- a/balancer/packetfront/survey.go
+++ b/balancer/packetfront/survey.go
@@ -45,8 +45,8 @@
 	return age >= search.SettleTime && c.view.ShouldRegister(now, c.opts.Self, c.opts.Zone)
 }
 
-// SnapshotSources reports whether a snapshot of the agents' registry is due, and returns the
-// balancers to ask for one before the store is read: the feeders of the zone. A feeder asks
+// SnapshotSources returns whether a snapshot of the agents' registry is due, and the balancers to
+// ask for one before the store is read: the feeders of the zone. A feeder asks
 // only those with lower addresses, so that the first feeder of a zone reads for all.
 func (c *Core) SnapshotSources(now time.Time) (ask []flow.IPv4, due bool) {
 	if !c.proof.WantsSnapshot(now) {
@@ -72,8 +72,8 @@
 // SnapshotPending records that a balancer that was asked is still reading the registry.
 func (c *Core) SnapshotPending() { c.proof.SnapshotPending() }
 
-// TakeSnapshot applies a snapshot of the agents' registry, unless it is older than the last
-// one, and checks the flows again that all targets have denied.
+// TakeSnapshot applies a snapshot of the agents' registry, unless it is older than the last one,
+// and retries the flows that all targets have denied.
 func (c *Core) TakeSnapshot(now time.Time, s fleet.Snapshot) {
 	if !c.proof.ApplySnapshot(now, s) {
 		return
--- a/balancer/search/buffer.go
+++ b/balancer/search/buffer.go
@@ -20,22 +20,21 @@
 	bufferTTL = 1500 * time.Millisecond
 	// synBufferTTL is how long a SYN is buffered: its client retransmits after 200 ms.
 	synBufferTTL = 180 * time.Millisecond
-	// searchRetryInterval is the pause between searches for a flow that no target was found to
-	// hold.
+	// searchRetryInterval is the pause between searches for a flow that was not found.
 	searchRetryInterval = 150 * time.Millisecond
-	// BufferRetryInterval is the pause between checks whether this balancer has the configuration and
-	// the targets, which takes some 30 ms from its start.
+	// BufferRetryInterval is the pause between the tries to route a buffered packet: a balancer has
+	// its configuration and targets some 30 ms after its start.
 	BufferRetryInterval = 20 * time.Millisecond
 )
 
 // flowBuffer holds the packets of flows that cannot be forwarded yet: a search for the flow is
-// under way, or no target was found to hold it but that is not certain, or the balancer has
-// just started and has no configuration or no target.
+// under way, or a search did not find it but it may still be alive, or the balancer has just
+// started and has no configuration or no target.
 //
-// Only the first packet of a flow is sent to the targets, again after a pause, because the
-// client's next retransmission may be seconds away. Later packets are forwarded once the
-// target is known: a search visits up to all targets of a service, so a search for each packet
-// would be most of the traffic after a restart of all nodes.
+// Only the first packet of a flow is sent to the targets, and sent again after a pause, because
+// the client's next retransmission may be seconds away. Later packets are forwarded once the
+// target is known: a search may visit all targets of a service, so a search for each packet would
+// cause most of the traffic after a restart of all nodes.
 type flowBuffer struct {
 	flows map[flow.Key]*bufferedFlow
 	// packets counts all buffered packets.
@@ -44,28 +43,28 @@
 
 type bufferedFlow struct {
 	first []byte
-	// firstIsSYN reports whether the first packet is a SYN.
+	// firstIsSYN is set if the first packet is a SYN.
 	firstIsSYN bool
 	following  [][]byte
-	// receivedAt is when the first packet came, nextTryAt when it is tried again, expiresAt
-	// when all packets of the flow are dropped.
+	// receivedAt is when the first packet came, nextTryAt when to route or search it again,
+	// expiresAt when all packets of the flow are dropped.
 	receivedAt, nextTryAt, expiresAt time.Time
 
-	// searching reports whether a search is under way; the fields up to unsure belong to it.
+	// searching is set while a search is under way; the fields up to uncertain belong to it.
 	searching bool
 	// probes holds the targets of each outstanding probe by its search ID.
 	probes map[uint32][]flow.Candidate
-	// notProbed are the targets to probe after those.
+	// notProbed are the targets to probe after these.
 	notProbed []flow.Candidate
 	// generation is the generation of the view when the search began.
 	generation uint32
-	// unsure is set once a target could not exclude that it holds the flow.
-	unsure bool
+	// uncertain is set once a target could not exclude that it holds the flow.
+	uncertain bool
 
 	// attempts counts the search attempts so far.
 	attempts int
-	// denied reports whether all targets in the view up to deniedGeneration have denied
-	// the flow for certain: they are not probed again.
+	// denied is set once all targets up to deniedGeneration of the view have certainly denied the
+	// flow: they are not probed again.
 	denied           bool
 	deniedGeneration uint32
 }
@@ -73,7 +72,7 @@
 // beginSearch starts a search over the targets that may hold the flow in the given generation
 // of the view.
 func (b *bufferedFlow) beginSearch(generation uint32) {
-	b.searching, b.unsure, b.generation = true, false, generation
+	b.searching, b.uncertain, b.generation = true, false, generation
 	b.probes, b.notProbed = map[uint32][]flow.Candidate{}, nil
 	b.attempts++
 }
@@ -105,9 +104,9 @@
 
 func newFlowBuffer() flowBuffer { return flowBuffer{flows: map[flow.Key]*bufferedFlow{}} }
 
-// add stores a flow's first packet, to be tried again at nextTryAt until its TTL expires. It
-// returns nil when the buffer is full and leaves the packet to the client's retransmission. A
-// buffered SYN is discarded once the client has sent a later packet.
+// add stores a flow's first packet until its TTL expires; it is next tried at nextTryAt. add
+// returns nil if the buffer is full: the client retransmits the packet. A buffered SYN is
+// discarded once the client has sent a later packet.
 func (fb *flowBuffer) add(now time.Time, key flow.Key, isSYN bool, packet []byte, nextTryAt time.Time, ttl time.Duration) *bufferedFlow {
 	b, known := fb.flows[key]
 	if known && b.firstIsSYN && !isSYN {
@@ -131,8 +130,8 @@
 	return fb.add(now, key, false, packet, now.Add(searchRetryInterval), bufferTTL)
 }
 
-// retryDenied makes the flows that all targets have denied due now, unless a target that came
-// since is being probed.
+// retryDenied makes the flows that all targets have denied due now, except those for which targets
+// that joined later are being probed.
 func (fb *flowBuffer) retryDenied(now time.Time) {
 	for _, b := range fb.flows {
 		if b.denied && !b.searching {
@@ -141,8 +140,9 @@
 	}
 }
 
-// addFollowing reports whether the packet's flow is being searched for or was denied by all
-// targets; such a packet is buffered behind the first one, or dropped if a limit is reached.
+// addFollowing buffers a packet behind the first one of its flow, or drops it if a limit is
+// reached. It returns false and does neither unless the flow is being searched for or was denied
+// by all targets.
 func (fb *flowBuffer) addFollowing(key flow.Key, packet []byte) bool {
 	b, known := fb.flows[key]
 	if !known || (!b.searching && !b.denied) {
@@ -166,7 +166,7 @@
 	return b.following
 }
 
-// due returns the flows that are to be tried again, in a deterministic order, and removes the
+// due returns the flows that are due for another try, in a deterministic order, and removes the
 // expired ones.
 func (fb *flowBuffer) due(now time.Time) (keys []flow.Key, expired int) {
 	for key, b := range fb.flows {
--- a/balancer/search/candidates.go
+++ b/balancer/search/candidates.go
@@ -27,16 +27,15 @@
 	classCrossZone
 	// classOtherService serves another service.
 	classOtherService
-	// classOverdue has sent no announcement for longer than its period allows.
+	// classOverdue is overdue, whatever its service and zone.
 	classOverdue
 )
 
-// candidates returns every target that may hold a flow, the likeliest first. Targets of the
-// service that new flows go to lead: the highest ranked of the local zone and then of other
-// zones, which a balancer of this zone chooses among, then the rest of the local zone and of
-// other zones. Targets of other services follow, because a change of the route leaves open
-// flows where they are; overdue targets are last. Targets that have denied the flow are left
-// out.
+// candidates returns every target that may hold a flow, the likeliest first. Targets of the service
+// that new flows go to lead: the highest ranked of the local zone and then of other zones, among
+// which a balancer of this zone chooses for a new flow, then the rest of the local zone and of
+// other zones. Targets of other services follow, because a change of the route leaves open flows
+// where they are; overdue targets are last. Targets that have denied the flow are left out.
 func (f *Finder) candidates(now time.Time, key flow.Key, route *flow.Route, denied denials) []flow.Candidate {
 	f.ranked, f.candidateBuf = f.ranked[:0], f.candidateBuf[:0]
 	hash := key.Hash()
@@ -57,9 +56,9 @@
 		firstOther = len(f.ranked)
 	}
 	sameZone, others := f.ranked[:firstOther], f.ranked[firstOther:]
-	sameZoneFirst := min(len(sameZone), f.opts.First)
+	sameZoneFirst := min(len(sameZone), f.opts.FirstTargets)
 	crossZoneFirst := 0
-	for crossZoneFirst < min(len(others), f.opts.First) && others[crossZoneFirst].class == classCrossZone {
+	for crossZoneFirst < min(len(others), f.opts.FirstTargets) && others[crossZoneFirst].class == classCrossZone {
 		crossZoneFirst++
 	}
 	for _, list := range [...][]rankedCandidate{sameZone[:sameZoneFirst], others[:crossZoneFirst], sameZone[sameZoneFirst:], others[crossZoneFirst:]} {
--- a/balancer/search/doc.go
+++ b/balancer/search/doc.go
@@ -2,7 +2,7 @@
 // whether a flow that no target holds has certainly ended.
 //
 // Algorithm. Table records where flows were sent; any entry may be lost. A packet of an
-// unknown flow is buffered and sent in search probes. A probe names the targets that it
+// unknown flow is buffered and sent in search probes. A probe lists the targets that it
 // visits: an agent that does not hold the flow passes the packet on to the next target, and
 // the last one returns it. The targets that the flow was most likely chosen among are probed
 // first and alone, then all others in parallel, with maxParallelProbes probes unless zones and
@@ -10,26 +10,26 @@
 // notifies the balancer, which forwards the packets that came meanwhile. If a probe does not
 // return within searchRetryInterval, the targets that have not answered are probed again, in
 // reverse order every second time. Once all targets known at the start of the search have
-// denied the flow, only targets that came since are probed. The client is reset when Proof
-// finds no uncertainty left whether every target was among them; until then the flow is
-// checked again.
+// denied the flow, only targets that joined since are probed. The client is reset once Proof
+// finds no uncertainty left that every target was among them; until then the flow is checked
+// periodically.
 //
 // Proof reports uncertainty while the balancer has just started, while the agents' registry
 // was not read shortly before the packet came or since, while an agent that the registry or
-// another balancer names was not seen, for missingAgentTimeout, and while an agent that was
-// seen is not registered.
+// another balancer lists was not seen (for up to missingAgentTimeout and fleet.ExpireAfter), and
+// while an agent that was seen is not registered.
 //
 // Bounds. 512 flows and 1024 packets are buffered, with up to 15 packets of a flow behind its
-// first one. A packet of an open flow is buffered for bufferTTL, a SYN for synBufferTTL. A
-// packet to search for that finds the buffer full is sent to the first targets only and left
-// to its client's retransmission. A target is probed once per search round. The table is
-// bounded by its limit. The registry is read as often as fleet.SnapshotPacer allows at most, less
-// often while the uncertainty lasts.
+// first one. A packet of an open flow is buffered for bufferTTL, a SYN for synBufferTTL. If the
+// buffer is full, a packet is sent to the first targets only, and its client retransmits it. A
+// target is probed once per search round. The table is bounded by its limit. The registry is read
+// at most as often as fleet.SnapshotPacer allows, which is less often the longer the uncertainty
+// lasts.
 //
 // Cost. A known flow costs a table lookup. A search sorts the targets that may hold the flow,
 // in n log n, and sends a message for each 16 to 33 of them; so does each repetition. Deciding
 // whether a flow has ended scans the targets and the registry's entries once.
 //
-// The package is pure: it takes packets, registry snapshots and the time, and acts through a
-// Port.
+// The package does no I/O: it is given packets, registry snapshots and the time, and sends
+// through a Port.
 package search
--- a/balancer/search/events.go
+++ b/balancer/search/events.go
@@ -7,7 +7,9 @@
 
 // Reasons for dropping a packet.
 const (
-	DropNoRoute     DropReason = "no-route"
+	// DropNoRoute is a packet for whose destination the configuration has no route.
+	DropNoRoute DropReason = "no-route"
+	// DropNoCandidate is a packet of an unknown flow that no known target may hold.
 	DropNoCandidate DropReason = "no-candidate"
 	// DropExpired is a buffered packet whose target was not found in time.
 	DropExpired DropReason = "kept too long"
@@ -32,12 +34,14 @@
 
 // Events receives the decisions of a finder.
 type Events interface {
-	// Searching reports that a flow's packet is sent to the given number of candidates.
+	// Searching reports that a flow's packet is sent to the given number of candidates, in the
+	// given attempt of the search.
 	Searching(key flow.Key, candidates, round int)
 	// Lost reports a packet whose flow no candidate holds. uncertainty is why the flow is not
-	// reset, empty when it is; missing is the target behind that reason, zero if none is
+	// reset, empty if it is; missing is a target that causes the uncertainty, zero if none is
 	// known.
 	Lost(key flow.Key, hops int, uncertainty Uncertainty, missing flow.IPv4)
+	// Dropped reports a packet that was dropped.
 	Dropped(reason DropReason)
 	// Buffered reports a packet that is buffered until it can be routed.
 	Buffered(key flow.Key, reason BufferReason)
--- a/balancer/search/fixture_test.go
+++ b/balancer/search/fixture_test.go
@@ -61,7 +61,7 @@
 	f := &fixture{port: &envelopetest.Recorder{}, now: at, fleet: fleet.NewView(), flows: NewTable(MaxFlows)}
 	f.Proof = NewProof(at, self, nil, f.fleet)
 	config := func() *flow.Config { return f.inForce }
-	f.Finder = New(Options{Self: self, Incarnation: incarnation, First: first}, config, f.fleet, f.flows, f.Proof, platform.Codec{}, testPort{f}, uncertaintyRecorder{&f.uncertainty})
+	f.Finder = New(Options{Self: self, Incarnation: incarnation, FirstTargets: first}, config, f.fleet, f.flows, f.Proof, platform.Codec{}, testPort{f}, uncertaintyRecorder{&f.uncertainty})
 	return f
 }
 
--- a/balancer/search/proof.go
+++ b/balancer/search/proof.go
@@ -8,8 +8,8 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Uncertainty is the uncertainty because of which a flow that no candidate holds may still be alive.
-// Only a flow that has certainly ended is reset.
+// Uncertainty is why a flow that no candidate holds may still be alive. Only a flow that has
+// certainly ended is reset.
 type Uncertainty string
 
 // Reasons for uncertainty.
@@ -25,17 +25,18 @@
 	// UncertainRegistry: an agent that was seen is not registered, so the registry may lack others
 	// as well: the store was unavailable when they started.
 	UncertainRegistry Uncertainty = "registry incomplete"
-	// UncertainMissing: an agent that the registry or another balancer names was not seen.
+	// UncertainMissing: an agent that the registry or another balancer lists was not seen, or
+	// a target that may hold flows cannot be asked.
 	UncertainMissing Uncertainty = "a target was not asked"
 )
 
 // Timing of the proof that a flow has ended.
 const (
-	// SettleTime is how long after its start a balancer takes "no target known" to mean that
-	// targets are not known yet: agents repeat their announcements every second.
+	// SettleTime is how long after its start a balancer that knows no target assumes that it has
+	// not discovered them yet: agents repeat their announcements every second.
 	SettleTime = 2 * time.Second
-	// FreshTime is how long after its start a balancer considers its view incomplete. A
-	// running agent introduces itself to a new balancer within a round trip of its joining. A
+	// FreshTime is how long after its start a balancer considers its view incomplete. A running
+	// agent introduces itself to a new balancer within a round trip after it joined. A
 	// balancer joins through its seeds and asks other balancers for the nodes that they know
 	// five times a second; an agent that the registry lacks announces itself to the seeds as
 	// often.
@@ -43,12 +44,12 @@
 	// SnapshotLead is how long before the end of FreshTime the registry is read for the first
 	// time: the store answers each page in milliseconds.
 	SnapshotLead = 150 * time.Millisecond
-	// missingAgentTimeout is how long an agent that is registered but was not seen keeps flows
-	// uncertain: longer than a process takes to restart. After that its VM counts as gone.
+	// missingAgentTimeout is how long an agent that is registered but was not seen causes
+	// uncertainty: longer than a process takes to restart. After that its VM counts as gone.
 	missingAgentTimeout = 4 * time.Second
 	// snapshotMaxAge is how old a snapshot of the registry may be when a packet comes. An
-	// agent that has registered since the snapshot has notified this balancer, repeatedly
-	// until that was acknowledged.
+	// agent that has registered since the snapshot has announced itself to this balancer,
+	// repeatedly until that was acknowledged.
 	snapshotMaxAge = 2 * time.Second
 )
 
@@ -57,11 +58,13 @@
 // targets may hold flows, even if their agents are not back yet.
 type registrySnapshot struct {
 	fleet.UnseenTracker
-	// earliest and latest bound when the snapshot was begun; zero before the first.
+	// earliest and latest bound when the read of the snapshot began; zero before the first.
 	earliest, latest time.Time
-	revision         int64
-	refreshWanted    bool
-	schedule         fleet.SnapshotPacer
+	// revision is the store revision of the snapshot.
+	revision int64
+	// refreshWanted is set while a newer snapshot is needed.
+	refreshWanted bool
+	pacer         fleet.SnapshotPacer
 }
 
 // Proof determines whether this balancer knows all targets that may hold flows. It is not safe
@@ -70,16 +73,15 @@
 	self  flow.IPv4
 	seeds []flow.IPv4
 	view  *fleet.View
-	// startedAt is when the balancer started, lastSeedJoinedAt when a seed was last seen for
-	// the first time.
+	// startedAt is when the balancer started, lastSeedJoinedAt when a seed last joined.
 	startedAt, lastSeedJoinedAt time.Time
-	// namedAgents are agents that other balancers know and this one has not seen, with when
-	// they were last named.
+	// namedAgents are agents that other balancers have listed and this one has not seen, with the
+	// time at which they were last listed.
 	namedAgents map[flow.IPv4]time.Time
 	snapshot    registrySnapshot
 }
 
-// NewProof returns the proof of a balancer that has just started.
+// NewProof returns the Proof of a balancer that has just started.
 func NewProof(now time.Time, self flow.IPv4, seeds []flow.IPv4, view *fleet.View) *Proof {
 	return &Proof{self: self, seeds: seeds, view: view, startedAt: now, namedAgents: map[flow.IPv4]time.Time{}}
 }
@@ -94,7 +96,7 @@
 	}
 }
 
-// AgentNamed records that another balancer knows an agent.
+// AgentNamed records that another balancer has listed an agent.
 func (p *Proof) AgentNamed(now time.Time, agent flow.IPv4) {
 	if !p.view.HasTarget(agent) {
 		p.namedAgents[agent] = now
@@ -153,7 +155,7 @@
 	return slices.ContainsFunc(p.seeds, func(ip flow.IPv4) bool { return ip != p.self })
 }
 
-// missingTarget returns a target that may hold flows and could not be asked.
+// missingTarget returns a target that may hold flows and cannot be asked.
 func (p *Proof) missingTarget(now time.Time) (flow.IPv4, bool) {
 	if ip, missing := p.snapshot.Missing(now, missingAgentTimeout, p.view.HasTarget); missing {
 		// It may have been removed from the registry since.
@@ -205,12 +207,12 @@
 	if now.Sub(p.startedAt) < FreshTime-SnapshotLead || (!p.snapshot.refreshWanted && !p.snapshot.earliest.IsZero()) {
 		return false
 	}
-	return p.snapshot.schedule.TryBegin(now)
+	return p.snapshot.pacer.TryBegin(now)
 }
 
-// SnapshotPending records that another balancer is reading the registry, so that it is asked
-// again soon.
-func (p *Proof) SnapshotPending() { p.snapshot.schedule.ResetPause() }
+// SnapshotPending records that another balancer is still reading the registry, and shortens the
+// pause until it is asked again.
+func (p *Proof) SnapshotPending() { p.snapshot.pacer.ResetPause() }
 
 // ApplySnapshot applies a snapshot of the agents' registry and reports whether it was accepted. A
 // snapshot older than the last one is rejected: an agent that has registered since must not
@@ -222,7 +224,7 @@
 	p.snapshot.Update(s.Latest, s.Agents, p.view.HasTarget)
 	p.view.ApplySnapshot(now, s.Latest, s.Agents)
 	p.snapshot.revision, p.snapshot.refreshWanted = s.Revision, false
-	p.snapshot.schedule.Received(s.Earliest)
+	p.snapshot.pacer.Received(s.Earliest)
 	if s.Earliest.After(p.snapshot.earliest) {
 		p.snapshot.earliest = s.Earliest
 	}
@@ -232,6 +234,6 @@
 	return true
 }
 
-// Purge removes from the last snapshot the agents that were not seen for as long as nodes are
-// remembered, and returns them.
+// Purge removes the agents that were not seen for fleet.ExpireAfter from the last snapshot, and
+// returns them.
 func (p *Proof) Purge(now time.Time) []fleet.Entry { return p.snapshot.Purge(now, p.view.HasTarget) }
--- a/balancer/search/search.go
+++ b/balancer/search/search.go
@@ -30,11 +30,11 @@
 	// Self and Zone are the balancer's address and zone.
 	Self flow.IPv4
 	Zone flow.Tag
-	// Incarnation identifies the incarnation; it is random for each start.
+	// Incarnation identifies this incarnation of the process; it is random for each start.
 	Incarnation uint64
-	// First is how many targets of a flow's ranking, in the local zone and in other zones
+	// FirstTargets is how many targets of a flow's ranking, in the local zone and in other zones
 	// each, are probed before all others: both together at most maxTargetsPerProbe.
-	First int
+	FirstTargets int
 }
 
 // Finder finds the targets of flows that the balancer does not know. It is not safe for
@@ -49,8 +49,8 @@
 	port   Port
 	events Events
 	buffer flowBuffer
-	// lastSearchID numbers the probes. It starts at the epoch, because answers to an earlier
-	// incarnation may still arrive here.
+	// lastSearchID numbers the probes. It starts at the incarnation of the process, because answers
+	// to probes of an earlier incarnation may still arrive.
 	lastSearchID uint32
 
 	// Scratch space, so that a packet costs no allocation: ranked are the targets that may
@@ -61,7 +61,7 @@
 }
 
 // New returns a finder with an empty buffer. config returns the configuration in force; it is
-// called only for flows whose configuration is known.
+// called only once there is one.
 func New(opts Options, config func() *flow.Config, view *fleet.View, table *Table, proof *Proof, codec flow.Codec, port Port, events Events) *Finder {
 	return &Finder{
 		opts: opts, config: config, view: view, table: table, proof: proof, codec: codec, port: port, events: events,
@@ -69,8 +69,8 @@
 	}
 }
 
-// Known returns the target that is recorded for a flow, unless its VM may be gone: the flow
-// may then have been opened elsewhere by a retransmission of its SYN.
+// Known returns the target that is recorded for a flow, unless the target is overdue: a
+// retransmission of the flow's SYN may then have opened it at another target.
 func (f *Finder) Known(now time.Time, key flow.Key) (flow.IPv4, bool) {
 	target, ok := f.table.Get(now, key)
 	return target, ok && f.usable(now, target)
@@ -100,7 +100,7 @@
 	}
 }
 
-// RetryDenied checks again the flows that all targets have denied, because the view or the registry
+// RetryDenied retries the flows that all targets have denied, because the view or the registry
 // snapshot has changed.
 func (f *Finder) RetryDenied(now time.Time) {
 	f.buffer.retryDenied(now)
@@ -133,8 +133,8 @@
 	// If there are more candidates than fit into one probe, the likeliest are probed
 	// first: nearly every live flow is at one of them.
 	if len(candidates) > maxTargetsPerProbe {
-		b.notProbed = slices.Clone(candidates[2*f.opts.First:])
-		candidates = candidates[:2*f.opts.First]
+		b.notProbed = slices.Clone(candidates[2*f.opts.FirstTargets:])
+		candidates = candidates[:2*f.opts.FirstTargets]
 	}
 	f.sendProbes(now, key, b, candidates)
 }
@@ -190,7 +190,7 @@
 
 // splitIntoProbes divides targets among probes. When there are several probes, each stays
 // within one zone, so that cross-zone traffic grows with the number of probes and not with
-// that of targets. reverse reverses the order in which the targets are visited.
+// the number of targets. reverse reverses the order in which the targets are visited.
 func (f *Finder) splitIntoProbes(now time.Time, targets []flow.Candidate, reverse bool) [][]flow.Candidate {
 	byZone, single := map[flow.Tag][]flow.Candidate{}, [][]flow.Candidate{}
 	reachableCount := 0
@@ -248,9 +248,9 @@
 	f.port.Send(targets[0].Target, &f.env, packet)
 }
 
-// HandleReturned handles a packet that no target took, with the envelope that it came back in. If it
-// was sent to the recorded target of its flow, the flow is searched for; if it was a probe,
-// its search continues or ends.
+// HandleReturned handles a packet that no target took, with the envelope in which an agent returned
+// it. If it was sent to the recorded target of its flow, the flow is searched for; if it was a
+// search probe, the search continues or ends.
 func (f *Finder) HandleReturned(now time.Time, from flow.IPv4, key flow.Key, env envelope.Envelope, h *flow.Header, packet []byte) {
 	f.table.Drop(key, from)
 	if env.Flags&envelope.Search == 0 {
@@ -263,7 +263,7 @@
 		return
 	}
 	delete(b.probes, env.SearchID)
-	b.unsure = b.unsure || env.Flags&envelope.Uncertain != 0
+	b.uncertain = b.uncertain || env.Flags&envelope.Uncertain != 0
 	if len(b.probes) > 0 {
 		return
 	}
@@ -275,10 +275,10 @@
 	f.finishSearch(now, key, b, h, int(env.Hops))
 }
 
-// finishSearch ends a search in which every target was probed and none has the flow.
+// finishSearch ends a search in which every target was probed and none holds the flow.
 func (f *Finder) finishSearch(now time.Time, key flow.Key, b *bufferedFlow, h *flow.Header, hops int) {
 	b.searching = false
-	if b.unsure {
+	if b.uncertain {
 		f.events.Lost(key, hops, UncertainTarget, 0)
 		b.nextTryAt = now.Add(searchRetryInterval)
 		return
@@ -287,8 +287,8 @@
 	f.resetIfEnded(now, key, b, h, hops)
 }
 
-// resetIfEnded decides about a flow that all targets known at the start of its search have
-// denied. If targets came since, they are probed. Otherwise the client is reset if the flow
+// resetIfEnded handles a flow that all targets known at the start of its search have denied. If
+// targets joined since, they are probed. Otherwise the client is reset if the flow
 // has certainly ended, and the flow is checked again later if that is uncertain.
 func (f *Finder) resetIfEnded(now time.Time, key flow.Key, b *bufferedFlow, h *flow.Header, hops int) {
 	if f.view.Generation() != b.deniedGeneration && f.hasTargetSince(now, b.deniedGeneration) {
@@ -310,7 +310,7 @@
 	}
 }
 
-// hasTargetSince reports whether a target that may hold flows came after the given generation
+// hasTargetSince reports whether a target became one that may hold flows after the given generation
 // of the view.
 func (f *Finder) hasTargetSince(now time.Time, generation uint32) bool {
 	for _, tag := range f.view.Services() {
@@ -356,7 +356,8 @@
 		h, err := f.codec.Decode(b.first)
 		switch {
 		case err != nil:
-			// It was decoded when it came; one that does not decode cannot be routed.
+			// Packets are decoded on arrival, so this does not happen; one that does not decode
+			// cannot be routed.
 			f.buffer.remove(key)
 		case b.searching:
 			f.retrySearch(now, key, b, &h)
--- a/balancer/search/table.go
+++ b/balancer/search/table.go
@@ -14,11 +14,12 @@
 type entry struct {
 	target flow.IPv4
 	usedAt time.Time
-	// openedAt is when the flow's SYN first came; zero when it did not come here.
+	// openedAt is when the flow's first SYN arrived at this balancer; zero if it did not.
 	openedAt time.Time
 }
 
-// Table is soft state: any entry may be lost at any moment; a search finds its flow again.
+// Table records the targets of flows. It is soft state: any entry may be lost at any moment, and a
+// search then finds the flow's target again.
 type Table struct {
 	flows map[flow.Key]entry
 	limit int
@@ -53,14 +54,14 @@
 	t.flows[key] = entry{target: target, usedAt: now, openedAt: t.flows[key].openedAt}
 }
 
-// RecordSYN records where a SYN was sent when it first came.
+// RecordSYN records where the first SYN of a flow was sent.
 func (t *Table) RecordSYN(now time.Time, key flow.Key, target flow.IPv4) {
 	t.Put(now, key, target)
 	t.flows[key] = entry{target: target, usedAt: now, openedAt: now}
 }
 
-// SYNRecord returns where a flow was sent and when its SYN first came; the time is zero when it
-// did not come here.
+// SYNRecord returns where a flow was sent and when its first SYN arrived; the time is zero if the
+// SYN did not arrive at this balancer.
 func (t *Table) SYNRecord(key flow.Key) (flow.IPv4, time.Time) {
 	e := t.flows[key]
 	return e.target, e.openedAt
--- a/fleet/alone.go
+++ b/fleet/alone.go
@@ -9,19 +9,19 @@
 // IsolationTimer measures how long a node has known no other node.
 type IsolationTimer struct{ since time.Time }
 
-// Due reports whether the registry is to be read now. The argument alone states whether
-// the node currently knows no other node.
-func (a *IsolationTimer) Due(now time.Time, alone bool) bool {
+// Due reports whether to read the registry now. alone states whether the node currently knows no
+// other node.
+func (t *IsolationTimer) Due(now time.Time, alone bool) bool {
 	if !alone {
-		a.since = time.Time{}
+		t.since = time.Time{}
 		return false
 	}
-	if a.since.IsZero() {
-		a.since = now
+	if t.since.IsZero() {
+		t.since = now
 	}
-	if now.Sub(a.since) <= isolationTimeout {
+	if now.Sub(t.since) <= isolationTimeout {
 		return false
 	}
-	a.since = now
+	t.since = now
 	return true
 }
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -27,7 +27,7 @@
 // EntryState is the desired state of a node's registry entry.
 type EntryState uint8
 
-// The presences.
+// The desired states of an entry.
 const (
 	// EntryUnchanged leaves the entry as it is.
 	EntryUnchanged EntryState = iota
--- a/fleet/evacuations.go
+++ b/fleet/evacuations.go
@@ -58,8 +58,8 @@
 		zones = append(zones, string(b[1:1+int(b[0])]))
 		b = b[1+int(b[0]):]
 	}
-	e, out := flow.NewEvacuations(int64(revision), zones)
-	if len(b) > 0 || len(out) > 0 || !slices.Equal(e.Zones(), zones) || revision > math.MaxInt64 {
+	e, rejected := flow.NewEvacuations(int64(revision), zones)
+	if len(b) > 0 || len(rejected) > 0 || !slices.Equal(e.Zones(), zones) || revision > math.MaxInt64 {
 		return flow.Evacuations{}, ErrMalformed
 	}
 	return e, nil
--- a/fleet/feeders.go
+++ b/fleet/feeders.go
@@ -34,7 +34,7 @@
 	return out
 }
 
-// ShouldRegister reports whether the balancer self is to have a registry entry: it is among the
+// ShouldRegister reports whether the balancer self should have a registry entry: it is among the
 // first RegisteredPerZone eligible balancers of its zone by address.
 func (v *View) ShouldRegister(now time.Time, self flow.IPv4, zone flow.Tag) bool {
 	return v.rank(now, self, zone) < RegisteredPerZone
@@ -51,7 +51,7 @@
 	return before
 }
 
-// ShouldFeed reports whether the balancer self is to be a feeder: it is among the first
+// ShouldFeed reports whether the balancer self should be a feeder: it is among the first
 // FeedersPerZone eligible balancers of its zone by address, or it sees fewer than minFeeders
 // eligible feeders in the whole fleet.
 func (v *View) ShouldFeed(now time.Time, self flow.IPv4, zone flow.Tag) bool {
--- a/fleet/listing.go
+++ b/fleet/listing.go
@@ -35,21 +35,21 @@
 	}
 }
 
-// isRegistered reports whether the last snapshot contains the target's agent. An entry that
-// the agent reported as removed after the read began is outdated and does not count.
+// isRegistered reports whether the last snapshot contains the target's agent. An entry whose
+// removal the agent announced after the read began does not count.
 func (v *View) isRegistered(t *Target) bool {
 	_, listed := v.registered[t.IP]
 	return listed && !(t.Registration == RegistrationRemoved && !t.RegistrationChangedAt.Before(v.snapshotAt))
 }
 
 // MayHaveRestarted reports whether a target that last announced that it holds no flows, and that
-// cannot be asked, may have started again since: the registry has an entry for it, and not
-// one that the announcing process itself left behind.
+// cannot be asked, may have started again since: the registry has an entry for it, other than
+// the one that the announcing process itself has abandoned.
 func (v *View) MayHaveRestarted(t *Target) bool {
 	return t.Registered && !(t.Registration == RegistrationAbandoned && v.registered[t.IP] == t.Incarnation)
 }
 
-// AbandonedEntry returns the registry entry that an agent has left behind.
+// AbandonedEntry returns the registry entry that an agent has abandoned.
 func (v *View) AbandonedEntry(t *Target) Entry {
 	if incarnation, listed := v.registered[t.IP]; listed {
 		return Entry{IP: t.IP, Incarnation: incarnation}
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -14,22 +14,22 @@
 // ErrMalformed is returned for bytes that are not a valid message of the expected kind.
 var ErrMalformed = errors.New("malformed fleet message")
 
-// Incarnation identifies one incarnation of a target, from a start of its process to the end of
-// it. An incarnation starts without flows, and its flows end with it. A target may start
+// Incarnation identifies one incarnation of a target, which lasts from the start of its process to
+// its end. An incarnation starts without flows, and its flows end with it. A target may start
 // again under the same ID.
 type Incarnation struct {
 	TargetID string
-	// StartedMillis is the start time in Unix milliseconds by the VM's clock, which may be stepped
-	// between two incarnations; zero if the target does not report it.
+	// StartedMillis is the start time in Unix milliseconds. It is zero if the target does not report
+	// it. It is taken from the VM's clock, which may be stepped between two incarnations.
 	StartedMillis int64
 }
 
 // Tag returns the tag that identifies the incarnation in messages.
-func (l Incarnation) Tag() flow.Tag {
-	if l.StartedMillis == 0 {
-		return flow.TagOf(l.TargetID)
+func (i Incarnation) Tag() flow.Tag {
+	if i.StartedMillis == 0 {
+		return flow.TagOf(i.TargetID)
 	}
-	return flow.TagOf(l.TargetID + " " + strconv.FormatInt(l.StartedMillis, 10))
+	return flow.TagOf(i.TargetID + " " + strconv.FormatInt(i.StartedMillis, 10))
 }
 
 // Heartbeat is a target's periodic report to the agent on its VM.
@@ -57,7 +57,8 @@
 	Ready
 	// Draining: the target keeps its flows and takes no new ones.
 	Draining
-	// Gone: the target has left, or its agent is leaving.
+	// Gone: the target holds no flows, because it has deregistered, has ended, or has not taken
+	// any yet.
 	Gone
 )
 
@@ -66,7 +67,7 @@
 	return [...]string{"absent", "ready", "draining", "gone"}[s&3]
 }
 
-// MessageID is a message ID. It orders the messages of one process.
+// MessageID identifies a message and orders the messages of one process.
 type MessageID struct {
 	// Incarnation is the incarnation of the process: a random number drawn at each start.
 	Incarnation uint64
@@ -81,7 +82,7 @@
 	// TargetIncarnation is the tag of the target's incarnation; zero while it is unknown.
 	TargetIncarnation flow.Tag
 	State             State
-	// WantPeers requests the balancers that the receiver knows, WantReply a beacon.
+	// WantPeers requests a list of the nodes that the receiver knows, WantReply a beacon.
 	WantPeers, WantReply bool
 	Slots                uint16
 	// Outstanding is the number of requests that the target is processing or has queued.
@@ -90,7 +91,8 @@
 	OpenFlows uint16
 	// WarmupMillis is the remaining time for which the target is slow after its start.
 	WarmupMillis uint16
-	// Ejected targets were taken out of service because they fail their requests.
+	// Ejected targets get no new flows, because their requests fail or they are on probation after
+	// a crash.
 	Ejected bool
 	// ConfigVersion is the version of the agent's copy of the configuration; zero without a
 	// copy.
@@ -113,8 +115,8 @@
 	Zone flow.Tag
 	// ConfigVersion is the version of the configuration in force.
 	ConfigVersion int64
-	// Digest is the digest of the sender's view. If it differs from the receiver's, one of
-	// them knows a node that the other does not.
+	// Digest is the digest of the sender's view (View.Digest). If it differs from the receiver's,
+	// one of them knows a node that the other does not.
 	Digest uint32
 	// Leaving balancers are about to stop and will soon take no packets.
 	Leaving bool
@@ -141,14 +143,14 @@
 
 // announceWire and beaconWire are the fixed-size parts of the messages, encoded big-endian.
 type announceWire struct {
-	Incarnation                                       uint64
-	Seq                                               uint32
-	Zone, Service, TargetIncarnation                  uint32
-	State, WantPeers, WantReply                       uint8
-	Slots, Outstanding, OpenFlows, WarmupMilliseconds uint16
-	Ejected, Registration, Cold                       uint8
-	PeriodMilliseconds, Headroom                      uint16
-	ConfigVersion                                     int64
+	Incarnation                                 uint64
+	Seq                                         uint32
+	Zone, Service, TargetIncarnation            uint32
+	State, WantPeers, WantReply                 uint8
+	Slots, Outstanding, OpenFlows, WarmupMillis uint16
+	Ejected, Registration, Cold                 uint8
+	PeriodMillis, Headroom                      uint16
+	ConfigVersion                               int64
 }
 
 type beaconWire struct {
@@ -157,7 +159,7 @@
 	Zone                uint32
 	ConfigVersion       int64
 	Digest              uint32
-	Leaving, Feeding    uint8
+	Leaving, Feeder     uint8
 	WantPeers, Reply    uint8
 	PeriodMillis        uint16
 	ReceivedIncarnation uint64
@@ -181,8 +183,8 @@
 		Incarnation: a.Incarnation, Seq: a.Seq,
 		Zone: uint32(a.Zone), Service: uint32(a.Service), TargetIncarnation: uint32(a.TargetIncarnation),
 		State: uint8(a.State), WantPeers: bit(a.WantPeers), WantReply: bit(a.WantReply),
-		Slots: a.Slots, Outstanding: a.Outstanding, OpenFlows: a.OpenFlows, WarmupMilliseconds: a.WarmupMillis,
-		Ejected: bit(a.Ejected), Registration: uint8(a.Registration), PeriodMilliseconds: uint16(a.Period.Milliseconds()),
+		Slots: a.Slots, Outstanding: a.Outstanding, OpenFlows: a.OpenFlows, WarmupMillis: a.WarmupMillis,
+		Ejected: bit(a.Ejected), Registration: uint8(a.Registration), PeriodMillis: uint16(a.Period.Milliseconds()),
 		Cold: bit(a.Cold), Headroom: a.Headroom, ConfigVersion: a.ConfigVersion,
 	})
 	return a.LoadReport.append(b)
@@ -193,7 +195,7 @@
 	b = envelope.AppendPrefix(b, envelope.Beacon)
 	b = appendFixed(b, beaconWire{
 		Incarnation: m.Incarnation, Seq: m.Seq, Zone: uint32(m.Zone), ConfigVersion: m.ConfigVersion, Digest: m.Digest,
-		Leaving: bit(m.Leaving), Feeding: bit(m.Feeder), WantPeers: bit(m.WantPeers), Reply: bit(m.Reply),
+		Leaving: bit(m.Leaving), Feeder: bit(m.Feeder), WantPeers: bit(m.WantPeers), Reply: bit(m.Reply),
 		PeriodMillis:        uint16(m.Period.Milliseconds()),
 		ReceivedIncarnation: m.LastReceived.Incarnation, ReceivedSeq: m.LastReceived.Seq,
 		InRotation: bit(m.InRotation), LinkMbps: m.LinkMbps, SentMbps: m.SentMbps,
@@ -231,7 +233,7 @@
 	if err != nil {
 		return Announcement{}, err
 	}
-	readings, err := decodeLoadReport(rest)
+	loadReport, err := decodeLoadReport(rest)
 	if err != nil {
 		return Announcement{}, err
 	}
@@ -242,9 +244,9 @@
 		MessageID: MessageID{w.Incarnation, w.Seq},
 		Zone:      flow.Tag(w.Zone), Service: flow.Tag(w.Service), TargetIncarnation: flow.Tag(w.TargetIncarnation),
 		State: State(w.State), WantPeers: w.WantPeers == 1, WantReply: w.WantReply == 1,
-		Slots: w.Slots, Outstanding: w.Outstanding, OpenFlows: w.OpenFlows, WarmupMillis: w.WarmupMilliseconds,
-		Ejected: w.Ejected == 1, Registration: Registration(w.Registration), Period: time.Duration(w.PeriodMilliseconds) * time.Millisecond,
-		Cold: w.Cold == 1, Headroom: w.Headroom, ConfigVersion: w.ConfigVersion, LoadReport: readings,
+		Slots: w.Slots, Outstanding: w.Outstanding, OpenFlows: w.OpenFlows, WarmupMillis: w.WarmupMillis,
+		Ejected: w.Ejected == 1, Registration: Registration(w.Registration), Period: time.Duration(w.PeriodMillis) * time.Millisecond,
+		Cold: w.Cold == 1, Headroom: w.Headroom, ConfigVersion: w.ConfigVersion, LoadReport: loadReport,
 	}, nil
 }
 
@@ -261,7 +263,7 @@
 	}
 	return Beacon{
 		MessageID: MessageID{w.Incarnation, w.Seq}, Zone: flow.Tag(w.Zone), ConfigVersion: w.ConfigVersion, Digest: w.Digest,
-		Leaving: w.Leaving == 1, Feeder: w.Feeding == 1, WantPeers: w.WantPeers == 1, Reply: w.Reply == 1,
+		Leaving: w.Leaving == 1, Feeder: w.Feeder == 1, WantPeers: w.WantPeers == 1, Reply: w.Reply == 1,
 		Period:       time.Duration(w.PeriodMillis) * time.Millisecond,
 		LastReceived: MessageID{w.ReceivedIncarnation, w.ReceivedSeq}, Evacuations: evacuations,
 		InRotation: w.InRotation == 1, LinkMbps: w.LinkMbps, SentMbps: w.SentMbps,
@@ -272,7 +274,7 @@
 type NodeList struct {
 	Balancers []flow.IPv4
 	// ActiveAgents are agents whose targets may hold flows. IdleAgents are agents whose targets hold
-	// none at present: the receiver introduces itself to them without waiting for them.
+	// none at present: the receiver introduces itself to them, but they cause no uncertainty.
 	ActiveAgents, IdleAgents []flow.IPv4
 }
 
@@ -317,15 +319,15 @@
 		return NodeList{}, ErrMalformed
 	}
 	b = b[envelope.PrefixLen:]
-	nb, nh, ni := int(b[0]), int(b[1]), int(b[2])
+	balancers, active, idle := int(b[0]), int(b[1]), int(b[2])
 	b = b[counts:]
-	if len(b) != ipLen*(nb+nh+ni) {
+	if len(b) != ipLen*(balancers+active+idle) {
 		return NodeList{}, ErrMalformed
 	}
 	return NodeList{
-		Balancers:    decodeIPs(b[:ipLen*nb]),
-		ActiveAgents: decodeIPs(b[ipLen*nb : ipLen*(nb+nh)]),
-		IdleAgents:   decodeIPs(b[ipLen*(nb+nh):]),
+		Balancers:    decodeIPs(b[:ipLen*balancers]),
+		ActiveAgents: decodeIPs(b[ipLen*balancers : ipLen*(balancers+active)]),
+		IdleAgents:   decodeIPs(b[ipLen*(balancers+active):]),
 	}, nil
 }
 
--- a/fleet/overdue.go
+++ b/fleet/overdue.go
@@ -32,7 +32,7 @@
 // resetProbes records that a message of the node was received.
 func (p *probeState) resetProbes() { p.probes, p.nextProbe = 0, time.Time{} }
 
-// beginProbe reports whether the node is to be probed now, and counts the probe if so.
+// beginProbe reports whether to probe the node now, and counts the probe if so.
 func (p *probeState) beginProbe(now, lastSeen time.Time, delay time.Duration) bool {
 	if p.probes >= maxProbes || now.Before(p.nextProbe) || now.Sub(lastSeen) <= delay {
 		return false
@@ -48,8 +48,8 @@
 	return time.Duration(probePeriods * float64(max(period, SameZonePeriod)))
 }
 
-// TargetsToProbe returns the targets of other zones whose relayed messages have stopped
-// arriving and that are to be probed now, sorted by address, and counts the probes.
+// TargetsToProbe returns the targets of other zones to probe now, because their relayed messages
+// have stopped arriving, sorted by address, and counts the probes.
 // allRelayed states that nodes of other zones use relays in the local zone, so that the
 // messages of any of them may arrive relayed.
 func (v *View) TargetsToProbe(now time.Time, local flow.Tag, allRelayed bool) []flow.IPv4 {
@@ -63,8 +63,8 @@
 	return out
 }
 
-// PeersToProbe does the same for the balancers of other zones. A balancer is not probed
-// until minDelay has passed since its last message.
+// PeersToProbe is TargetsToProbe for the balancers of other zones. A balancer is not probed until
+// minDelay has passed since its last message.
 func (v *View) PeersToProbe(now time.Time, local flow.Tag, minDelay time.Duration, allRelayed bool) []flow.IPv4 {
 	var out []flow.IPv4
 	for ip, p := range v.peers {
--- a/fleet/period.go
+++ b/fleet/period.go
@@ -6,8 +6,8 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// Periodic repetition of a node's state message. Changes are sent immediately; the
-// repetition shows that the node is alive and carries its load report.
+// Periodic repetition of a node's state message. Changes are sent immediately; the repetitions
+// show that the node is alive and carry the load report.
 const (
 	// SameZonePeriod is the time between repetitions to nodes of the local zone.
 	SameZonePeriod = time.Second
@@ -49,7 +49,7 @@
 const phaseSalt = 3
 
 // overdue reports whether a node was last seen more than the given number of its announced
-// periods ago. A period of zero stands for that within a zone.
+// periods ago. A period of zero stands for SameZonePeriod.
 func overdue(now, lastSeen time.Time, period time.Duration, periods float64) bool {
 	if period <= 0 {
 		period = SameZonePeriod
--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -6,7 +6,7 @@
 // is stopped, which is just when the list is needed, and the number of renewals grows with
 // the fleet. An entry is written once per start; an agent writes it once it has seen its
 // target. It is removed by an agent whose target has ended, and otherwise by a balancer
-// that has not received a message of the node for long (fleet.View.Keeper). A node checks
+// that has not received a message of the node for long (fleet.View.IsReaper). A node checks
 // its entry periodically: after a network partition it may have been removed as dead.
 package registry
 
@@ -48,14 +48,14 @@
 	removeTimeout = 200 * time.Millisecond
 )
 
-// Registration maintains the entry of one node.
-type Registration struct {
+// Registrar maintains the entry of one node.
+type Registrar struct {
 	store       store.Store
 	role        fleet.Role
 	self        flow.IPv4
 	incarnation uint64
 	log         *zap.Logger
-	// onApplied is called each time that the store has reached the desired presence.
+	// onApplied is called each time that the store has reached the desired state.
 	onApplied func(fleet.EntryState)
 
 	// mu guards desired; no other lock is taken while it is held.
@@ -65,14 +65,14 @@
 	changed chan struct{}
 }
 
-// New returns a registry for the process of the given incarnation at an address. onApplied
-// is called each time that the store has reached the desired presence.
-func New(s store.Store, role fleet.Role, self flow.IPv4, incarnation uint64, log *zap.Logger, onApplied func(fleet.EntryState)) *Registration {
-	return &Registration{store: s, role: role, self: self, incarnation: incarnation, log: log, onApplied: onApplied, changed: make(chan struct{}, 1)}
+// New returns the registrar of the process of the given incarnation at an address. onApplied is
+// called each time that the store has reached the desired state.
+func New(s store.Store, role fleet.Role, self flow.IPv4, incarnation uint64, log *zap.Logger, onApplied func(fleet.EntryState)) *Registrar {
+	return &Registrar{store: s, role: role, self: self, incarnation: incarnation, log: log, onApplied: onApplied, changed: make(chan struct{}, 1)}
 }
 
-// SetPresence sets the desired presence of the node in the registry.
-func (r *Registration) SetPresence(p fleet.EntryState) {
+// SetEntryState sets the desired state of the node's entry.
+func (r *Registrar) SetEntryState(p fleet.EntryState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.desired == p {
@@ -86,17 +86,17 @@
 	}
 }
 
-func (r *Registration) desiredPresence() fleet.EntryState {
+func (r *Registrar) desiredState() fleet.EntryState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.desired
 }
 
-// Run keeps the entry in line with the desired presence until ctx ends.
-func (r *Registration) Run(ctx context.Context) error {
+// Run keeps the entry in the desired state until ctx ends.
+func (r *Registrar) Run(ctx context.Context) error {
 	applied, pause := fleet.EntryUnchanged, retryPause
 	for ctx.Err() == nil {
-		desired := r.desiredPresence()
+		desired := r.desiredState()
 		if desired != applied {
 			if err := r.apply(ctx, desired); err != nil {
 				r.log.Warn("registry entry not changed", zap.String("reason", reason(err)))
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// wait waits for about d and then returns true. It returns false earlier if the desired
-// presence changes or ctx ends.
-func (r *Registration) wait(ctx context.Context, d time.Duration) bool {
+// wait waits for about d and then returns true. It returns false earlier if the desired state
+// changes or ctx ends.
+func (r *Registrar) wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(worker.Jitter(d))
 	defer timer.Stop()
 	select {
@@ -130,7 +130,7 @@
 }
 
 // apply writes or removes the entry according to p.
-func (r *Registration) apply(ctx context.Context, p fleet.EntryState) error {
+func (r *Registrar) apply(ctx context.Context, p fleet.EntryState) error {
 	switch p {
 	case fleet.EntryPresent:
 		return r.writeEntry(ctx)
@@ -142,22 +142,22 @@
 }
 
 // writeEntry writes the entry with the incarnation of this process.
-func (r *Registration) writeEntry(ctx context.Context) error {
+func (r *Registrar) writeEntry(ctx context.Context) error {
 	put := store.Put{Key: entryKey(r.role, r.self), Value: encodeIncarnation(r.incarnation)}
 	_, err := r.store.Txn(ctx, store.Txn{Puts: []store.Put{put}})
 	return err
 }
 
 // removeEntry removes the entry, whichever process wrote it.
-func (r *Registration) removeEntry(ctx context.Context) error {
+func (r *Registrar) removeEntry(ctx context.Context) error {
 	_, err := r.store.Txn(ctx, store.Txn{Removes: []string{entryKey(r.role, r.self)}})
 	return err
 }
 
 // entryMissing reports whether the store has answered without a valid entry. Any replica may
 // answer: an entry that is newer than the replica's state is only written once more.
-func (r *Registration) entryMissing(ctx context.Context) bool {
-	if r.desiredPresence() != fleet.EntryPresent {
+func (r *Registrar) entryMissing(ctx context.Context) bool {
+	if r.desiredState() != fleet.EntryPresent {
 		return false
 	}
 	resp, err := r.store.Range(ctx, store.RangeRequest{Key: entryKey(r.role, r.self), Stale: true})
@@ -173,7 +173,7 @@
 }
 
 // Deregister removes the entry of a node that is gone for good.
-func (r *Registration) Deregister() {
+func (r *Registrar) Deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), removeTimeout)
 	defer cancel()
 	if err := r.removeEntry(ctx); err != nil {
--- a/fleet/registry/registry_test.go
+++ b/fleet/registry/registry_test.go
@@ -35,9 +35,9 @@
 }
 
 // startRegistry starts a registry; the returned function stops it.
-func startRegistry(s store.Store, incarnation uint64) (r *Registration, stop func()) {
+func startRegistry(s store.Store, incarnation uint64) (r *Registrar, stop func()) {
 	r = New(s, fleet.RoleAgent, self, incarnation, zap.NewNop(), func(fleet.EntryState) {})
-	r.SetPresence(fleet.EntryPresent)
+	r.SetEntryState(fleet.EntryPresent)
 	return r, worker.Start(r.Run)
 }
 
@@ -61,16 +61,16 @@
 	require.Empty(t, listEntries(t, s))
 }
 
-// TestEntryFollowsDesiredPresence also covers an entry that an earlier process has left.
-func TestEntryFollowsDesiredPresence(t *testing.T) {
+// TestEntryFollowsDesiredState also covers an entry that an earlier process has left.
+func TestEntryFollowsDesiredState(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	require.NoError(t, New(s, fleet.RoleAgent, self, 6, zap.NewNop(), func(fleet.EntryState) {}).writeEntry(context.Background()))
 	r, stop := startRegistry(s, 7)
 	defer stop()
 	waitForEntry(t, s, 7)
-	r.SetPresence(fleet.EntryAbsent)
+	r.SetEntryState(fleet.EntryAbsent)
 	require.Eventually(t, func() bool { return len(listEntries(t, s)) == 0 }, 5*time.Second, 5*time.Millisecond)
-	r.SetPresence(fleet.EntryPresent)
+	r.SetEntryState(fleet.EntryPresent)
 	waitForEntry(t, s, 7)
 }
 
@@ -118,7 +118,7 @@
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
 	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.EntryState) {})
-	r.SetPresence(fleet.EntryPresent)
+	r.SetEntryState(fleet.EntryPresent)
 	require.NoError(t, r.writeEntry(ctx))
 	require.False(t, r.entryMissing(ctx))
 	s.Down(true)
@@ -126,7 +126,7 @@
 	s.Down(false)
 	r.Deregister()
 	require.True(t, r.entryMissing(ctx))
-	r.SetPresence(fleet.EntryAbsent)
+	r.SetEntryState(fleet.EntryAbsent)
 	require.False(t, r.entryMissing(ctx), "the desired presence is absent")
 }
 
@@ -226,7 +226,7 @@
 	ctx := context.Background()
 	s := standin.NewStore(time.Now)
 	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.EntryState) {})
-	r.SetPresence(fleet.EntryPresent)
+	r.SetEntryState(fleet.EntryPresent)
 	require.NoError(t, r.writeEntry(ctx))
 	s.Operator(store.Put{Key: entryKey(fleet.RoleAgent, self), Value: []byte("no epoch")})
 	require.True(t, r.entryMissing(ctx))
--- a/fleet/registryreading.go
+++ b/fleet/registryreading.go
@@ -16,26 +16,26 @@
 
 // Update replaces the snapshot by a newer one. seen reports whether a node has been seen. A node
 // that was already tracked as unseen keeps its time.
-func (r *UnseenTracker) Update(now time.Time, entries []Entry, seen func(flow.IPv4) bool) {
+func (t *UnseenTracker) Update(now time.Time, entries []Entry, seen func(flow.IPv4) bool) {
 	unseen := map[flow.IPv4]time.Time{}
 	for _, e := range entries {
 		if seen(e.IP) {
 			continue
 		}
-		since, before := r.unseenSince[e.IP]
+		since, before := t.unseenSince[e.IP]
 		if !before {
 			since = now
 		}
 		unseen[e.IP] = since
 	}
-	r.entries, r.unseenSince = entries, unseen
+	t.entries, t.unseenSince = entries, unseen
 }
 
-// Missing returns a node that has not been seen, for less than the timeout after which it
-// counts as gone.
-func (r *UnseenTracker) Missing(now time.Time, timeout time.Duration, seen func(flow.IPv4) bool) (flow.IPv4, bool) {
-	for _, e := range r.entries {
-		since, unseen := r.unseenSince[e.IP]
+// Missing returns a node that has been unseen for less than the timeout; after that a node counts
+// as gone.
+func (t *UnseenTracker) Missing(now time.Time, timeout time.Duration, seen func(flow.IPv4) bool) (flow.IPv4, bool) {
+	for _, e := range t.entries {
+		since, unseen := t.unseenSince[e.IP]
 		if unseen && !seen(e.IP) && now.Sub(since) < timeout {
 			return e.IP, true
 		}
@@ -43,12 +43,12 @@
 	return 0, false
 }
 
-// Purge removes the entries of nodes that have been unseen for longer than a view keeps a
-// node, and returns them.
-func (r *UnseenTracker) Purge(now time.Time, seen func(flow.IPv4) bool) []Entry {
+// Purge removes the entries of nodes that have been unseen for longer than ExpireAfter, and returns
+// them.
+func (t *UnseenTracker) Purge(now time.Time, seen func(flow.IPv4) bool) []Entry {
 	var dead []Entry
-	r.entries = slices.DeleteFunc(r.entries, func(e Entry) bool {
-		since, unseen := r.unseenSince[e.IP]
+	t.entries = slices.DeleteFunc(t.entries, func(e Entry) bool {
+		since, unseen := t.unseenSince[e.IP]
 		if !unseen || seen(e.IP) || now.Sub(since) <= ExpireAfter {
 			return false
 		}
--- a/fleet/relayed.go
+++ b/fleet/relayed.go
@@ -10,7 +10,7 @@
 // its address.
 type ProcessRelation uint8
 
-// The relations of a sending process to those seen.
+// The relations of a sending process to the processes seen.
 const (
 	// ProcessUnknown: no message came directly from this process.
 	ProcessUnknown ProcessRelation = iota
@@ -20,8 +20,8 @@
 	ProcessFormer
 )
 
-// TargetProcess returns the relation of a process, given by its incarnation, to the current
-// one of an agent. Relayed messages are accepted only from the current process: a relay that
+// TargetProcess returns the relation of a process, given by its incarnation, to the agent's current
+// process. Relayed messages are accepted only from the current process: a relay that
 // was frozen may send messages of an earlier incarnation, which a receiver that has not seen
 // the later one could not recognize as outdated.
 func (v *View) TargetProcess(ip flow.IPv4, incarnation uint64) ProcessRelation {
@@ -29,19 +29,20 @@
 	if !known {
 		return ProcessUnknown
 	}
-	return t.filter.processOf(incarnation)
+	return t.filter.relationOf(incarnation)
 }
 
-// PeerProcess returns the relation of a process to the current one of a balancer.
+// PeerProcess returns the relation of a process, given by its incarnation, to the balancer's current
+// process.
 func (v *View) PeerProcess(ip flow.IPv4, incarnation uint64) ProcessRelation {
 	p, known := v.peers[ip]
 	if !known {
 		return ProcessUnknown
 	}
-	return p.filter.processOf(incarnation)
+	return p.filter.relationOf(incarnation)
 }
 
-func (f *replayFilter) processOf(incarnation uint64) ProcessRelation {
+func (f *replayFilter) relationOf(incarnation uint64) ProcessRelation {
 	switch {
 	case incarnation == f.Incarnation:
 		return ProcessCurrent
@@ -53,18 +54,18 @@
 }
 
 // FilterRelayed returns the part of a relayed announcement that may be applied, and whether the
-// agent is to be asked for the rest. Relayed messages may be late, and the target may have
-// started again since. That it holds no flows, or that its registry entry was removed, is
-// therefore accepted from the agent only; otherwise its new flows would be treated as
-// ended. Until the agent answers, the target counts as draining.
+// agent has to be probed for the rest. A relayed message may be late, and the target may have
+// started again since. The state Gone and a change of the registration are therefore accepted
+// only from the agent itself; otherwise flows of the restarted target would be treated as ended.
+// Until the agent answers, a target that is relayed as gone counts as draining.
 func (t *Target) FilterRelayed(a Announcement) (Announcement, bool) {
-	ends := a.State == Gone && t.State != Gone
-	if ends {
+	gone := a.State == Gone && t.State != Gone
+	if gone {
 		a.State = Draining
 	}
-	ask := ends || a.Registration != t.Registration
+	probe := gone || a.Registration != t.Registration
 	a.Registration = t.Registration
-	return a, ask
+	return a, probe
 }
 
 // MarkRelayed records that messages of a node arrive through relays.
--- a/fleet/silence.go
+++ b/fleet/silence.go
@@ -17,7 +17,7 @@
 	messageSlack = 200 * time.Millisecond
 )
 
-// ZoneSilence reports that a zone has become silent, or that it was seen again.
+// ZoneSilence reports that a zone has become silent, or no longer is.
 type ZoneSilence struct {
 	Zone   flow.Tag
 	Silent bool
--- a/fleet/survey.go
+++ b/fleet/survey.go
@@ -32,8 +32,8 @@
 	pause   time.Duration
 }
 
-// Received records when the read of a received snapshot began. A snapshot that another node had
-// read before it was requested is outdated sooner, so the next read may begin sooner.
+// Received records when the read of a received snapshot began. If another node began it before
+// the snapshot was requested, the next read may begin sooner as well.
 func (p *SnapshotPacer) Received(began time.Time) {
 	if began.Before(p.beganAt) {
 		p.beganAt = began
--- a/fleet/surveycopy/doc.go
+++ b/fleet/surveycopy/doc.go
@@ -1,9 +1,9 @@
 // Package surveycopy shares snapshots of the agents' registry between the balancers of a
 // zone, so that the number of store calls grows with the zones and not with the balancers.
 //
-// A snapshot is what the store listed at one moment. The sender states its age; the receiver
-// subtracts the age from the time of its own request, so that neither clock differences nor
-// a slow response make a snapshot look newer than it is (fleet.Survey). Sharing is optional:
+// A snapshot is the list of entries in the store at one moment. The sender states its age; the
+// receiver subtracts the age from the time of its own request, so that neither clock differences
+// nor a slow response make a snapshot look newer than it is (fleet.Snapshot). Sharing is optional:
 // a balancer that gets no response in time reads the store.
 //
 // A Reader reads the store once for all concurrent callers, at most as often as
--- a/fleet/surveycopy/reader.go
+++ b/fleet/surveycopy/reader.go
@@ -25,10 +25,10 @@
 	read Read
 
 	// mu guards the fields below; no other lock is taken while it is held.
-	mu     sync.Mutex
-	pacing fleet.SnapshotPacer
-	last   fleet.Snapshot
-	err    error
+	mu    sync.Mutex
+	pacer fleet.SnapshotPacer
+	last  fleet.Snapshot
+	err   error
 	// inFlight is closed when the current read has ended; it is nil if there is none.
 	inFlight chan struct{}
 }
@@ -56,7 +56,7 @@
 func (r *Reader) startIfDue(now time.Time) chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.inFlight == nil && r.pacing.TryBegin(now) {
+	if r.inFlight == nil && r.pacer.TryBegin(now) {
 		r.inFlight = make(chan struct{})
 		go r.readOnce(now, r.inFlight)
 	}
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -7,7 +7,7 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// maxFormerIncarnations is how many earlier processes at an address are remembered.
+// maxFormerIncarnations is how many earlier processes at an address are recorded.
 const maxFormerIncarnations = 4
 
 // replayFilter rejects duplicate and outdated messages of a node. It keeps the ID of the last
@@ -17,9 +17,9 @@
 	formerIncarnations [maxFormerIncarnations]uint64
 }
 
-// accept reports whether a message is newer than all before it, and records it if so.
-// A former process is accepted again once the current one is overdue: the supposed successor
-// was then a late message of a predecessor.
+// accept reports whether a message is newer than all before it, and records it if so. A former
+// process is accepted again once the current one is overdue: the message that replaced it was
+// then a late one of an even earlier process.
 func (f *replayFilter) accept(id MessageID, currentOverdue bool) bool {
 	if id.Incarnation == 0 {
 		return false
@@ -51,7 +51,8 @@
 	// Registered is set if the last registry snapshot contains the target's agent, and the agent
 	// has not announced since that its entry was removed.
 	Registered bool
-	// RegistrationChangedAt is when the agent first announced the current state of its registry entry.
+	// RegistrationChangedAt is when the agent first announced the current state of its registry
+	// entry.
 	RegistrationChangedAt time.Time
 	// MayHoldFlowsFrom is the generation of the view since which the target may hold flows.
 	MayHoldFlowsFrom uint32
@@ -80,8 +81,8 @@
 	return t.State != Gone || (t.Registered && t.Registration != RegistrationAbandoned && !t.Overdue(now))
 }
 
-// RegisteredAfter reports whether the agent first announced after the given time that it is
-// in the registry.
+// RegisteredAfter reports whether the agent is registered and first announced that after the given
+// time.
 func (t *Target) RegisteredAfter(moment time.Time) bool {
 	return t.Registration == RegistrationPresent && t.RegistrationChangedAt.After(moment)
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -117,8 +117,8 @@
 	return partition(v.Targets(), func(ip flow.IPv4) bool { return v.targets[ip].Zone == zone })
 }
 
-// FirstTarget returns the lowest address of the targets that satisfy a predicate. It scans
-// without sorting, because the check whether a flow has ended goes through all targets.
+// FirstTarget returns the lowest address of the targets that satisfy a predicate. It scans without
+// sorting, because it runs over all targets at each check whether a flow has ended.
 func (v *View) FirstTarget(holds func(*Target) bool) (first flow.IPv4, found bool) {
 	for ip, t := range v.targets {
 		if (!found || ip < first) && holds(t) {
@@ -178,8 +178,8 @@
 	return sum
 }
 
-// updateDigest updates the digest after an announcement of a target. wasCounted reports whether
-// the target was known and not gone before.
+// updateDigest updates the digest after an announcement of a target. wasCounted states whether the
+// target was known and not gone before.
 func (v *View) updateDigest(t *Target, wasCounted bool) {
 	counted := t.State != Gone
 	if counted != wasCounted {
@@ -220,7 +220,7 @@
 	Unchanged
 	// Joined: the node was not known before, or another process runs at its address.
 	Joined
-	// Altered: the target's service, incarnation or state changed.
+	// Altered: the target's service, incarnation or state has changed.
 	Altered
 )
 
@@ -327,7 +327,7 @@
 	return ip, version, ip != 0
 }
 
-// PreferredConfigSource selects the balancer from which an agent fetches the configuration. Among the
+// PreferredConfigSource returns the balancer from which an agent fetches the configuration. Among the
 // balancers with the highest version, which must be higher than the given one, it prefers
 // those in the agent's zone, then the highest link capacity, then the lowest address.
 func (v *View) PreferredConfigSource(above int64, zone flow.Tag) (ip flow.IPv4, version int64, ok bool) {
--- a/fleet/zonecast/greetings.go
+++ b/fleet/zonecast/greetings.go
@@ -8,11 +8,11 @@
 
 // Minimum pauses between two introductions to a node from which no message was received.
 const (
-	// RelayedIntroductionPause applies to a node that is known from relayed messages, or whose relayed
-	// message contains something new.
+	// RelayedIntroductionPause applies to a node that is known from relayed messages, or whose
+	// relayed message contains something new.
 	RelayedIntroductionPause = 500 * time.Millisecond
 	// IntroductionPause applies to a node that is known from a list. It is far more than a round
-	// trip: nodes that start are named to each other by many nodes at once.
+	// trip: a node that starts gets the same addresses from many nodes at once.
 	IntroductionPause = 50 * time.Millisecond
 )
 
@@ -27,16 +27,16 @@
 
 // Allow reports whether an introduction may be sent to a node now, at most one per pause, and
 // records it if so.
-func (g *IntroductionLimiter) Allow(now time.Time, ip flow.IPv4, pause time.Duration) bool {
-	if now.Sub(g.sentAt[ip]) < pause {
+func (l *IntroductionLimiter) Allow(now time.Time, ip flow.IPv4, pause time.Duration) bool {
+	if now.Sub(l.sentAt[ip]) < pause {
 		return false
 	}
-	if g.sentAt == nil {
-		g.sentAt = map[flow.IPv4]time.Time{}
+	if l.sentAt == nil {
+		l.sentAt = map[flow.IPv4]time.Time{}
 	}
-	if len(g.sentAt) >= g.MaxNodes {
-		clear(g.sentAt)
+	if len(l.sentAt) >= l.MaxNodes {
+		clear(l.sentAt)
 	}
-	g.sentAt[ip] = now
+	l.sentAt[ip] = now
 	return true
 }
--- a/fleet/zonecast/held.go
+++ b/fleet/zonecast/held.go
@@ -33,49 +33,48 @@
 
 // Put buffers a copy of a node's message, which replaces an earlier one of the node. It
 // returns false if the buffer is full.
-func (h *RelayBuffer) Put(now time.Time, from flow.IPv4, id fleet.MessageID, message []byte) bool {
-	if h.messages == nil {
-		h.messages = map[flow.IPv4]bufferedMessage{}
+func (b *RelayBuffer) Put(now time.Time, from flow.IPv4, id fleet.MessageID, message []byte) bool {
+	if b.messages == nil {
+		b.messages = map[flow.IPv4]bufferedMessage{}
 	}
-	earlier, buffered := h.messages[from]
-	if !buffered && len(h.messages) >= maxBuffered {
+	earlier, buffered := b.messages[from]
+	if !buffered && len(b.messages) >= maxBuffered {
 		return false
 	}
-	if len(h.messages) == 0 {
-		h.due = fleet.NextSendTime(now, h.FlushPeriod, h.Self)
+	if len(b.messages) == 0 {
+		b.due = fleet.NextSendTime(now, b.FlushPeriod, b.Self)
 	}
-	h.messages[from] = bufferedMessage{id: id, message: append(earlier.message[:0], message...), receivedAt: now}
+	b.messages[from] = bufferedMessage{id: id, message: append(earlier.message[:0], message...), receivedAt: now}
 	return true
 }
 
-// Discard drops the node's message with the given identity, which another relay has sent.
+// Discard drops the node's message with the given ID, which another relay has sent.
 // It reports whether the message was buffered.
-func (h *RelayBuffer) Discard(from flow.IPv4, id fleet.MessageID) bool {
-	m, buffered := h.messages[from]
+func (b *RelayBuffer) Discard(from flow.IPv4, id fleet.MessageID) bool {
+	m, buffered := b.messages[from]
 	if !buffered || m.id != id {
 		return false
 	}
-	delete(h.messages, from)
+	delete(b.messages, from)
 	return true
 }
 
-// Due reports whether there are messages to be relayed now.
-func (h *RelayBuffer) Due(now time.Time) bool { return len(h.messages) > 0 && !now.Before(h.due) }
+// Due reports whether there are messages to relay now.
+func (b *RelayBuffer) Due(now time.Time) bool { return len(b.messages) > 0 && !now.Before(b.due) }
 
-// Take removes and returns the messages that are to be relayed now, ordered by node. It
-// drops and counts stale ones: a process that was frozen must not relay messages of nodes
-// that may be gone by now.
-func (h *RelayBuffer) Take(now time.Time) (messages []fleet.RelayedMessage, stale int) {
-	if !h.Due(now) {
+// Take removes and returns the messages to relay now, ordered by node. It drops and counts stale
+// ones: a process that was frozen must not relay messages of nodes that may since be gone.
+func (b *RelayBuffer) Take(now time.Time) (messages []fleet.RelayedMessage, stale int) {
+	if !b.Due(now) {
 		return nil, 0
 	}
-	for _, ip := range slices.Sorted(maps.Keys(h.messages)) {
-		if m := h.messages[ip]; now.Sub(m.receivedAt) > 2*h.FlushPeriod {
+	for _, ip := range slices.Sorted(maps.Keys(b.messages)) {
+		if m := b.messages[ip]; now.Sub(m.receivedAt) > 2*b.FlushPeriod {
 			stale++
 		} else {
 			messages = append(messages, fleet.RelayedMessage{From: ip, Message: m.message})
 		}
 	}
-	clear(h.messages)
+	clear(b.messages)
 	return messages, stale
 }
--- a/fleet/zonecast/plan.go
+++ b/fleet/zonecast/plan.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// selectRelays returns the relays of a round. Each rotation interval uses the next Active
+// selectRelays returns the relays of a round. Each rotation interval uses the next ActiveRelays
 // balancers, and nodes start at different ones of these, so that the load is spread evenly.
 func selectRelays(balancers []flow.IPv4, self flow.IPv4, rotation int64, round int) []flow.IPv4 {
 	var out []flow.IPv4
--- a/telemetry/zones.go
+++ b/telemetry/zones.go
@@ -24,7 +24,7 @@
 // former are the zones evacuated before; from is the source of the change.
 func (g *ZoneGauges) Update(log *zap.Logger, zones, former []string, revision int64, from string) {
 	g.set(zones, revision)
-	log.Info("zones emptied", zap.Strings("zones", zones), zap.Strings("former", former),
+	log.Info("evacuated zones changed", zap.Strings("zones", zones), zap.Strings("former", former),
 		zap.Int64(FieldEvacuations, revision), zap.String("from", from))
 }
 
--- a/telemetry/zones_test.go
+++ b/telemetry/zones_test.go
@@ -31,7 +31,7 @@
 	require.Contains(t, text, `poppywall_front_emptied_zone{zone="b"} 1`)
 	require.NotContains(t, text, `zone="a"`)
 	require.Contains(t, text, "poppywall_front_emptied_zones_revision 9")
-	require.Equal(t, `{"msg":"zones emptied","zones":["a","b"],"former":[],"evacuations":7,"from":"store"}
-{"msg":"zones emptied","zones":["b"],"former":["a","b"],"evacuations":9,"from":"10.0.0.2"}
+	require.Equal(t, `{"msg":"evacuated zones changed","zones":["a","b"],"former":[],"evacuations":7,"from":"store"}
+{"msg":"evacuated zones changed","zones":["b"],"former":["a","b"],"evacuations":9,"from":"10.0.0.2"}
 `, out.String())
 }
