--- a/agent/packetfront/admission_test.go
+++ b/agent/packetfront/admission_test.go
@@ -394,7 +394,7 @@
 	f.targetSends(100, flow.SYN|flow.ACK, 1_000_000, 0)
 	f.deliver(envelope.Envelope{}, packet(keyOf(100), flow.ACK, 1_000_000, "request"))
 	f.advance(time.Second)
-	require.Zero(t, f.counts.expired, "its client still waits")
+	require.Zero(t, f.counts.abandonedInQueue, "its client still waits")
 	require.Equal(t, 1, f.queue.Len())
 }
 
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -60,12 +60,12 @@
 type eventCounts struct {
 	discardEvents
 
-	withheld, unwanted, expired, overloads int
+	withheld, abandonedAtTarget, abandonedInQueue, overloads int
 }
 
 func (t *eventCounts) Withheld(flow.Key, []byte, AbandonReason)  { t.withheld++ }
-func (t *eventCounts) AbandonedAtTarget(flow.Key, time.Duration) { t.unwanted++ }
-func (t *eventCounts) AbandonedInQueue(flow.Key, time.Duration)  { t.expired++ }
+func (t *eventCounts) AbandonedAtTarget(flow.Key, time.Duration) { t.abandonedAtTarget++ }
+func (t *eventCounts) AbandonedInQueue(flow.Key, time.Duration)  { t.abandonedInQueue++ }
 
 func (t *eventCounts) Overloaded(active bool, _ backlog.Load, _ int, _ time.Duration) {
 	if active {
@@ -114,7 +114,7 @@
 	f.Tick(f.now)
 }
 
-// receiveBeacon delivers a receiveBeacon in which a balancer acknowledges the agent's announcements up to
+// receiveBeacon delivers a beacon in which a balancer acknowledges the agent's announcements up to
 // a sequence number.
 func (f *fixture) receiveBeacon(ip flow.IPv4, zone flow.Tag, acknowledged uint32) {
 	f.seq++
--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -52,10 +52,10 @@
 	// time.
 	AbandonedInQueue(key flow.Key, waited time.Duration)
 	// Withheld reports a request, or a retransmission of one, that was not delivered to the target
-	// because it arrived after the client had abandoned it. Each request is reported once.
+	// because it arrived after it was abandoned. Each request is reported once.
 	Withheld(key flow.Key, requestID []byte, reason AbandonReason)
-	// AbandonedAtTarget reports a request that its client abandoned the given time after its
-	// delivery to the target.
+	// AbandonedAtTarget reports a request that was abandoned the given time after its delivery to
+	// the target.
 	AbandonedAtTarget(key flow.Key, after time.Duration)
 	// PassedOn reports a new flow that this target does not take; hops is how often the flow was
 	// passed on before.
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -30,7 +30,8 @@
 	admissionLinesPerSecond = 50
 	reportLinesPerSecond    = 20
 	otherLinesPerSecond     = 50
-	// abandonedLinesPerSecond has a budget of its own, because an overload exhausts admissionLines.
+	// abandonedLinesPerSecond has a budget of its own, because an overload
+	// exhausts admissionLinesPerSecond.
 	abandonedLinesPerSecond = 50
 )
 
--- a/agent/packetfront/reusedports_test.go
+++ b/agent/packetfront/reusedports_test.go
@@ -65,7 +65,7 @@
 			f.sendAnswer(i)
 		}
 		require.Equal(t, 1, countOf(f.deliveredRequests(), 100))
-		require.Zero(t, f.counts.expired)
+		require.Zero(t, f.counts.abandonedInQueue)
 	})
 }
 
--- a/agent/packetfront/settings.go
+++ b/agent/packetfront/settings.go
@@ -14,8 +14,8 @@
 	Zone string `json:"zone" validate:"required,max=63"`
 	// Service is the service of the agent's target.
 	Service string `json:"service" validate:"required,max=255"`
-	// Internal is the address for datagrams between nodes; its port is the same
-	// on all nodes.
+	// Internal is the address for datagrams and calls between nodes; its port is
+	// the same on all nodes.
 	Internal string `json:"internal" validate:"required,addrport4"`
 	// Outbound is the address to which the target sends its packets.
 	Outbound string `json:"outbound" validate:"required,addrport4"`
--- a/agent/packetfront/withheld_test.go
+++ b/agent/packetfront/withheld_test.go
@@ -73,7 +73,7 @@
 	f.deliver(envelope.Envelope{}, finPacket(100))
 	f.deliver(envelope.Envelope{}, dataPacket(100, 4, "two"))
 	require.Equal(t, []int{100}, f.deliveredRequests())
-	require.Equal(t, 1, f.counts.unwanted)
+	require.Equal(t, 1, f.counts.abandonedAtTarget)
 }
 
 // TestALaterRequestOfAFlowIsWithheldAfterItsDeadline: the age of a later request counts from its
--- a/balancer/packetfront/fixture_test.go
+++ b/balancer/packetfront/fixture_test.go
@@ -54,8 +54,8 @@
 func (eventRecorder) RotationChanged(bool, float64, float64, int)          {}
 func (eventRecorder) EvacuationsChanged(_, _ flow.Evacuations, _ string)   {}
 
-// fixture is a balancer, usually settled and with two targets of a service. doubt is the uncertainty
-// of the last lost packet, kept the number of buffered packets.
+// fixture is a balancer, usually settled and with two targets of a service. uncertainty is that of
+// the last lost packet, buffered the number of buffered packets.
 type fixture struct {
 	*Core
 	port        *envelopetest.Recorder
@@ -86,7 +86,7 @@
 	*c.operator = *operator.New(now, operator.Options{Self: c.opts.Self, Zone: c.opts.Zone, FollowTime: c.opts.FollowTime}, c.view, listener{c}, c.rnd)
 }
 
-// restartAt makes the balancer one that restartAt at the given time and has no registry snapshot.
+// restartAt makes the balancer one that started at the given time and has no registry snapshot.
 func (f *fixture) restartAt(at time.Time) {
 	f.startedAt = at
 	*f.proof = *search.NewProof(at, self, nil, f.view)
@@ -136,7 +136,7 @@
 	return platformtest.FromClient(key, flags, 0, uint32(ack), nil)
 }
 
-// receiveFromClient delivers a packet from a receiveFromClient.
+// receiveFromClient delivers a packet from a client.
 func (f *fixture) receiveFromClient(p []byte) {
 	h, err := platform.DecodePacket(p)
 	if err != nil {
--- a/balancer/packetfront/survey.go
+++ b/balancer/packetfront/survey.go
@@ -46,8 +46,8 @@
 }
 
 // SnapshotSources returns whether a snapshot of the agents' registry is due, and the balancers to
-// ask for one before the store is read: the feeders of the zone. A feeder asks
-// only those with lower addresses, so that the first feeder of a zone reads for all.
+// ask for one before the store is read: the feeders of the zone. A feeder asks only those with
+// lower addresses, so that the first feeder of a zone reads for all.
 func (c *Core) SnapshotSources(now time.Time) (ask []flow.IPv4, due bool) {
 	if !c.proof.WantsSnapshot(now) {
 		return nil, false
