--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSeparateProcesses serves GET, POST and long streams through the spray and
-// lets processes die, freeze and stop under them.
+// TestSeparateProcesses serves GET, POST and long streams through several balancers while
+// processes are killed, frozen and stopped.
 func TestSeparateProcesses(t *testing.T) {
 	s := startSite(t, 3, 2)
 	c := s.caller()
@@ -23,12 +23,12 @@
 	require.Equal(t, "e2e4", s.do(c, http.MethodPost, "/move", "e2e4"))
 	var streams []*stream
 	for range 6 {
-		streams = append(streams, s.open())
+		streams = append(streams, s.openStream())
 	}
 	followAll := func(n int) {
 		t.Helper()
 		for _, st := range streams {
-			s.follow(st, n)
+			s.readEvents(st, n)
 		}
 	}
 	followAll(10)
@@ -56,23 +56,23 @@
 		followAll(20)
 		require.Equal(t, "g1f3", s.do(s.caller(), http.MethodPost, "/move", "g1f3"))
 		_, code := s.run("drain", "host-1")
-		require.Equal(t, 3, code, "rejected, for nothing was written")
+		require.Equal(t, 3, code, "the change is rejected because nothing was written")
 		setFaults(t, s, `{}`)
 	})
 	t.Run("the platform is slow", func(t *testing.T) {
 		setFaults(t, s, `{"delayMillis":700}`)
-		out, code := s.run("label", "host-1", "--set", "tried=slow", "--wait", patience.String())
+		out, code := s.run("label", "host-1", "--set", "tried=slow", "--wait", timeout.String())
 		require.Zero(t, code, out)
 		followAll(20)
 		setFaults(t, s, `{}`)
 	})
 	t.Run("a host drains", func(t *testing.T) {
-		out, code := s.run("drain", "host-0", "--wait", patience.String())
+		out, code := s.run("drain", "host-0", "--wait", timeout.String())
 		require.Zero(t, code, out)
 		s.waitFor("draining", func() bool { return strings.Contains(s.status(), "draining") })
 		followAll(50)
 		require.Equal(t, "b8c6", s.do(s.caller(), http.MethodPost, "/move", "b8c6"))
-		out, code = s.run("undrain", "host-0", "--wait", patience.String())
+		out, code = s.run("undrain", "host-0", "--wait", timeout.String())
 		require.Zero(t, code, out)
 	})
 	t.Run("a balancer stops gracefully", func(t *testing.T) {
@@ -83,38 +83,40 @@
 	})
 }
 
-// TestAgentStopsGracefully: SIGTERM waits for open work and takes no new work.
+// TestAgentStopsGracefully: on SIGTERM an agent takes no new work and exits only after its
+// open work has ended.
 func TestAgentStopsGracefully(t *testing.T) {
 	s := startSite(t, 2, 2)
 	var streams []*stream
 	for range 12 {
-		streams = append(streams, s.open())
+		streams = append(streams, s.openStream())
 	}
 	s.agents[0].signal(t, syscall.SIGTERM)
 	for _, st := range streams {
-		s.follow(st, 100)
+		s.readEvents(st, 100)
 	}
 	for range 5 {
 		require.Equal(t, "e7e5", s.do(s.caller(), http.MethodPost, "/move", "e7e5"))
 	}
 	select {
 	case <-s.agents[0].exited:
-		t.Fatal("the agent left its streams")
+		t.Fatal("the agent exited while its streams were open")
 	default:
 	}
 }
 
 func setFaults(t *testing.T, s *site, doc string) {
 	t.Helper()
-	resp, err := http.Post(s.platform+"/standin/faults", "application/json", strings.NewReader(doc))
+	resp, err := http.Post(s.platformURL+"/standin/faults", "application/json", strings.NewReader(doc))
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 }
 
-// TestBadSettingsAreNamed: one clear error that names the field, exit 2.
+// TestBadSettingsAreNamed: invalid settings yield an error that names the field, and exit
+// code 2.
 func TestBadSettingsAreNamed(t *testing.T) {
 	bin, dir := buildBinaries(t), t.TempDir()
-	good := map[string]string{
+	validFields := map[string]string{
 		"poppywall-balancer": `"name":"b","zone":"a","data":"127.0.0.1:0","control":"127.0.0.1:0","metrics":"127.0.0.1:0","platform":"http://127.0.0.1:1","secrets":[{"number":1,"hex":"` + secretHex + `"}]`,
 		"poppywall-agent":    `"host":"h","zone":"a","data":"127.0.0.1:0","announce":"127.0.0.1:0","metrics":"127.0.0.1:0","balancers":["127.0.0.1:1"],"certificates":[{"cert":"c","key":"k"}],"secrets":[{"number":1,"hex":"` + secretHex + `"}]`,
 		"poppywallctl":       `"platform":"http://127.0.0.1:1","balancers":["127.0.0.1:1"],"secrets":[{"number":1,"hex":"` + secretHex + `"}]`,
@@ -126,7 +128,7 @@
 		out, _ := cmd.CombinedOutput()
 		return string(out), cmd.ProcessState.ExitCode()
 	}
-	for name, fields := range good {
+	for name, fields := range validFields {
 		out, code := check(name, "{"+fields+"}")
 		require.Zero(t, code, "%s: %s", name, out)
 		out, code = check(name, "{"+fields+`,"surprise":1}`)
