--- a/e2e/packets/blackout_test.go
+++ b/e2e/packets/blackout_test.go
@@ -7,10 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blackoutSpread is within which time of each other processes come back.
+// blackoutSpread is the time span over which processes restart after a blackout.
 const blackoutSpread = 300 * time.Millisecond
 
-// blackout ends all processes, and all targets too if targetsDown is not zero.
+// blackout restarts all processes after down, and all targets after targetsDown unless it
+// is zero.
 func blackout(w *world, down, targetsDown time.Duration) {
 	for _, ip := range w.BalancerIPs() {
 		w.Balancers[ip].Restart(down + time.Duration(w.Rnd.Int64N(int64(blackoutSpread))))
@@ -31,10 +32,11 @@
 	}
 }
 
-// TestDeadFlowsAreResetAfterABlackout: clients need not wait for their time-outs.
+// TestDeadFlowsAreResetAfterABlackout: flows whose targets ended must be reset, so that
+// clients need not wait for their timeouts.
 func TestDeadFlowsAreResetAfterABlackout(t *testing.T) {
 	w := newWorld(5)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(3 * time.Second)
 	var clients []*client
 	for range 20 {
@@ -48,16 +50,16 @@
 	}
 	w.Run(700 * time.Millisecond)
 	for _, c := range clients {
-		require.Equal(t, refused, c.state, "flow %v", c.key)
+		require.Equal(t, stateReset, c.state, "flow %v", c.key)
 	}
 	require.Empty(t, w.violations)
 }
 
-// TestVMWithoutTargetDoesNotKeepDeadFlows: a VM whose target does not come back and
-// that is then taken away must not leave the balancers in doubt.
+// TestVMWithoutTargetDoesNotKeepDeadFlows: a VM whose target does not restart and that is
+// then removed must not leave the balancers uncertain about ended flows.
 func TestVMWithoutTargetDoesNotKeepDeadFlows(t *testing.T) {
 	w := newWorld(6)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(3 * time.Second)
 	c := w.addClient("z1", frontA)
 	w.Run(time.Second)
@@ -74,46 +76,47 @@
 	w.Run(4 * time.Second)
 	c.request()
 	w.Run(time.Second)
-	require.Equal(t, refused, c.state)
+	require.Equal(t, stateReset, c.state)
 }
 
-// TestATargetThatWasTakenAwayIsNotWaitedFor: after a power loss its VM is back for a
-// moment, tells some balancers that its target is gone, and is taken away before
-// the others start.
-func TestATargetThatWasTakenAwayIsNotWaitedFor(t *testing.T) {
+// TestRemovedTargetDoesNotDelayResets: after a power loss the target's VM returns for a
+// moment, announces to some balancers that its target is gone, and is removed before
+// another balancer starts. That one must not wait for the target before it resets flows.
+func TestRemovedTargetDoesNotDelayResets(t *testing.T) {
 	w := newWorld(11)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(3 * time.Second)
-	gone := sortedAgents(w)[0]
-	gone.farewell()
+	removed := sortedAgents(w)[0]
+	removed.deregisterTarget()
 	w.Run(time.Second)
 	for range 20 {
 		w.addClient("z1", frontA)
 	}
 	w.Run(time.Second)
 	blackout(w, 500*time.Millisecond, 500*time.Millisecond)
-	last := w.Balancers[w.BalancerIPs()[2]]
-	last.Restart(2500 * time.Millisecond)
+	lateBalancer := w.Balancers[w.BalancerIPs()[2]]
+	lateBalancer.Restart(2500 * time.Millisecond)
 	w.Run(1200 * time.Millisecond)
-	gone.Core.Stop(w.Now)
-	gone.Stop()
-	delete(w.Registry, gone.IP)
+	removed.Core.Stop(w.Now)
+	removed.Stop()
+	delete(w.Registry, removed.IP)
 	w.Run(2500 * time.Millisecond)
-	require.NotContains(t, last.Core.View().Targets(), gone.IP)
+	require.NotContains(t, lateBalancer.Core.View().Targets(), removed.IP)
 	for _, c := range w.clients {
 		c.request()
 	}
 	w.Run(time.Second)
 	for _, c := range w.clients {
-		require.Equal(t, refused, c.state)
+		require.Equal(t, stateReset, c.state)
 	}
 }
 
-// TestBlackoutOfTheSystemAloneResetsNothing: targets that live keep their flows.
+// TestBlackoutOfTheSystemAloneResetsNothing: if all balancers and agents restart but the
+// targets keep running, all flows must be kept.
 func TestBlackoutOfTheSystemAloneResetsNothing(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(seed)
-		deployment(w)
+		addSmallFleet(w)
 		w.Run(3 * time.Second)
 		for range 20 {
 			w.addClient("z1", frontA)
@@ -126,19 +129,19 @@
 			}
 			w.Run(100 * time.Millisecond)
 		}
-		checkServed(t, w)
+		checkOpenFlowsAnswered(t, w)
 		for _, c := range w.clients {
-			require.Equal(t, established, c.state)
+			require.Equal(t, stateEstablished, c.state)
 		}
 	}
 }
 
-// TestALateAgentKeepsItsFlowsInDoubt: all processes are killed while the store is
-// away, and one agent comes back late: its target's flows are not reset meanwhile.
-// With leases that lapsed they were (found by the soak).
-func TestALateAgentKeepsItsFlowsInDoubt(t *testing.T) {
+// TestFlowsOfALateAgentAreNotReset: all processes are killed while the store is
+// unavailable, and one agent returns late. Its target's flows must not be reset meanwhile.
+// The soak found that they were when the registry's leases had lapsed.
+func TestFlowsOfALateAgentAreNotReset(t *testing.T) {
 	w := newWorld(8)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(4 * time.Second)
 	c := w.addClient("z1", frontA)
 	w.Run(time.Second)
@@ -158,31 +161,31 @@
 	c.request()
 	w.Run(5 * time.Second)
 	require.Empty(t, w.violations)
-	require.Equal(t, established, c.state)
-	require.Equal(t, c.asked, c.answered)
+	require.Equal(t, stateEstablished, c.state)
+	require.Equal(t, c.requested, c.answered)
 }
 
-// TestBalancersThatStartTogetherFindTargetsThatTheRegistryLacks: the store was away
-// when those started, and is back just as all balancers start again. One balancer
-// alone must not take a target for not there that another one has heard of meanwhile.
+// TestBalancersThatStartTogetherFindTargetsThatTheRegistryLacks: the store was unavailable
+// when the target started, and returns just as all balancers restart. No balancer may
+// conclude on its own that the target is absent if another one has received from it meanwhile.
 func TestBalancersThatStartTogetherFindTargetsThatTheRegistryLacks(t *testing.T) {
 	for seed := range uint64(400) {
 		w := newWorld(seed)
-		deployment(w)
+		addSmallFleet(w)
 		for range 3 {
 			w.AddBalancer("z2")
 		}
 		w.Run(3 * time.Second)
 		w.StoreBack = w.Now.Add(2 * time.Second)
-		fresh := w.addAgent("z3", serviceA)
+		unregistered := w.addAgent("z3", serviceA)
 		w.Run(600 * time.Millisecond)
 		for _, a := range sortedAgents(w) {
-			if a.Service == serviceA && a != fresh {
+			if a.Service == serviceA && a != unregistered {
 				a.target.full = true
 			}
 		}
 		for _, ip := range w.BalancerIPs() {
-			require.True(t, w.Balancers[ip].Core.View().HasTarget(fresh.IP), "seed %d: %v", seed, ip)
+			require.True(t, w.Balancers[ip].Core.View().HasTarget(unregistered.IP), "seed %d: %v", seed, ip)
 		}
 		for range 12 {
 			w.addClient("z1", frontA)
@@ -198,7 +201,7 @@
 		w.Run(3 * time.Second)
 		require.Empty(t, w.violations, "seed %d", seed)
 		for _, c := range w.clients {
-			require.Equal(t, fresh.target, c.target, "seed %d", seed)
+			require.Equal(t, unregistered.target, c.target, "seed %d", seed)
 			require.Equal(t, 2, c.answered, "seed %d", seed)
 		}
 	}
--- a/e2e/packets/client_test.go
+++ b/e2e/packets/client_test.go
@@ -9,37 +9,40 @@
 	"github.com/poppywall/poppywall/platform/platformtest"
 )
 
-// client is one flow of a client, as the protocol describes its end.
+// client is a flow, seen from its client's end of the connection.
 type client struct {
 	w     *world
 	key   flow.Key
 	zone  string
 	state clientState
-	// targetSeq is the sequence number of the SYN+ACK that was taken; target is the
-	// oracle's target behind it.
+	// targetSeq is the sequence number of the accepted SYN+ACK; target is the target that
+	// sent it.
 	targetSeq uint32
 	target    *target
-	// asked counts requests, answered those answered; retries the copies of the
-	// present one.
-	asked, answered, retries int
-	// stuckSince is when the present request was first sent.
+	// requested counts the requests, answered those that were answered, retries the
+	// retransmissions of the current one.
+	requested, answered, retries int
+	// stuckSince is when the current request was first sent.
 	stuckSince time.Time
 }
 
+// clientState is the state of a flow at its client. stateAbandoned means that the client gave
+// up because no SYN was answered.
 type clientState uint8
 
 const (
-	opening clientState = iota
-	established
-	refused
-	givenUp
+	stateOpening clientState = iota
+	stateEstablished
+	stateReset
+	stateAbandoned
 )
 
-// clientDelay is how long a packet travels to a balancer.
+// clientDelay is a packet's one-way delay from a client to a balancer.
 const clientDelay = 300 * time.Microsecond
 
-// retransmit is the first interval; it doubles.
-const retransmit = 200 * time.Millisecond
+// initialRetransmitInterval is the time to the first retransmission of a request; each
+// further interval doubles, up to 1.6 s.
+const initialRetransmitInterval = 200 * time.Millisecond
 
 func (w *world) addClient(zone string, front flow.Front) *client {
 	c := &client{w: w, zone: zone, key: flow.Key{
@@ -48,20 +51,20 @@
 	w.clients = append(w.clients, c)
 	for i, delay := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
 		w.After(delay, func() {
-			if c.state == opening {
+			if c.state == stateOpening {
 				c.send(flow.SYN, 0x1000, uint32(i), nil)
 			}
 		})
 	}
 	w.After(1400*time.Millisecond, func() {
-		if c.state == opening {
-			c.state = givenUp
+		if c.state == stateOpening {
+			c.state = stateAbandoned
 		}
 	})
 	return c
 }
 
-// send hands a packet to a balancer of the client's zone that is up, any one.
+// send sends a packet to a random balancer that is up, in any zone.
 func (c *client) send(flags flow.Flags, seq, ack uint32, data []byte) {
 	w := c.w
 	var up []*sim.Balancer
@@ -81,51 +84,52 @@
 		}
 		h, err := platform.DecodePacket(p)
 		if err != nil {
-			w.violate("client packet: %v", err)
+			w.addViolation("client packet: %v", err)
 			return
 		}
 		b.Core.HandleClient(w.Now, &h, p)
 	}, packet)
 }
 
-func (w *world) toClient(ip flow.IPv4, packet []byte) {
+func (w *world) deliverToClient(ip flow.IPv4, packet []byte) {
 	for _, c := range w.clients {
 		if c.key.ClientIP == ip {
-			c.take(packet)
+			c.handlePacket(packet)
 		}
 	}
 }
 
-// take is what a client does with a packet.
-func (c *client) take(p []byte) {
+// handlePacket handles a packet that reached the client.
+func (c *client) handlePacket(p []byte) {
 	h, err := platform.DecodePacket(p)
 	if err != nil || h.KeyFromTarget() != c.key {
-		c.w.violate("a client got a packet that is not its own")
+		c.w.addViolation("a client got a packet of another flow")
 		return
 	}
 	switch {
 	case h.Flags.Has(flow.RST):
-		// A reset of the system's own is valid near the client's last
+		// A reset sent by a balancer or an agent is valid near the client's last
 		// acknowledgement, or while the flow is not open.
-		if c.state == opening || flow.WithinSequenceWindow(h.Seq, c.lastAck()) {
-			c.reset()
+		if c.state == stateOpening || flow.WithinSequenceWindow(h.Seq, c.lastAck()) {
+			c.handleReset()
 		}
 	case h.Flags.Has(flow.SYN | flow.ACK):
-		if c.state == opening {
-			c.state, c.targetSeq = established, h.Seq
-			c.target = c.w.holder(c.key, h.Seq)
+		if c.state == stateOpening {
+			c.state, c.targetSeq = stateEstablished, h.Seq
+			c.target = c.w.targetOfFlow(c.key, h.Seq)
 			c.request()
 		}
-	case c.state == established && h.Len > 0 && int(h.Ack) == c.asked:
-		if c.answered < c.asked {
-			c.answered = c.asked
+	case c.state == stateEstablished && h.Len > 0 && int(h.Ack) == c.requested:
+		if c.answered < c.requested {
+			c.answered = c.requested
 			c.retries = 0
 		}
 	}
 }
 
-// holder finds the target that answered with the sequence number.
-func (w *world) holder(key flow.Key, seq uint32) *target {
+// targetOfFlow returns the running target that sent the SYN+ACK with the sequence number, or
+// nil.
+func (w *world) targetOfFlow(key flow.Key, seq uint32) *target {
 	for _, a := range w.agents {
 		if a.target == nil {
 			continue
@@ -137,44 +141,44 @@
 	return nil
 }
 
-// alive tells whether a target still runs.
-func (w *world) alive(h *target) bool {
+// isRunning reports whether a target still runs.
+func (w *world) isRunning(t *target) bool {
 	for _, a := range w.agents {
-		if a.target == h && h != nil {
+		if a.target == t && t != nil {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *client) reset() {
-	if c.state == established && c.w.alive(c.target) && c.target.flows[c.key] != nil && c.target.flows[c.key].open {
-		c.w.violate("flow %v was reset while its target %s lives", c.key, c.target.id)
+func (c *client) handleReset() {
+	if c.state == stateEstablished && c.w.isRunning(c.target) && c.target.flows[c.key] != nil && c.target.flows[c.key].open {
+		c.w.addViolation("flow %v was reset while its target %s runs", c.key, c.target.id)
 	}
-	if c.state == opening || c.state == established {
-		c.state = refused
+	if c.state == stateOpening || c.state == stateEstablished {
+		c.state = stateReset
 	}
 }
 
-// request sends the next request and repeats it until it is answered.
+// request sends the next request and retransmits it until it is answered.
 func (c *client) request() {
-	if c.state != established || c.asked != c.answered {
+	if c.state != stateEstablished || c.requested != c.answered {
 		return
 	}
-	c.asked++
+	c.requested++
 	c.stuckSince = c.w.Now
-	c.copy(c.asked, retransmit)
+	c.transmit(c.requested, initialRetransmitInterval)
 }
 
-func (c *client) copy(number int, pause time.Duration) {
-	if c.state != established || c.answered >= number {
+func (c *client) transmit(number int, pause time.Duration) {
+	if c.state != stateEstablished || c.answered >= number {
 		return
 	}
 	c.send(flow.ACK, uint32(number), c.lastAck(), []byte("request"))
-	c.w.After(pause, func() { c.copy(number, min(2*pause, 1600*time.Millisecond)) })
+	c.w.After(pause, func() { c.transmit(number, min(2*pause, 1600*time.Millisecond)) })
 }
 
-// lastAck is the client's acknowledgement.
+// lastAck returns the client's current acknowledgement number.
 func (c *client) lastAck() uint32 {
 	if c.answered == 0 {
 		return c.targetSeq
--- a/e2e/packets/doc.go
+++ b/e2e/packets/doc.go
@@ -1,4 +1,4 @@
-// Package packets holds the stateful tests of the packet fronts: cores of
-// balancers and agents in a simulated network, before an oracle of targets and
-// clients that speak the platform's packets.
+// Package packets holds the stateful tests of the packet fronts: the cores of
+// balancers and agents run in a simulated network. Modelled targets and clients speak
+// the platform's packets and check what the cores do.
 package packets
--- a/e2e/packets/evacuation_test.go
+++ b/e2e/packets/evacuation_test.go
@@ -10,49 +10,50 @@
 )
 
 const (
-	// emptyWithin is how soon after the store's answer no new flow may reach a target
-	// of an emptied zone, by nodes that nothing ails. Beacons to a zone's balancers are
-	// repeated each second, to others each 2.5 s at most.
-	emptyWithin = 5 * time.Second
-	// heardWithin is how soon those whom it concerns have heard: the simulated shells
-	// look at the store with each tick.
-	heardWithin = 150 * time.Millisecond
-	// refusedWithin is how soon a client is told that all zones are emptied.
-	refusedWithin = 20 * time.Millisecond
+	// maxEvacuationTime is the time after the store's answer from which on no new flow may
+	// reach a target of the evacuated zone, while no fault disturbs the nodes. Beacons are
+	// repeated every second to balancers of the same zone, at least every 2.5 s to others.
+	maxEvacuationTime = 5 * time.Second
+	// evacuationNoticeTime is the time within which the agents of a zone, and the balancers,
+	// act on its evacuation: the simulated shells read the store at each tick.
+	evacuationNoticeTime = 150 * time.Millisecond
+	// maxRefusalTime is the time within which a new flow is reset while all zones are evacuated.
+	maxRefusalTime = 20 * time.Millisecond
 )
 
-// empty empties a zone or takes it back.
-func (w *world) empty(zone string, empty bool) {
-	if !w.Empty(zone, empty) {
+// setEvacuated evacuates a zone or returns it to service.
+func (w *world) setEvacuated(zone string, evacuated bool) {
+	if !w.Empty(zone, evacuated) {
 		return
 	}
-	delete(w.emptiedAt, zone)
-	if empty {
-		w.emptiedAt[zone] = w.Now
+	delete(w.evacuatedAt, zone)
+	if evacuated {
+		w.evacuatedAt[zone] = w.Now
 	}
 }
 
-// troubled notes that nodes may be kept from hearing of an evacuation until a moment.
-func (w *world) troubled(until time.Time) {
-	if until.After(w.calmSince) {
-		w.calmSince = until
+// extendDisturbance records that a fault may keep nodes from learning of an evacuation until
+// the given time.
+func (w *world) extendDisturbance(until time.Time) {
+	if until.After(w.disturbedUntil) {
+		w.disturbedUntil = until
 	}
 }
 
-// mayOpen tells whether a target of a zone may still take a new flow.
-func (w *world) mayOpen(zone string) bool {
-	at, emptied := w.emptiedAt[zone]
-	if !emptied {
+// allowsNewFlows reports whether a target of the zone may still get new flows.
+func (w *world) allowsNewFlows(zone string) bool {
+	at, evacuated := w.evacuatedAt[zone]
+	if !evacuated {
 		return true
 	}
-	if at.Before(w.calmSince) {
-		at = w.calmSince
+	if at.Before(w.disturbedUntil) {
+		at = w.disturbedUntil
 	}
-	return w.Now.Sub(at) <= emptyWithin
+	return w.Now.Sub(at) <= maxEvacuationTime
 }
 
-// requireEvacuated checks that every process acts on what the store has.
-func (w *world) requireEvacuated(t require.TestingT) {
+// requireSameEvacuations checks that every running process has the store's evacuations.
+func (w *world) requireSameEvacuations(t require.TestingT) {
 	want := w.Evacuations.Zones()
 	for _, ip := range w.BalancerIPs() {
 		if b := w.Balancers[ip]; b.Up {
@@ -66,18 +67,19 @@
 	}
 }
 
-// TestAZoneIsEmptiedAndTakenBack: new flows leave it within the time of a message, its
-// open flows go on, and it serves again as soon.
-func TestAZoneIsEmptiedAndTakenBack(t *testing.T) {
+// TestEvacuatedZoneGetsNoNewFlowsUntilItReturns: an evacuated zone must get no new flows
+// after evacuationNoticeTime while its open flows continue, and must get new flows again
+// as soon after its return.
+func TestEvacuatedZoneGetsNoNewFlowsUntilItReturns(t *testing.T) {
 	w := newWorld(21)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(3 * time.Second)
 	for range 30 {
 		w.addClient("z1", frontA)
 	}
 	w.Run(time.Second)
 	opened := w.clients
-	inZone := func(clients []*client) (n int) {
+	countInZ1 := func(clients []*client) (n int) {
 		for _, c := range clients {
 			for _, a := range w.agents {
 				if a.target == c.target && a.Zone == "z1" {
@@ -87,11 +89,11 @@
 		}
 		return n
 	}
-	require.Positive(t, inZone(opened))
-	w.empty("z1", true)
-	w.Run(heardWithin)
+	require.Positive(t, countInZ1(opened))
+	w.setEvacuated("z1", true)
+	w.Run(evacuationNoticeTime)
 	for _, a := range w.agents {
-		require.True(t, a.Zone != "z1" || a.Core.Evacuations().Has(flow.TagOf("z1")), "the agents of the zone have heard")
+		require.True(t, a.Zone != "z1" || a.Core.Evacuations().Has(flow.TagOf("z1")), "an agent of the zone does not know of its evacuation")
 	}
 	for range 30 {
 		w.addClient("z1", frontA)
@@ -100,61 +102,63 @@
 		c.request()
 	}
 	w.Run(time.Second)
-	require.Zero(t, inZone(w.clients[len(opened):]))
+	require.Zero(t, countInZ1(w.clients[len(opened):]))
 	w.Run(2 * time.Second)
-	w.requireEvacuated(t)
+	w.requireSameEvacuations(t)
 	for _, c := range w.clients {
-		require.Equal(t, established, c.state)
-		require.Equal(t, c.asked, c.answered)
+		require.Equal(t, stateEstablished, c.state)
+		require.Equal(t, c.requested, c.answered)
 	}
-	w.empty("z1", false)
-	w.Run(heardWithin)
+	w.setEvacuated("z1", false)
+	w.Run(evacuationNoticeTime)
 	before := len(w.clients)
 	for range 30 {
 		w.addClient("z1", frontA)
 	}
 	w.Run(time.Second)
-	require.Positive(t, inZone(w.clients[before:]))
+	require.Positive(t, countInZ1(w.clients[before:]))
 	require.Empty(t, w.violations)
 }
 
-// TestAllZonesEmptied: new flows are refused at once, open ones go on.
-func TestAllZonesEmptied(t *testing.T) {
+// TestNewFlowsAreRefusedWhenAllZonesAreEvacuated: new flows are reset within maxRefusalTime,
+// open ones continue.
+func TestNewFlowsAreRefusedWhenAllZonesAreEvacuated(t *testing.T) {
 	w := newWorld(22)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(3 * time.Second)
 	open := w.addClient("z1", frontA)
 	w.Run(time.Second)
 	for _, zone := range []string{"z1", "z2", "z3"} {
-		w.empty(zone, true)
+		w.setEvacuated(zone, true)
 	}
-	w.Run(heardWithin)
-	refusedOne := w.addClient("z2", frontA)
+	w.Run(evacuationNoticeTime)
+	newClient := w.addClient("z2", frontA)
 	open.request()
-	w.Run(refusedWithin)
-	require.Equal(t, refused, refusedOne.state)
+	w.Run(maxRefusalTime)
+	require.Equal(t, stateReset, newClient.state)
 	w.Run(time.Second)
-	require.Equal(t, open.asked, open.answered)
+	require.Equal(t, open.requested, open.answered)
 	require.Empty(t, w.violations)
 }
 
-// TestEvacuationsOutliveTheBalancers: all balancers restart while the store is away;
-// the agents know. A fresh agent learns it from the balancers.
+// TestEvacuationsOutliveTheBalancers: if all balancers restart while the store is
+// unavailable, they get the evacuations back from the agents, and a new agent gets them
+// from the balancers.
 func TestEvacuationsOutliveTheBalancers(t *testing.T) {
 	w := newWorld(23)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(3 * time.Second)
-	w.empty("z2", true)
+	w.setEvacuated("z2", true)
 	w.Run(3 * time.Second)
 	w.StoreBack = w.Now.Add(time.Minute)
 	for _, ip := range w.BalancerIPs() {
 		w.Balancers[ip].Restart(200 * time.Millisecond)
 	}
 	w.Run(time.Second)
-	w.requireEvacuated(t)
-	fresh := w.addAgent("z2", serviceA)
+	w.requireSameEvacuations(t)
+	newAgent := w.addAgent("z2", serviceA)
 	w.Run(time.Second)
-	require.True(t, fresh.Core.Evacuations().Has(flow.TagOf("z2")))
+	require.True(t, newAgent.Core.Evacuations().Has(flow.TagOf("z2")))
 	for range 30 {
 		w.addClient("z2", frontA)
 	}
@@ -166,18 +170,19 @@
 	}
 }
 
-// TestTheSameZoneAgainWithinASecond: the last word holds everywhere.
-func TestTheSameZoneAgainWithinASecond(t *testing.T) {
+// TestRepeatedEvacuationsOfAZoneConverge: after several changes of the same zone within
+// about a second, with loss, duplicates and delays, every process must have the last one.
+func TestRepeatedEvacuationsOfAZoneConverge(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(seed)
-		deployment(w)
+		addSmallFleet(w)
 		w.Loss, w.Double, w.Late = 0.05, 0.1, 250*time.Millisecond
 		w.Run(3 * time.Second)
 		for range 7 {
-			w.empty("z1", !w.Evacuations.Has(flow.TagOf("z1")))
+			w.setEvacuated("z1", !w.Evacuations.Has(flow.TagOf("z1")))
 			w.Run(150 * time.Millisecond)
 		}
-		w.Run(emptyWithin)
-		w.requireEvacuated(t)
+		w.Run(maxEvacuationTime)
+		w.requireSameEvacuations(t)
 	}
 }
--- a/e2e/packets/largefleet_test.go
+++ b/e2e/packets/largefleet_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Sizes of the large fleet: those of a deployment of 136 targets that has added its
-// spare ones twice, and a fifth of its balancers.
+// Sizes of the large fleet: the targets of a deployment of 136 that has added its spare
+// ones twice, and a fifth of its balancers.
 const (
 	largeTargets   = 263
 	largeBalancers = 12
 	largeZones     = 6
 )
 
-// largeFleet is a deployment of hundreds of targets.
-func largeFleet(w *world) {
+// addLargeFleet adds the nodes of the large fleet.
+func addLargeFleet(w *world) {
 	zone := func(i int) string { return fmt.Sprintf("z%d", 1+i%largeZones) }
 	for i := range largeBalancers {
 		w.AddBalancer(zone(i))
@@ -42,96 +42,96 @@
 	}
 }
 
-// farewell lets a target that has drained say its last word and exit.
-func (a *agentNode) farewell() {
-	a.Core.Deregister(a.w.Now, a.target.life())
+// deregisterTarget makes a drained target deregister and exit.
+func (a *agentNode) deregisterTarget() {
+	a.Core.Deregister(a.w.Now, a.target.incarnation())
 	a.crash()
 }
 
-// Times of a return of everything.
+// Times of a blackout of the whole deployment and of the return from it.
 const (
-	// darkTime is how long all VMs are without power.
-	darkTime = 1200 * time.Millisecond
-	// startSpread is how far apart they are back.
-	startSpread = 300 * time.Millisecond
-	// learnTime is what a balancer that has just started takes to hear of all targets.
-	learnTime = 500 * time.Millisecond
-	// resetWithin is how soon after that the clients of flows that are over are to
-	// know.
-	resetWithin = 300 * time.Millisecond
+	// outageTime is the time for which all VMs are without power.
+	outageTime = 1200 * time.Millisecond
+	// restartSpread is the time span over which they return.
+	restartSpread = 300 * time.Millisecond
+	// discoveryTime is the time that a balancer needs after its start to discover all targets.
+	discoveryTime = 500 * time.Millisecond
+	// maxResetTime is the time after that within which ended flows must be reset.
+	maxResetTime = 300 * time.Millisecond
 )
 
-// deadFlowsReset ends everything, with the VMs that leave for good among it, lets all clients
-// ask after the return and tells how many were told in time that their flows are
-// over.
-func deadFlowsReset(w *world, leaving ...*agentNode) int {
+// resetsAfterBlackout ends all processes, sends a request on each flow after the return and
+// returns the number of flows that were reset within maxResetTime. The agents in leaving do
+// not return.
+func resetsAfterBlackout(w *world, leaving ...*agentNode) int {
 	for _, a := range leaving {
 		a.Stop()
 	}
-	blackout(w, darkTime, darkTime)
-	w.Run(darkTime + startSpread + learnTime)
+	blackout(w, outageTime, outageTime)
+	w.Run(outageTime + restartSpread + discoveryTime)
 	for _, c := range w.clients {
 		c.request()
 	}
-	w.Run(resetWithin)
-	told := 0
+	w.Run(maxResetTime)
+	resets := 0
 	for _, c := range w.clients {
-		if c.state == refused {
-			told++
+		if c.state == stateReset {
+			resets++
 		}
 	}
-	return told
+	return resets
 }
 
-// farewellIn returns a large fleet with open flows, one of whose targets said farewell
-// some time ago.
-func farewellIn(seed uint64, clients int, ago time.Duration) (*world, *agentNode) {
+// newFleetWithDeregisteredTarget returns a large fleet with open flows in which a target
+// deregistered the given time ago, and that target's agent.
+func newFleetWithDeregisteredTarget(seed uint64, clients int, ago time.Duration) (*world, *agentNode) {
 	w := newWorld(seed)
-	largeFleet(w)
+	addLargeFleet(w)
 	w.Run(3 * time.Second)
 	w.addClients(clients)
 	w.Run(time.Second)
 	leaving := sortedAgents(w)[7]
 	leaving.drain()
 	w.Run(time.Second)
-	leaving.farewell()
+	leaving.deregisterTarget()
 	w.Run(ago)
 	return w, leaving
 }
 
-const largeClients = 60
+const largeFleetClients = 60
 
-// TestATargetThatHasEndedHoldsUpNoReset: a target says farewell some time before
-// everything loses power, and its VM does not come back. With hundreds of targets
-// under release there is always one.
-func TestATargetThatHasEndedHoldsUpNoReset(t *testing.T) {
+// TestDeregisteredTargetDoesNotDelayResets: a target deregisters some time before a
+// blackout, and its VM does not return. During a release of hundreds of targets there is
+// always such a target.
+func TestDeregisteredTargetDoesNotDelayResets(t *testing.T) {
 	for _, ago := range []time.Duration{100, 700, 1400, 2800, 5000} {
 		t.Run(fmt.Sprintf("%d ms", ago), func(t *testing.T) {
-			w, leaving := farewellIn(uint64(40+ago), largeClients, ago*time.Millisecond)
-			require.Equal(t, largeClients, deadFlowsReset(w, leaving))
+			w, leaving := newFleetWithDeregisteredTarget(uint64(40+ago), largeFleetClients, ago*time.Millisecond)
+			require.Equal(t, largeFleetClients, resetsAfterBlackout(w, leaving))
 			require.Empty(t, w.violations)
 		})
 	}
 }
 
-// TestAnAgentThatIsBackAnswersForItsTarget: the target said farewell in the moment in
-// which everything lost power, so the store still lists its agent; that is back.
-func TestAnAgentThatIsBackAnswersForItsTarget(t *testing.T) {
-	w, leaving := farewellIn(46, largeClients, 0)
+// TestReturnedAgentConfirmsThatItsTargetEnded: a target deregisters at the moment of a
+// blackout, so its agent is still registered. The agent returns, so resets are not delayed.
+func TestReturnedAgentConfirmsThatItsTargetEnded(t *testing.T) {
+	w, leaving := newFleetWithDeregisteredTarget(46, largeFleetClients, 0)
 	require.Contains(t, w.Registry, leaving.IP)
-	require.Equal(t, largeClients, deadFlowsReset(w))
+	require.Equal(t, largeFleetClients, resetsAfterBlackout(w))
 	require.Empty(t, w.violations)
 }
 
-// TestAnEndThatTheStoreHasNotHeardOfIsWaitedForOnce: neither the store nor the agent
-// can tell that the target has ended; for as long as a process takes to be restarted it
-// may be back with its flows, and no longer.
-func TestAnEndThatTheStoreHasNotHeardOfIsWaitedForOnce(t *testing.T) {
-	w, leaving := farewellIn(47, largeClients, 0)
-	require.Zero(t, deadFlowsReset(w, leaving))
+// TestUnrecordedDeregistrationDelaysResetsForABoundedTime: a target deregisters at the moment
+// of a blackout and its VM does not return, so neither the store nor the agent shows that
+// it has ended. Resets must wait as long as a process may take to restart with its flows,
+// and no longer.
+func TestUnrecordedDeregistrationDelaysResetsForABoundedTime(t *testing.T) {
+	w, leaving := newFleetWithDeregisteredTarget(47, largeFleetClients, 0)
+	require.Zero(t, resetsAfterBlackout(w, leaving))
 	const absentTime = 4 * time.Second
 	w.Run(absentTime)
 	for _, c := range w.clients {
-		require.Equal(t, refused, c.state)
+		require.Equal(t, stateReset, c.state)
 	}
 }
--- a/e2e/packets/life_test.go
+++ b/e2e/packets/life_test.go
@@ -7,36 +7,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFlowsOfAFormerLifeEndAndThoseOfTheNextStay: a target crashes and starts again under
-// its ID, seen by its agent or not, with an agent that goes on or starts anew; then a
-// balancer that knows nothing takes the packets of flows from before and after.
-func TestFlowsOfAFormerLifeEndAndThoseOfTheNextStay(t *testing.T) {
+// TestOnlyFlowsOfAFormerIncarnationAreReset: a target crashes and restarts under its former
+// ID, whether or not its agent sees that or restarts too. Balancers that have just started
+// then get packets of flows from before and after: the former must be reset, the latter kept.
+func TestOnlyFlowsOfAFormerIncarnationAreReset(t *testing.T) {
 	for name, c := range map[string]struct {
-		seen, agentRestarts, born bool
+		restartSeen, agentRestarts, reportsStart bool
 	}{
-		"unseen":                           {born: true},
-		"seen":                             {seen: true, born: true},
-		"agent restarted meanwhile":        {agentRestarts: true, born: true},
-		"unseen, it does not say when":     {},
-		"seen, it does not say when":       {seen: true},
-		"restarted, and does not say when": {agentRestarts: true},
+		"unseen":                         {reportsStart: true},
+		"seen":                           {restartSeen: true, reportsStart: true},
+		"agent restarted meanwhile":      {agentRestarts: true, reportsStart: true},
+		"unseen, no start time":          {},
+		"seen, no start time":            {restartSeen: true},
+		"agent restarted, no start time": {agentRestarts: true},
 	} {
 		for seed := range uint64(5) {
 			w := newWorld(seed)
-			w.keepIDs, w.sayBorn = true, c.born
-			deployment(w)
+			w.reuseTargetIDs, w.reportStartTime = true, c.reportsStart
+			addSmallFleet(w)
 			w.Run(3 * time.Second)
 			for range 20 {
 				w.addClient("z1", frontA)
 			}
 			w.Run(time.Second)
-			a := w.nodeOf(w.clients[0].target)
+			a := w.agentOf(w.clients[0].target)
 			former := a.target
 			if c.agentRestarts {
 				a.Restart(300 * time.Millisecond)
 			}
 			a.crash()
-			if c.seen {
+			if c.restartSeen {
 				w.Run(200 * time.Millisecond)
 			}
 			a.startTarget()
@@ -50,7 +50,7 @@
 				w.Balancers[ip].Restart(100 * time.Millisecond)
 			}
 			w.Run(time.Second)
-			over, later := 0, 0
+			formerFlows, newFlows := 0, 0
 			for _, client := range w.clients {
 				client.request()
 			}
@@ -58,24 +58,24 @@
 			for _, client := range w.clients {
 				switch client.target {
 				case former:
-					require.Equal(t, refused, client.state, "%s, seed %d", name, seed)
-					over++
+					require.Equal(t, stateReset, client.state, "%s, seed %d", name, seed)
+					formerFlows++
 				case a.target:
-					require.Equal(t, client.asked, client.answered, "%s, seed %d", name, seed)
-					later++
+					require.Equal(t, client.requested, client.answered, "%s, seed %d", name, seed)
+					newFlows++
 				}
 			}
-			require.NotZero(t, over, name)
-			require.NotZero(t, later, name)
+			require.NotZero(t, formerFlows, name)
+			require.NotZero(t, newFlows, name)
 			require.Empty(t, w.violations, name)
 		}
 	}
 }
 
-// nodeOf returns the agent beside a target.
-func (w *world) nodeOf(h *target) *agentNode {
+// agentOf returns the agent beside a target, nil if the target has ended.
+func (w *world) agentOf(t *target) *agentNode {
 	for _, a := range sortedAgents(w) {
-		if a.target == h {
+		if a.target == t {
 			return a
 		}
 	}
--- a/e2e/packets/mesh_test.go
+++ b/e2e/packets/mesh_test.go
@@ -15,37 +15,37 @@
 	"github.com/poppywall/poppywall/model/sim"
 )
 
-// Relays in tests: so few balancers of a zone are told through relays.
+// Relay thresholds: the number of a zone's balancers from which on relays are used.
 const (
 	alwaysRelay = 1
 	neverRelay  = 1 << 20
 )
 
-// meshFleet is a deployment of so many nodes in three zones, two balancers to five agents.
-func meshFleet(w *world, nodes int) {
+// addNodes adds nodes in three zones, two balancers to five agents.
+func addNodes(w *world, nodes int) {
 	balancers := nodes * 2 / 7
 	for i := range balancers {
-		w.AddBalancer(meshZone(i))
+		w.AddBalancer(zoneName(i))
 	}
 	for i := range nodes - balancers {
-		w.addAgent(meshZone(i), serviceA)
+		w.addAgent(zoneName(i), serviceA)
 	}
 }
 
-func meshZone(i int) string { return fmt.Sprintf("z%d", 1+i%3) }
+func zoneName(i int) string { return fmt.Sprintf("z%d", 1+i%3) }
 
-// relayedFleet is a fleet of 60 nodes whose zones are told through relays, after it has
-// settled.
-func relayedFleet(seed uint64) *world {
+// newRelayedFleet returns a settled fleet of 60 nodes whose zones are all reached through
+// relays.
+func newRelayedFleet(seed uint64) *world {
 	w := newWorld(seed)
 	w.RelayFrom = alwaysRelay
-	meshFleet(w, 60)
+	addNodes(w, 60)
 	w.Run(6 * time.Second)
 	return w
 }
 
-// across sums what has crossed zones, in bytes.
-func across(w *world) int {
+// crossZoneBytes returns the number of bytes that were sent between zones.
+func crossZoneBytes(w *world) int {
 	sum := 0
 	for _, t := range w.Across {
 		sum += t.Bytes
@@ -53,126 +53,129 @@
 	return sum
 }
 
-// bytesANode is what a node sends to other zones in a second of calm.
-func bytesANode(relayFrom, nodes int) float64 {
-	const span = 10
+// crossZoneBytesPerNode returns the bytes per second that a node sends to other zones when
+// there are no faults.
+func crossZoneBytesPerNode(relayThreshold, nodes int) float64 {
+	const seconds = 10
 	w := newWorld(1)
-	w.RelayFrom = relayFrom
-	meshFleet(w, nodes)
+	w.RelayFrom = relayThreshold
+	addNodes(w, nodes)
 	w.Run(6 * time.Second)
 	clear(w.Across)
-	w.Run(span * time.Second)
-	return float64(across(w)) / span / float64(nodes)
+	w.Run(seconds * time.Second)
+	return float64(crossZoneBytes(w)) / seconds / float64(nodes)
 }
 
-// TestBytesBetweenZonesGrowWithTheNodes, not with their square: a node costs at most 1.3
-// times as much in a fleet three times as large, and no fleet costs more than with the
-// direct way.
-func TestBytesBetweenZonesGrowWithTheNodes(t *testing.T) {
-	const mostGrowth = 1.3
+// TestCrossZoneBytesGrowLinearlyWithTheNodes, not with their square: a node sends at most 1.3
+// times as many bytes in a fleet three times as large, and no more than without relays.
+func TestCrossZoneBytesGrowLinearlyWithTheNodes(t *testing.T) {
+	const maxGrowth = 1.3
 	cost := map[int]float64{}
 	for _, nodes := range []int{30, 100, 300} {
-		cost[nodes] = bytesANode(0, nodes)
-		direct := bytesANode(neverRelay, nodes)
-		t.Logf("%d nodes: %.0f B a node and second, directly %.0f", nodes, cost[nodes], direct)
+		cost[nodes] = crossZoneBytesPerNode(0, nodes)
+		direct := crossZoneBytesPerNode(neverRelay, nodes)
+		t.Logf("%d nodes: %.0f B/s per node, %.0f without relays", nodes, cost[nodes], direct)
 		require.LessOrEqual(t, cost[nodes], direct)
 	}
-	require.LessOrEqual(t, cost[300], mostGrowth*cost[100])
-	require.LessOrEqual(t, bytesANode(alwaysRelay, 300), mostGrowth*bytesANode(alwaysRelay, 100))
+	require.LessOrEqual(t, cost[300], maxGrowth*cost[100])
+	require.LessOrEqual(t, crossZoneBytesPerNode(alwaysRelay, 300), maxGrowth*crossZoneBytesPerNode(alwaysRelay, 100))
 }
 
-// datagramsHeard is how many datagrams a balancer gets in a second of calm, by kind.
-func datagramsHeard(nodes int) map[envelope.Kind]float64 {
-	const span = 4
+// receivedDatagramRates returns the datagrams per second that a balancer receives when there
+// are no faults, by kind.
+func receivedDatagramRates(nodes int) map[envelope.Kind]float64 {
+	const seconds = 4
 	w := newWorld(1)
-	meshFleet(w, nodes)
+	addNodes(w, nodes)
 	w.Run(6 * time.Second)
-	heard := map[envelope.Kind]float64{}
+	rates := map[envelope.Kind]float64{}
 	balancer := w.BalancerIPs()[1]
 	w.Heard = func(_, to flow.IPv4, kind envelope.Kind, _ []byte) {
 		if to == balancer {
-			heard[kind] += 1.0 / span
+			rates[kind] += 1.0 / seconds
 		}
 	}
-	w.Run(span * time.Second)
-	return heard
+	w.Run(seconds * time.Second)
+	return rates
 }
 
-// TestRelayedMessagesShareDatagrams: a balancer gets what is relayed in as many datagrams as
-// the active relays send while these have room, however many balancers its zone has.
+// TestRelayedMessagesShareDatagrams: a balancer receives relayed messages in as many datagrams
+// as the active relays flush, as long as these have space, however many balancers its zone
+// has.
 func TestRelayedMessagesShareDatagrams(t *testing.T) {
-	const most = float64(zonecast.ActiveRelays) * float64(time.Second) / float64(zonecast.FlushPeriod)
+	const maxRate = float64(zonecast.ActiveRelays) * float64(time.Second) / float64(zonecast.FlushPeriod)
 	for _, nodes := range []int{150, 450} {
-		kinds := datagramsHeard(nodes)
-		t.Logf("%d nodes: %v", nodes, kinds)
-		require.LessOrEqual(t, kinds[envelope.Batch], 1.1*most, "%d nodes", nodes)
+		rates := receivedDatagramRates(nodes)
+		t.Logf("%d nodes: %v", nodes, rates)
+		require.LessOrEqual(t, rates[envelope.Batch], 1.1*maxRate, "%d nodes", nodes)
 	}
 }
 
-// TestNoZoneFallsSilentInCalm after a common start, also when other balancers come to be
-// relays: their messages flow evenly.
-func TestNoZoneFallsSilentInCalm(t *testing.T) {
+// TestNoZoneIsSilentWithoutFaults: after a common start no zone may be detected as silent,
+// also when other balancers become relays, because messages arrive at an even rate.
+func TestNoZoneIsSilentWithoutFaults(t *testing.T) {
 	w := newWorld(1)
-	meshFleet(w, 450)
+	addNodes(w, 450)
 	w.Run(2 * time.Second)
 	for range 240 {
 		w.Run(50 * time.Millisecond)
 		for _, ip := range w.BalancerIPs()[:6] {
 			for i := range 3 {
-				require.False(t, w.Balancers[ip].Core.View().IsZoneSilent(flow.TagOf(meshZone(i))), "%v after %v", ip, w.Since())
+				require.False(t, w.Balancers[ip].Core.View().IsZoneSilent(flow.TagOf(zoneName(i))), "%v after %v", ip, w.Since())
 			}
 		}
 	}
 }
 
-// TestReadingsOfOtherZonesAreAsFreshAsTheDirectWays.
-func TestReadingsOfOtherZonesAreAsFreshAsTheDirectWays(t *testing.T) {
+// TestRelayedAnnouncementsAreAsFreshAsDirectOnes compares the ages of announcements from
+// other zones with and without relays.
+func TestRelayedAnnouncementsAreAsFreshAsDirectOnes(t *testing.T) {
 	mean := map[int]time.Duration{}
-	for _, relayFrom := range []int{0, neverRelay} {
+	for _, relayThreshold := range []int{0, neverRelay} {
 		w := newWorld(1)
-		w.RelayFrom = relayFrom
-		meshFleet(w, 300)
+		w.RelayFrom = relayThreshold
+		addNodes(w, 300)
 		w.Run(6 * time.Second)
 		var sum, oldest time.Duration
 		count := 0
 		for range 50 {
 			w.Run(100 * time.Millisecond)
-			w.farTargets(func(_ *sim.Balancer, h *fleet.Target) {
-				age := w.Now.Sub(w.saidAt(h))
+			w.forEachCrossZoneTarget(func(_ *sim.Balancer, target *fleet.Target) {
+				age := w.Now.Sub(w.sentAt(target))
 				sum += age
 				oldest = max(oldest, age)
 				count++
 			})
 		}
-		mean[relayFrom] = sum / time.Duration(count)
-		t.Logf("relays from %d: mean age %v, oldest %v", relayFrom, mean[relayFrom], oldest)
-		// The longest period of the direct way and two ticks.
+		mean[relayThreshold] = sum / time.Duration(count)
+		t.Logf("relay threshold %d: mean age %v, oldest %v", relayThreshold, mean[relayThreshold], oldest)
+		// The longest period of direct messages and two ticks.
 		require.LessOrEqual(t, oldest, 2500*time.Millisecond+200*time.Millisecond)
 	}
 	require.LessOrEqual(t, mean[0], mean[neverRelay])
 }
 
-// saidAt is when the agent sent what a view holds of it.
-func (w *world) saidAt(h *fleet.Target) time.Time { return w.sent[said{h.IP, h.MessageID}] }
+// sentAt returns when the agent sent the announcement that a view holds.
+func (w *world) sentAt(t *fleet.Target) time.Time { return w.sentTimes[messageKey{t.IP, t.MessageID}] }
 
-// farTargets calls do for each balancer that is up and each target of another zone that it
-// knows.
-func (w *world) farTargets(do func(b *sim.Balancer, h *fleet.Target)) {
+// forEachCrossZoneTarget calls do for each balancer that is up and each target of another
+// zone in its view.
+func (w *world) forEachCrossZoneTarget(do func(b *sim.Balancer, target *fleet.Target)) {
 	for _, ip := range w.BalancerIPs() {
 		b := w.Balancers[ip]
 		if !b.Up {
 			continue
 		}
-		for _, target := range b.Core.View().Targets() {
-			if h, _ := b.Core.View().Target(target); h.Zone != flow.TagOf(b.Zone) {
-				do(b, h)
+		for _, targetIP := range b.Core.View().Targets() {
+			if target, _ := b.Core.View().Target(targetIP); target.Zone != flow.TagOf(b.Zone) {
+				do(b, target)
 			}
 		}
 	}
 }
 
-// balancersOf returns a zone's balancers in order.
-func (w *world) balancersOf(zone string) []*sim.Balancer {
+// balancersIn returns a zone's balancers in order of their addresses.
+func (w *world) balancersIn(zone string) []*sim.Balancer {
 	var out []*sim.Balancer
 	for _, ip := range w.BalancerIPs() {
 		if b := w.Balancers[ip]; b.Zone == zone {
@@ -182,20 +185,20 @@
 	return out
 }
 
-// TestNoLivingTargetFallsSilent whatever becomes of relays: those that can hear its agent
-// do not take it for dead.
-func TestNoLivingTargetFallsSilent(t *testing.T) {
-	for name, harm := range map[string]func(w *world, zone []*sim.Balancer){
-		"one relay dies":   func(_ *world, zone []*sim.Balancer) { zone[0].Stop() },
-		"half of them die": func(_ *world, zone []*sim.Balancer) { stopAll(zone[:len(zone)/2]) },
-		"all but one die":  func(_ *world, zone []*sim.Balancer) { stopAll(zone[1:]) },
-		"relays come and go": func(w *world, zone []*sim.Balancer) {
+// TestNoRunningTargetIsOverdueWhenRelaysFail: whatever happens to relays, no balancer may
+// consider a target overdue whose agent can still reach it.
+func TestNoRunningTargetIsOverdueWhenRelaysFail(t *testing.T) {
+	for name, fault := range map[string]func(w *world, zone []*sim.Balancer){
+		"one relay stops":   func(_ *world, zone []*sim.Balancer) { zone[0].Stop() },
+		"half of them stop": func(_ *world, zone []*sim.Balancer) { stopBalancers(zone[:len(zone)/2]) },
+		"all but one stop":  func(_ *world, zone []*sim.Balancer) { stopBalancers(zone[1:]) },
+		"relays restart one after the other": func(w *world, zone []*sim.Balancer) {
 			for i, b := range zone[1:] {
 				w.After(time.Duration(i)*700*time.Millisecond, func() { b.Restart(time.Second) })
 			}
 		},
-		"one hands nothing on": func(w *world, zone []*sim.Balancer) { w.Drop = batchesOf(zone[:1]) },
-		"none relays":          func(w *world, zone []*sim.Balancer) { w.Drop = batchesOf(zone) },
+		"one relays nothing": func(w *world, zone []*sim.Balancer) { w.Drop = dropBatchesFrom(zone[:1]) },
+		"none relays":        func(w *world, zone []*sim.Balancer) { w.Drop = dropBatchesFrom(zone) },
 		"one reaches half of the others": func(w *world, zone []*sim.Balancer) {
 			half := map[flow.IPv4]bool{}
 			for _, b := range zone[len(zone)/2:] {
@@ -203,24 +206,24 @@
 			}
 			w.Cut = func(from, to flow.IPv4) bool { return from == zone[0].IP && half[to] }
 		},
-		"all are cut from one another": func(w *world, zone []*sim.Balancer) {
+		"none reaches another one": func(w *world, zone []*sim.Balancer) {
 			in := map[flow.IPv4]bool{}
 			for _, b := range zone {
 				in[b.IP] = true
 			}
 			w.Cut = func(from, to flow.IPv4) bool { return in[from] && in[to] }
 		},
-		"a tenth is lost": func(w *world, _ []*sim.Balancer) { w.Loss = 0.1 },
+		"10 % of datagrams are lost": func(w *world, _ []*sim.Balancer) { w.Loss = 0.1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
-				w := relayedFleet(seed)
-				harm(w, w.balancersOf("z1"))
+				w := newRelayedFleet(seed)
+				fault(w, w.balancersIn("z1"))
 				for range 150 {
 					w.Run(100 * time.Millisecond)
-					w.farTargets(func(b *sim.Balancer, h *fleet.Target) {
-						if b.Core.View().HasTarget(h.IP) && w.Agents[h.IP].Up && h.Overdue(w.Now) {
-							t.Fatalf("seed %d, %v: balancer %v takes %v for dead, heard %v ago", seed, w.Since(), b.IP, h.IP, w.Now.Sub(h.LastSeen))
+					w.forEachCrossZoneTarget(func(b *sim.Balancer, target *fleet.Target) {
+						if b.Core.View().HasTarget(target.IP) && w.Agents[target.IP].Up && target.Overdue(w.Now) {
+							t.Fatalf("seed %d, %v: balancer %v considers running target %v overdue, last seen %v ago", seed, w.Since(), b.IP, target.IP, w.Now.Sub(target.LastSeen))
 						}
 					})
 				}
@@ -229,14 +232,14 @@
 	}
 }
 
-func stopAll(balancers []*sim.Balancer) {
+func stopBalancers(balancers []*sim.Balancer) {
 	for _, b := range balancers {
 		b.Stop()
 	}
 }
 
-// batchesOf drops the batches that balancers send.
-func batchesOf(balancers []*sim.Balancer) func(from flow.IPv4, kind envelope.Kind) bool {
+// dropBatchesFrom returns a filter that drops the batches that the balancers send.
+func dropBatchesFrom(balancers []*sim.Balancer) func(from flow.IPv4, kind envelope.Kind) bool {
 	return func(from flow.IPv4, kind envelope.Kind) bool {
 		for _, b := range balancers {
 			if b.IP == from {
@@ -247,76 +250,77 @@
 	}
 }
 
-// TestADeadTargetIsNoticedAsSoonAsByTheDirectWay, whose longest period is 2.5 s and which
-// waits for two and a half of them.
-func TestADeadTargetIsNoticedAsSoonAsByTheDirectWay(t *testing.T) {
-	w := relayedFleet(3)
+// TestDeadTargetIsDetectedThroughRelaysAsSoonAsDirectly: direct messages have a period of at
+// most 2.5 s, and a target is overdue after two and a half periods.
+func TestDeadTargetIsDetectedThroughRelaysAsSoonAsDirectly(t *testing.T) {
+	w := newRelayedFleet(3)
 	dead := sortedAgents(w)[0]
 	dead.crash()
 	dead.Stop()
 	w.Run(6250*time.Millisecond + 100*time.Millisecond)
-	w.farTargets(func(b *sim.Balancer, h *fleet.Target) {
-		require.Equal(t, h.IP == dead.IP, h.Overdue(w.Now), "balancer %v, target %v", b.IP, h.IP)
+	w.forEachCrossZoneTarget(func(b *sim.Balancer, target *fleet.Target) {
+		require.Equal(t, target.IP == dead.IP, target.Overdue(w.Now), "balancer %v, target %v", b.IP, target.IP)
 	})
 }
 
-// TestAFrozenRelayBringsBackNoEarlierLife: what it relayed before the agent started anew
-// arrives after that, also at a balancer that has only just started.
-func TestAFrozenRelayBringsBackNoEarlierLife(t *testing.T) {
-	w := relayedFleet(4)
-	zone := w.balancersOf("z1")
+// TestLateRelayedMessagesRestoreNoFormerIncarnation: a frozen relay's batches from before an
+// agent's restart arrive after it, also at a balancer that has just started. No view may go
+// back to the agent's former incarnation.
+func TestLateRelayedMessagesRestoreNoFormerIncarnation(t *testing.T) {
+	w := newRelayedFleet(4)
+	zone := w.balancersIn("z1")
 	agent := sortedAgents(w)[1]
 	require.NotEqual(t, "z1", agent.Zone)
-	var late [][]byte
+	var delayed [][]byte
 	w.Heard = func(from, _ flow.IPv4, kind envelope.Kind, datagram []byte) {
 		if kind == envelope.Batch {
-			late = append(late, append([]byte(nil), datagram...))
+			delayed = append(delayed, append([]byte(nil), datagram...))
 		}
 	}
 	w.Run(3 * time.Second)
 	w.Heard = nil
-	require.NotEmpty(t, late)
+	require.NotEmpty(t, delayed)
 	agent.Restart(200 * time.Millisecond)
 	w.Run(time.Second)
-	fresh := w.AddBalancer("z1")
+	newBalancer := w.AddBalancer("z1")
 	w.Run(time.Second)
-	current, _ := fresh.Core.View().Target(agent.IP)
-	epoch := current.Incarnation
-	for _, datagram := range late {
-		for _, b := range append(zone, fresh) {
+	current, _ := newBalancer.Core.View().Target(agent.IP)
+	incarnation := current.Incarnation
+	for _, datagram := range delayed {
+		for _, b := range append(zone, newBalancer) {
 			b.Core.HandleNode(w.Now, zone[0].IP, datagram)
-			h, known := b.Core.View().Target(agent.IP)
+			target, known := b.Core.View().Target(agent.IP)
 			require.True(t, known)
-			require.Equal(t, epoch, h.Incarnation, "balancer %v", b.IP)
+			require.Equal(t, incarnation, target.Incarnation, "balancer %v", b.IP)
 		}
 	}
 }
 
-// TestChangesOfStateNeedNoRelay: every balancer that can be reached knows them within the
-// repetitions of what is not acknowledged.
-func TestChangesOfStateNeedNoRelay(t *testing.T) {
-	w := relayedFleet(5)
-	w.Drop = batchesOf(w.balancersOf("z1"))
+// TestStateChangesNeedNoRelay: state changes are sent directly and retransmitted until they
+// are acknowledged, so every balancer that can be reached must know them within 100 ms.
+func TestStateChangesNeedNoRelay(t *testing.T) {
+	w := newRelayedFleet(5)
+	w.Drop = dropBatchesFrom(w.balancersIn("z1"))
 	agent := sortedAgents(w)[1]
 	agent.drain()
 	w.Run(100 * time.Millisecond)
-	w.farTargets(func(b *sim.Balancer, h *fleet.Target) {
-		if h.IP == agent.IP {
-			require.Equal(t, fleet.Draining, h.State, "balancer %v", b.IP)
+	w.forEachCrossZoneTarget(func(b *sim.Balancer, target *fleet.Target) {
+		if target.IP == agent.IP {
+			require.Equal(t, fleet.Draining, target.State, "balancer %v", b.IP)
 		}
 	})
 }
 
-// TestAgentsKnowTheBalancersOfOtherZones also where no relay tells them of these: changes
-// of state would not reach whom they forget.
+// TestAgentsKnowTheBalancersOfOtherZones: agents must not forget balancers whose beacons no
+// relay delivers, because state changes would not reach these.
 func TestAgentsKnowTheBalancersOfOtherZones(t *testing.T) {
-	for name, harm := range map[string]func(w *world){
-		"calm":         func(*world) {},
-		"none relays":  func(w *world) { w.Drop = func(_ flow.IPv4, kind envelope.Kind) bool { return kind == envelope.Batch } },
-		"much is lost": func(w *world) { w.Loss = 0.2 },
+	for name, fault := range map[string]func(w *world){
+		"no faults":   func(*world) {},
+		"none relays": func(w *world) { w.Drop = func(_ flow.IPv4, kind envelope.Kind) bool { return kind == envelope.Batch } },
+		"20 % loss":   func(w *world) { w.Loss = 0.2 },
 	} {
-		w := relayedFleet(6)
-		harm(w)
+		w := newRelayedFleet(6)
+		fault(w)
 		for range 60 {
 			w.Run(time.Second)
 			for _, a := range sortedAgents(w) {
@@ -326,17 +330,17 @@
 	}
 }
 
-// TestFlowsKeepTheirTargetsThroughRelays is TestFlowsKeepTheirTargets where every zone is
-// told through relays.
+// TestFlowsKeepTheirTargetsThroughRelays is TestFlowsKeepTheirTargets with zones that are
+// reached through relays.
 func TestFlowsKeepTheirTargetsThroughRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"))
 		w.RelayFrom = rapid.IntRange(alwaysRelay, 3).Draw(t, "relays from")
-		deployment(w)
+		addSmallFleet(w)
 		for range rapid.IntRange(0, 6).Draw(t, "more balancers") {
 			w.AddBalancer(rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone"))
 		}
 		w.Run(3 * time.Second)
-		keepTargets(t, w)
+		checkFlowsKeepTargets(t, w)
 	})
 }
--- a/e2e/packets/packets_test.go
+++ b/e2e/packets/packets_test.go
@@ -12,12 +12,13 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// coldRate is how many requests a second a cold target of service B bears, where that
-// is bounded.
+// coldRate is the number of requests per second that a cold target of service B may get
+// when the rate is bounded.
 const coldRate = 4
 
-// deployment is three zones with a balancer each and targets of two services.
-func deployment(w *world) {
+// addSmallFleet adds three zones, each with a balancer and a target of each of the two
+// services, and another target of service A in zone z1.
+func addSmallFleet(w *world) {
 	zones := []string{"z1", "z2", "z3"}
 	for _, z := range zones {
 		w.AddBalancer(z)
@@ -29,9 +30,11 @@
 	w.addAgent("z1", serviceA)
 }
 
+// TestFreshBalancerFindsOpenFlows: balancers that have lost their state must find the
+// targets of open flows.
 func TestFreshBalancerFindsOpenFlows(t *testing.T) {
 	w := newWorld(2)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(3 * time.Second)
 	var clients []*client
 	for range 40 {
@@ -43,22 +46,22 @@
 	}
 	w.Run(1500 * time.Millisecond)
 	for _, c := range clients {
-		require.Equal(t, established, c.state)
+		require.Equal(t, stateEstablished, c.state)
 		c.request()
 	}
 	w.Run(time.Second)
 	for _, c := range clients {
-		require.Equal(t, c.asked, c.answered, "flow %v", c.key)
+		require.Equal(t, c.requested, c.answered, "flow %v", c.key)
 	}
 	require.Empty(t, w.violations)
 }
 
-// TestADeadVMDoesNotHoldUpSearches: a packet that is passed on through a VM that
-// has died without a word is lost there, and so would be the next one.
+// TestADeadVMDoesNotHoldUpSearches: a packet that is passed on through a VM that has crashed
+// is lost there, and so would be a retransmission that is probed in the same order.
 func TestADeadVMDoesNotHoldUpSearches(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newWorld(seed)
-		deployment(w)
+		addSmallFleet(w)
 		w.Run(3 * time.Second)
 		for range 60 {
 			w.addClient("z1", frontA)
@@ -68,11 +71,11 @@
 		ended := dead.target
 		dead.crash()
 		dead.Stop()
-		fresh := w.AddBalancer("z1")
+		newBalancer := w.AddBalancer("z1")
 		for _, ip := range w.BalancerIPs() {
-			// The fresh balancer learns of the dead VM as the others know it.
-			if h, known := w.Balancers[ip].Core.View().Target(dead.IP); known {
-				fresh.Core.View().ApplyAnnouncement(w.Now, dead.IP, h.Announcement)
+			// The new balancer gets the dead VM's last announcement from another one.
+			if target, known := w.Balancers[ip].Core.View().Target(dead.IP); known {
+				newBalancer.Core.View().ApplyAnnouncement(w.Now, dead.IP, target.Announcement)
 				break
 			}
 		}
@@ -83,27 +86,31 @@
 		w.Run(700 * time.Millisecond)
 		for _, c := range w.clients {
 			if c.target != ended {
-				require.Equal(t, c.asked, c.answered, "seed %d, flow %v", seed, c.key)
+				require.Equal(t, c.requested, c.answered, "seed %d, flow %v", seed, c.key)
 			}
 		}
 	}
 }
 
-func TestRefusedEverywhereIsResetAtOnce(t *testing.T) {
+// TestFlowRefusedByAllTargetsIsResetAtOnce: the client must not wait for its timeout when
+// no target has headroom.
+func TestFlowRefusedByAllTargetsIsResetAtOnce(t *testing.T) {
 	w := newWorld(3)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(3 * time.Second)
 	for _, a := range w.agents {
 		a.target.full = true
 	}
 	c := w.addClient("z1", frontA)
 	w.Run(100 * time.Millisecond)
-	require.Equal(t, refused, c.state)
+	require.Equal(t, stateReset, c.state)
 }
 
+// TestFlowsOfACrashedTargetAreReset: a flow whose target crashed and restarted must be reset
+// when its client sends again.
 func TestFlowsOfACrashedTargetAreReset(t *testing.T) {
 	w := newWorld(4)
-	deployment(w)
+	addSmallFleet(w)
 	w.Run(3 * time.Second)
 	c := w.addClient("z1", frontA)
 	w.Run(500 * time.Millisecond)
@@ -116,61 +123,61 @@
 	}
 	c.request()
 	w.Run(time.Second)
-	require.Equal(t, refused, c.state)
+	require.Equal(t, stateReset, c.state)
 	require.Empty(t, w.violations)
 }
 
-// TestFlowsKeepTheirTargets is the stateful test: whatever happens, packets of
-// open flows reach their targets once the network is calm, and no rule is broken
-// on the way.
+// TestFlowsKeepTheirTargets runs random actions: packets of open flows must reach their
+// targets once the faults have ended, and no invariant may be violated meanwhile.
 func TestFlowsKeepTheirTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"))
-		deployment(w)
+		addSmallFleet(w)
 		w.Run(3 * time.Second)
-		keepTargets(t, w)
+		checkFlowsKeepTargets(t, w)
 	})
 }
 
-// TestFlowsKeepTheirTargetsWhereReadingsAreShared: the same with several balancers in a zone,
-// which share their readings of the registry.
-func TestFlowsKeepTheirTargetsWhereReadingsAreShared(t *testing.T) {
-	shared := 0
+// TestFlowsKeepTheirTargetsWithSharedSnapshots is TestFlowsKeepTheirTargets with several
+// balancers in a zone, which share their snapshots of the registry.
+func TestFlowsKeepTheirTargetsWithSharedSnapshots(t *testing.T) {
+	sharedReads := 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"))
 		for range 3 {
-			deployment(w)
+			addSmallFleet(w)
 		}
 		w.Run(3 * time.Second)
-		keepTargets(t, w)
-		for _, asked := range w.Asked {
-			shared += asked
+		checkFlowsKeepTargets(t, w)
+		for _, reads := range w.Asked {
+			sharedReads += reads
 		}
 	})
-	require.NotZero(t, shared)
+	require.NotZero(t, sharedReads)
 }
 
-// keepTargets lets a settled deployment go through what is drawn.
-func keepTargets(t *rapid.T, w *world) {
+// checkFlowsKeepTargets applies random faults and actions to a settled deployment, ends the
+// faults and checks that open flows are served and evacuations are known everywhere.
+func checkFlowsKeepTargets(t *rapid.T, w *world) {
 	w.Loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
 	w.Double = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "double")
 	w.Late = rapid.SampledFrom([]time.Duration{time.Millisecond, 250 * time.Millisecond}).Draw(t, "late")
 	if rapid.Bool().Draw(t, "cold bound") {
 		w.Config.ColdRates = map[flow.Tag]float64{flow.TagOf(serviceB): coldRate}
 	}
-	w.keepIDs, w.sayBorn = rapid.Bool().Draw(t, "keep IDs"), rapid.Bool().Draw(t, "say born")
+	w.reuseTargetIDs, w.reportStartTime = rapid.Bool().Draw(t, "keep IDs"), rapid.Bool().Draw(t, "say born")
 	for range rapid.IntRange(5, 40).Draw(t, "steps") {
-		step(t, w)
+		randomAction(t, w)
 		w.Run(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
 	}
 	w.Loss, w.Double, w.Late = 0, 0, time.Millisecond
-	w.Run(max(5*time.Second, w.calmSince.Add(emptyWithin).Sub(w.Now)))
-	w.requireEvacuated(t)
-	checkServed(t, w)
+	w.Run(max(5*time.Second, w.disturbedUntil.Add(maxEvacuationTime).Sub(w.Now)))
+	w.requireSameEvacuations(t)
+	checkOpenFlowsAnswered(t, w)
 }
 
-// step does one thing that may happen to a deployment.
-func step(t *rapid.T, w *world) {
+// randomAction applies a random action or fault to the deployment.
+func randomAction(t *rapid.T, w *world) {
 	agents := sortedAgents(w)
 	a := agents[rapid.IntRange(0, len(agents)-1).Draw(t, "agent")]
 	ips := w.BalancerIPs()
@@ -196,30 +203,30 @@
 			}
 		})
 	case 6:
-		replaceTarget(w, a)
+		replaceByOtherService(w, a)
 	case 14:
 		w.StoreBack = w.Now.Add(time.Duration(rapid.IntRange(100, 5000).Draw(t, "store away")) * time.Millisecond)
-		w.troubled(w.StoreBack)
+		w.extendDisturbance(w.StoreBack)
 	case 12:
-		w.troubled(w.Now.Add(down + blackoutSpread))
+		w.extendDisturbance(w.Now.Add(down + blackoutSpread))
 		blackout(w, down, down)
 	case 13:
-		w.troubled(w.Now.Add(down + blackoutSpread))
+		w.extendDisturbance(w.Now.Add(down + blackoutSpread))
 		blackout(w, down, 0)
 	case 19, 20:
-		w.empty(rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone"), rapid.Bool().Draw(t, "empty"))
+		w.setEvacuated(rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone"), rapid.Bool().Draw(t, "empty"))
 	case 7:
 		if a.target != nil {
 			a.target.full = !a.target.full
 		}
 	case 15:
-		retire(t, w, a, down)
+		retireTarget(t, w, a, down)
 	case 16:
-		a.lateWord(rapid.Bool().Draw(t, "farewell"))
+		a.deliverLateReport(rapid.Bool().Draw(t, "farewell"))
 	case 17:
-		w.clockStep = int64(rapid.IntRange(-5000, 5000).Draw(t, "clock step"))
+		w.clockOffsetMillis = int64(rapid.IntRange(-5000, 5000).Draw(t, "clock step"))
 	case 18:
-		// A restart that the agent does not see.
+		// The target restarts without its agent's notice.
 		if a.target != nil {
 			a.crash()
 			a.startTarget()
@@ -234,9 +241,9 @@
 	}
 }
 
-// retire lets a target drain and say farewell. Its VM goes with it, at once or when its
-// agent has done its part, or another target starts there.
-func retire(t *rapid.T, w *world, a *agentNode, down time.Duration) {
+// retireTarget drains and deregisters a target. Then either another target starts on the VM
+// or the agent stops, planned or abruptly.
+func retireTarget(t *rapid.T, w *world, a *agentNode, down time.Duration) {
 	if a.target == nil || !a.Up {
 		return
 	}
@@ -247,7 +254,7 @@
 		if a.target != leaving || !a.Up {
 			return
 		}
-		a.farewell()
+		a.deregisterTarget()
 		w.After(down, func() {
 			switch {
 			case stays && a.target == nil:
@@ -259,7 +266,8 @@
 	})
 }
 
-// stop ends the agent, with the word and the removal of a planned stop or without.
+// stop ends the agent. A planned stop is announced, and removes the agent's registry entry
+// if its target has ended.
 func (a *agentNode) stop(planned bool) {
 	if planned {
 		if a.Core.RemovesEntry() && !a.w.Now.Before(a.w.StoreBack) {
@@ -271,9 +279,9 @@
 	a.Stop()
 }
 
-// replaceTarget ends a target with its agent; its address serves the other service
-// from then on.
-func replaceTarget(w *world, a *agentNode) {
+// replaceByOtherService ends a target with its agent; 2 s later its address serves the other
+// service.
+func replaceByOtherService(w *world, a *agentNode) {
 	a.crash()
 	a.Stop()
 	service := serviceA
@@ -297,33 +305,34 @@
 	return out
 }
 
-// checkServed lets every open flow whose target lives ask once more.
-func checkServed(t require.TestingT, w *world) {
-	var asked []*client
+// checkOpenFlowsAnswered sends a request on every idle open flow whose target runs and checks
+// that it is answered within 3 s.
+func checkOpenFlowsAnswered(t require.TestingT, w *world) {
+	var clients []*client
 	for _, c := range w.clients {
-		if c.state == established && w.alive(c.target) && c.asked == c.answered {
+		if c.state == stateEstablished && w.isRunning(c.target) && c.requested == c.answered {
 			c.request()
-			asked = append(asked, c)
+			clients = append(clients, c)
 		}
 	}
 	w.Run(3 * time.Second)
-	for _, c := range asked {
-		if c.state == established && w.alive(c.target) {
-			require.Equal(t, c.asked, c.answered, "flow %v at target %s\n%s", c.key, c.target.id, w.describe(c))
+	for _, c := range clients {
+		if c.state == stateEstablished && w.isRunning(c.target) {
+			require.Equal(t, c.requested, c.answered, "flow %v at target %s\n%s", c.key, c.target.id, w.describeFlow(c))
 		}
 	}
 	require.Empty(t, w.violations)
 }
 
-// describe tells what the nodes know of a flow's target.
-func (w *world) describe(c *client) string {
+// describeFlow describes the state of a flow's target at its agent and at the balancers.
+func (w *world) describeFlow(c *client) string {
 	text := ""
 	for _, a := range sortedAgents(w) {
 		if a.target == c.target {
 			text += fmt.Sprintf("agent %v up %v serves %s, flow at target %+v\n", a.IP, a.Up, a.Service, *c.target.flows[c.key])
 			for _, ip := range w.BalancerIPs() {
-				h, known := w.Balancers[ip].Core.View().Target(a.IP)
-				text += fmt.Sprintf("balancer %v up %v knows it %v %+v\n", ip, w.Balancers[ip].Up, known, h)
+				target, known := w.Balancers[ip].Core.View().Target(a.IP)
+				text += fmt.Sprintf("balancer %v up %v target known %v %+v\n", ip, w.Balancers[ip].Up, known, target)
 			}
 		}
 	}
--- a/e2e/packets/registry_test.go
+++ b/e2e/packets/registry_test.go
@@ -11,20 +11,20 @@
 	"github.com/poppywall/poppywall/model/sim"
 )
 
-// doubtfulReturn is the return of everybody with so many balancers in three zones, after
-// which some VMs of a registry of so many do not come back: all balancers doubt at the same
-// time whether flows are over. It returns the calls at the store from then on.
-func doubtfulReturn(t *testing.T, balancers, registered int) (w *world, calls map[sim.Call]int) {
+// returnWithMissingVMs runs a blackout of a deployment in three zones after which most of the
+// registered VMs do not return, so that all balancers are uncertain at the same time whether
+// flows have ended. It returns the calls at the store from the blackout on.
+func returnWithMissingVMs(t *testing.T, balancers, registered int) (w *world, calls map[sim.Call]int) {
 	w = newWorld(3)
 	for i := range balancers {
-		w.AddBalancer(meshZone(i))
+		w.AddBalancer(zoneName(i))
 	}
 	for i := range 6 {
-		w.addAgent(meshZone(i), serviceA)
+		w.addAgent(zoneName(i), serviceA)
 	}
 	w.Run(3 * time.Second)
 	for i := range 2 * balancers {
-		w.addClient(meshZone(i), frontA)
+		w.addClient(zoneName(i), frontA)
 	}
 	w.Run(time.Second)
 	for i := range registered - 6 {
@@ -32,61 +32,62 @@
 		w.Registry[ip] = fleet.Entry{IP: ip, Incarnation: 1}
 	}
 	clear(w.Calls)
-	blackout(w, darkTime, darkTime)
-	w.Run(darkTime + startSpread + learnTime)
+	blackout(w, outageTime, outageTime)
+	w.Run(outageTime + restartSpread + discoveryTime)
 	for _, c := range w.clients {
 		c.request()
 	}
 	w.Run(7 * time.Second)
 	require.Empty(t, w.violations)
 	for _, c := range w.clients {
-		require.Equal(t, refused, c.state, "flow %v", c.key)
+		require.Equal(t, stateReset, c.state, "flow %v", c.key)
 	}
 	return w, w.Calls
 }
 
-// TestReadingsOfTheRegistryGrowWithTheZones and its pages, not with the balancers.
-func TestReadingsOfTheRegistryGrowWithTheZones(t *testing.T) {
+// TestRegistryReadsGrowWithTheZonesNotTheBalancers: balancers of a zone share snapshots, so
+// the number of read pages is bounded by the zones and the pages of the registry.
+func TestRegistryReadsGrowWithTheZonesNotTheBalancers(t *testing.T) {
 	const zones, pages = 3, 4
-	// One balancer of a zone reads, with the doubling pauses of 8 s of doubt: 0, 0.4, 1.2,
-	// 2.8, 4.4, 6, 7.6 s. At first some do not know of it.
-	const most = zones * (7 + 2) * pages
+	// One balancer of a zone reads, in 8 s of uncertainty at 0, 0.4, 1.2, 2.8, 4.4, 6 and
+	// 7.6 s because the pauses double. At first some others do not know of it and read too.
+	const maxReads = zones * (7 + 2) * pages
 	for _, balancers := range []int{12, 30, 90} {
-		_, calls := doubtfulReturn(t, balancers, 678)
+		_, calls := returnWithMissingVMs(t, balancers, 678)
 		t.Logf("%d balancers: %v", balancers, calls)
-		require.LessOrEqual(t, calls[sim.CallSurvey], most, "%d balancers", balancers)
+		require.LessOrEqual(t, calls[sim.CallSurvey], maxReads, "%d balancers", balancers)
 		require.LessOrEqual(t, calls[sim.CallTargets], 2*balancers, "%d balancers", balancers)
 	}
 }
 
-// TestFlowsThatAreOverAreToldSoonHoweverLongDoubtLasts: long flows speak one after the other for
-// seconds after the return of everybody, and each needs a reading that is young enough. A
-// balancer that is given one that is older than its question asks again sooner.
-func TestFlowsThatAreOverAreToldSoonHoweverLongDoubtLasts(t *testing.T) {
-	const clients, pause, within = 320, 25 * time.Millisecond, 400 * time.Millisecond
+// TestEndedFlowsAreResetSoonDuringLongUncertainty: after a blackout, idle flows send their
+// next packets one by one for seconds, and each reset needs a recent enough snapshot. A
+// balancer that gets a snapshot older than its request must request the next one sooner.
+func TestEndedFlowsAreResetSoonDuringLongUncertainty(t *testing.T) {
+	const clients, pause, maxTime = 320, 25 * time.Millisecond, 400 * time.Millisecond
 	w := newWorld(5)
 	for i := range 24 {
-		w.AddBalancer(meshZone(i))
+		w.AddBalancer(zoneName(i))
 	}
 	for i := range 6 {
-		w.addAgent(meshZone(i), serviceA)
+		w.addAgent(zoneName(i), serviceA)
 	}
 	w.Run(3 * time.Second)
 	for i := range clients {
-		w.addClient(meshZone(i), frontA)
+		w.addClient(zoneName(i), frontA)
 	}
 	w.Run(time.Second)
-	blackout(w, darkTime, darkTime)
-	w.Run(darkTime + startSpread + learnTime + resetWithin)
+	blackout(w, outageTime, outageTime)
+	w.Run(outageTime + restartSpread + discoveryTime + maxResetTime)
 	for i, c := range w.clients {
 		c.request()
-		w.After(within, func() {
-			if c.state != refused {
-				t.Errorf("flow %v, client %d: not told within %v", c.key, i, within)
+		w.After(maxTime, func() {
+			if c.state != stateReset {
+				t.Errorf("flow %v, client %d: not reset within %v", c.key, i, maxTime)
 			}
 		})
 		w.Run(pause)
 	}
-	w.Run(within)
+	w.Run(maxTime)
 	require.Empty(t, w.violations)
 }
--- a/e2e/packets/target_test.go
+++ b/e2e/packets/target_test.go
@@ -12,76 +12,80 @@
 	"github.com/poppywall/poppywall/platform/platformtest"
 )
 
-// coldTime is how long targets are cold after a start.
-const coldTime = 2 * time.Second
+// coldPeriod is the time for which targets are cold after a start.
+const coldPeriod = 2 * time.Second
 
-// target is the oracle: what the program beside an agent does.
+// target models the server process beside an agent and checks the packets that reach it.
 type target struct {
 	id string
-	// born is what it says of its start, Unix milliseconds; zero where it does not.
-	born     int64
-	service  string
-	slots    int
-	cap      int
-	draining bool
-	// ackedBy is the life of the agent that acknowledged it: a fresh agent knows
-	// after the next heartbeat.
-	ackedBy  int
-	ackedAt  time.Time
-	flows    map[flow.Key]*targetFlow
-	sequence uint64
-	full     bool
-	// coldUntil is when the target is warm, unseen tells that its agent did not see the
-	// end of the one before and that it has not reported since, openedAt when new flows came.
-	coldUntil time.Time
-	unseen    bool
-	openedAt  []time.Time
+	// startedMillis is the reported time of its start in Unix milliseconds; zero if it
+	// reports none.
+	startedMillis int64
+	service       string
+	slots         int
+	maxFlows      int
+	draining      bool
+	// drainAckedBy is the number of the agent process that acknowledged the draining at
+	// drainAckedAt; a restarted agent learns of the draining from the next heartbeat.
+	drainAckedBy int
+	drainAckedAt time.Time
+	flows        map[flow.Key]*targetFlow
+	lastSequence uint64
+	full         bool
+	// coldUntil is when the target becomes warm. unseenRestart reports whether the agent
+	// did not see the end of the target's predecessor and has not acknowledged a heartbeat
+	// of this one yet. openedAt holds the times at which new flows arrived.
+	coldUntil     time.Time
+	unseenRestart bool
+	openedAt      []time.Time
 }
 
-func (h *target) life() fleet.Incarnation {
-	return fleet.Incarnation{TargetID: h.id, StartedMillis: h.born}
+func (t *target) incarnation() fleet.Incarnation {
+	return fleet.Incarnation{TargetID: t.id, StartedMillis: t.startedMillis}
 }
 
+// targetFlow is a flow at its target: seq is the sequence number of the SYN+ACK, next that of
+// the latest answer. It is open once its client has sent a packet after the SYN.
 type targetFlow struct {
 	seq, next uint32
 	open      bool
 }
 
-// startTarget starts a fresh target beside the agent, under the ID of the one before where
-// targets keep theirs.
+// startTarget starts a new target beside the agent, with its predecessor's ID if
+// reuseTargetIDs is set and both belong to the same service.
 func (a *agentNode) startTarget() {
 	w := a.w
-	h := &target{id: fmt.Sprintf("i-%x", w.Rnd.Uint32()), service: a.Service, slots: 5, cap: 1000, flows: map[flow.Key]*targetFlow{}}
-	if w.keepIDs && len(a.former) > 0 && a.former[len(a.former)-1].service == a.Service {
-		h.id = a.former[len(a.former)-1].id
+	t := &target{id: fmt.Sprintf("i-%x", w.Rnd.Uint32()), service: a.Service, slots: 5, maxFlows: 1000, flows: map[flow.Key]*targetFlow{}}
+	if w.reuseTargetIDs && len(a.endedTargets) > 0 && a.endedTargets[len(a.endedTargets)-1].service == a.Service {
+		t.id = a.endedTargets[len(a.endedTargets)-1].id
 	}
-	if w.sayBorn {
-		h.born = w.Now.UnixMilli() + w.clockStep
+	if w.reportStartTime {
+		t.startedMillis = w.Now.UnixMilli() + w.clockOffsetMillis
 	}
-	h.coldUntil, h.unseen = w.Now.Add(coldTime), a.Up && !a.Core.TargetEnded() && len(a.former) > 0
-	a.target, a.Target = h, a
+	t.coldUntil, t.unseenRestart = w.Now.Add(coldPeriod), a.Up && !a.Core.TargetEnded() && len(a.endedTargets) > 0
+	a.target, a.Target = t, a
 	w.Every(sim.HeartbeatPeriod, func() bool {
-		if a.target == h {
+		if a.target == t {
 			a.heartbeat()
 		}
-		return a.target == h
+		return a.target == t
 	})
 }
 
 func (a *agentNode) heartbeat() {
-	h := a.target
-	h.sequence++
+	t := a.target
+	t.lastSequence++
 	if !a.Up {
 		return
 	}
-	acknowledged := a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: h.life(), Service: h.service, Slots: h.slots, Draining: h.draining, Sequence: h.sequence, WarmupLeft: max(h.coldUntil.Sub(a.w.Now), 0)})
-	h.unseen = h.unseen && !acknowledged
-	if acknowledged && h.draining && h.ackedBy != a.Life {
-		h.ackedBy, h.ackedAt = a.Life, a.w.Now
+	acknowledged := a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: t.incarnation(), Service: t.service, Slots: t.slots, Draining: t.draining, Sequence: t.lastSequence, WarmupLeft: max(t.coldUntil.Sub(a.w.Now), 0)})
+	t.unseenRestart = t.unseenRestart && !acknowledged
+	if acknowledged && t.draining && t.drainAckedBy != a.Life {
+		t.drainAckedBy, t.drainAckedAt = a.Life, a.w.Now
 	}
 }
 
-// drain makes the target report that it leaves.
+// drain makes the target report that it is draining.
 func (a *agentNode) drain() {
 	if a.target != nil {
 		a.target.draining = true
@@ -92,105 +96,106 @@
 // crash ends the target; its flows are lost.
 func (a *agentNode) crash() {
 	if a.target != nil {
-		a.former = append(a.former, a.target)
+		a.endedTargets = append(a.endedTargets, a.target)
 	}
 	a.target, a.Target = nil, nil
 }
 
-// lateWord lets a report or the farewell of a target arrive that has ended.
-func (a *agentNode) lateWord(farewell bool) {
-	if len(a.former) == 0 || !a.Up {
+// deliverLateReport delivers a heartbeat or the deregistration of a target that has
+// already ended.
+func (a *agentNode) deliverLateReport(deregister bool) {
+	if len(a.endedTargets) == 0 || !a.Up {
 		return
 	}
-	h := a.former[len(a.former)-1]
-	if h.service != a.Service {
-		// The agent's shell refuses what is of another service.
+	t := a.endedTargets[len(a.endedTargets)-1]
+	if t.service != a.Service {
+		// The agent's shell rejects reports of another service.
 		return
 	}
-	if farewell {
-		a.Core.Deregister(a.w.Now, h.life())
+	if deregister {
+		a.Core.Deregister(a.w.Now, t.incarnation())
 		return
 	}
-	h.sequence++
-	a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: h.life(), Service: h.service, Slots: h.slots, Draining: true, Sequence: h.sequence})
+	t.lastSequence++
+	a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: t.incarnation(), Service: t.service, Slots: t.slots, Draining: true, Sequence: t.lastSequence})
 }
 
-// Take is what a target does with a packet.
+// Take handles a packet that the agent delivered; it implements sim.Target.
 func (a *agentNode) Take(packet []byte) {
-	h := a.target
-	if h == nil {
+	t := a.target
+	if t == nil {
 		return
 	}
-	head, err := platform.DecodePacket(packet)
+	header, err := platform.DecodePacket(packet)
 	if err != nil {
-		a.w.violate("a target got a malformed packet")
+		a.w.addViolation("a target got a malformed packet")
 		return
 	}
-	key := head.KeyFromClient()
-	if head.IsOpening() {
-		a.targetOpens(h, key, &head, packet)
+	key := header.KeyFromClient()
+	if header.IsOpening() {
+		a.handleSYN(t, key, &header, packet)
 		return
 	}
-	f, ok := h.flows[key]
-	if !ok || !flow.WithinSequenceWindow(head.Ack, f.seq) || head.Ack < f.seq {
+	openFlow, ok := t.flows[key]
+	if !ok || !flow.WithinSequenceWindow(header.Ack, openFlow.seq) || header.Ack < openFlow.seq {
 		a.Bounce(packet)
 		return
 	}
-	f.open = true
-	if head.Len == 0 {
+	openFlow.open = true
+	if header.Len == 0 {
 		return
 	}
-	f.next = f.seq + 100*(head.Seq+1)
-	a.targetSends(key, flow.ACK, f.next, head.Seq, []byte("answer"))
+	openFlow.next = openFlow.seq + 100*(header.Seq+1)
+	a.sendFromTarget(key, flow.ACK, openFlow.next, header.Seq, []byte("answer"))
 }
 
-func (a *agentNode) targetOpens(h *target, key flow.Key, head *flow.Header, packet []byte) {
+func (a *agentNode) handleSYN(t *target, key flow.Key, header *flow.Header, packet []byte) {
 	want := serviceA
 	if key.Front() == frontB {
 		want = serviceB
 	}
-	if want != h.service {
-		a.w.violate("a SYN for %s reached a target of %s", want, h.service)
+	if want != t.service {
+		a.w.addViolation("a SYN for %s reached a target of %s", want, t.service)
 	}
-	// A packet may be on its way inside the VM at that moment.
-	if h.ackedBy == a.Life && a.w.Now.Sub(h.ackedAt) > time.Millisecond {
-		a.w.violate("a SYN reached a target whose draining was acknowledged")
+	// A SYN may have been in transit inside the VM when the draining was acknowledged.
+	if t.drainAckedBy == a.Life && a.w.Now.Sub(t.drainAckedAt) > time.Millisecond {
+		a.w.addViolation("a SYN reached a target whose draining was acknowledged")
 	}
-	if !a.w.mayOpen(a.Zone) {
-		a.w.violate("a SYN reached a target of %s, emptied since %v", a.Zone, a.w.Now.Sub(a.w.emptiedAt[a.Zone]))
+	if !a.w.allowsNewFlows(a.Zone) {
+		a.w.addViolation("a SYN reached a target of zone %s, evacuated for %v", a.Zone, a.w.Now.Sub(a.w.evacuatedAt[a.Zone]))
 	}
-	if h.full || len(h.flows) >= h.cap {
+	if t.full || len(t.flows) >= t.maxFlows {
 		a.Bounce(packet)
 		return
 	}
-	f, ok := h.flows[key]
+	f, ok := t.flows[key]
 	if !ok {
-		a.countCold(h)
+		a.checkColdRate(t)
 		f = &targetFlow{seq: a.w.Rnd.Uint32() >> 1}
-		h.flows[key] = f
+		t.flows[key] = f
 	}
-	a.targetSends(key, flow.SYN|flow.ACK, f.seq, 0, nil)
+	a.sendFromTarget(key, flow.SYN|flow.ACK, f.seq, 0, nil)
 }
 
-// countCold checks that a cold target gets no more new flows within a second than it
-// bears.
-func (a *agentNode) countCold(h *target) {
-	h.openedAt = append(h.openedAt, a.w.Now)
-	rate := a.w.Config.ColdRates[flow.TagOf(h.service)]
-	if rate == 0 || h.unseen || !a.w.Now.Before(h.coldUntil) {
+// checkColdRate records a new flow and checks that a cold target gets no more new flows
+// within a second than its service's cold rate allows.
+func (a *agentNode) checkColdRate(t *target) {
+	t.openedAt = append(t.openedAt, a.w.Now)
+	rate := a.w.Config.ColdRates[flow.TagOf(t.service)]
+	if rate == 0 || t.unseenRestart || !a.w.Now.Before(t.coldUntil) {
 		return
 	}
-	within := 0
-	for _, at := range h.openedAt {
+	opened := 0
+	for _, at := range t.openedAt {
 		if a.w.Now.Sub(at) < time.Second {
-			within++
+			opened++
 		}
 	}
-	if within > coldstart.MaxPerWindow(rate) {
-		a.w.violate("%d new flows within a second at cold target %s", within, h.id)
+	if opened > coldstart.MaxPerWindow(rate) {
+		a.w.addViolation("%d new flows within a second at cold target %s", opened, t.id)
 	}
 }
 
-func (a *agentNode) targetSends(key flow.Key, flags flow.Flags, seq, ack uint32, data []byte) {
+func (a *agentNode) sendFromTarget(key flow.Key, flags flow.Flags, seq, ack uint32, data []byte) {
 	a.FromTarget(platformtest.FromTarget(key, flags, seq, ack, data))
 }
