--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -7,8 +7,7 @@
 	return printAll(w, PrintCosts, PrintRelay, PrintPackets, PrintFleet)
 }
 
-// PrintCosts prints the memory and the processor time of a balancer's state
-// over the size of the fleet.
+// PrintCosts prints the memory and CPU time of a balancer's state by fleet size.
 func PrintCosts(w io.Writer) error { return printAll(w, PrintMemory, PrintOperations) }
 
 func printAll(w io.Writer, tables ...func(io.Writer) error) error {
--- a/measure/choice.go
+++ b/measure/choice.go
@@ -13,91 +13,94 @@
 	"github.com/poppywall/poppywall/load"
 )
 
-// ChoiceOptions describe one comparison of policies.
+// ChoiceOptions are the options of one simulation of a host selection policy.
 type ChoiceOptions struct {
 	Hosts, Balancers int
-	// FlowsPerHost is the open flows per host in the steady state; flows last
-	// MeanLength on average, exponentially distributed.
+	// FlowsPerHost is the number of open flows per host in the steady state. The
+	// length of a flow is exponentially distributed with mean MeanLength.
 	FlowsPerHost int
 	MeanLength   time.Duration
-	// Delay is the age of a reading when it reaches a balancer.
-	Delay time.Duration
-	// Length is the simulated time, Step its resolution.
+	// ReportAge is the age of a load report when it reaches a balancer.
+	ReportAge time.Duration
+	// Length is the simulated time and Step its resolution.
 	Length, Step time.Duration
-	// JoinEmpty adds an empty host at the start.
-	JoinEmpty bool
-	// Uneven gives every other host half the capacity.
+	// AddEmptyHost adds a host without flows at the start of the run.
+	AddEmptyHost bool
+	// Uneven halves the capacity of every other host.
 	Uneven bool
 	Seed   uint64
 }
 
-// DefaultChoice is 35 targets, 2,000 flows a host.
+// DefaultChoice returns the options for 35 hosts with 2,000 flows each.
 func DefaultChoice() ChoiceOptions {
 	return ChoiceOptions{
 		Hosts:        35,
 		Balancers:    3,
 		FlowsPerHost: 2000,
 		MeanLength:   100 * time.Second,
-		Delay:        2 * time.Second,
+		ReportAge:    2 * time.Second,
 		Length:       120 * time.Second,
 		Step:         5 * time.Millisecond,
 		Seed:         1,
 	}
 }
 
-// policy is one balancer's way to choose.
-type policy interface {
+// choicePolicy selects the host of each new flow for one balancer.
+type choicePolicy interface {
 	pick(now time.Time, rnd *rand.Rand) int
 	observe(now time.Time, host, open int)
-	// join tells that one more host exists.
-	join(now time.Time, capacity int)
+	// addHost adds a host of the given capacity.
+	addHost(now time.Time, capacity int)
 }
 
-// Policies lists the policies by name, the one in use last.
-var Policies = []string{"random", "hash", "least-reading", "least-reading+own", "d2-reading", "poppywall", "central-oracle"}
+// ChoicePolicies are the names of the compared policies. Balancers use
+// "poppywall"; "central-oracle" picks by the true number of open flows.
+var ChoicePolicies = []string{"random", "hash", "least-reading", "least-reading+own", "d2-reading", "poppywall", "central-oracle"}
 
-// ChoiceResult is how one policy spread flows.
+// ChoiceResult is how evenly one policy distributed flows.
 type ChoiceResult struct {
 	Policy string
-	// MaxOverMean and CV are means over the second half of the run, of open
-	// flows per unit of capacity; Worst is the largest max/mean in it.
+	// MaxOverMean (largest value over mean) and CV (coefficient of variation)
+	// are of the open flows per unit of capacity, averaged over the second half
+	// of the run. Worst is the largest MaxOverMean in that half.
 	MaxOverMean, CV, Worst float64
-	// JoinerShare is the share of new flows that a joined host got in the
-	// first two seconds, relative to an equal share.
-	JoinerShare float64
+	// AddedHostShare is the share of the new flows of the first two seconds that
+	// went to the added host, relative to an equal share.
+	AddedHostShare float64
 }
 
-// Choice runs one policy.
-func Choice(name string, o ChoiceOptions) ChoiceResult {
+// RunChoice simulates one policy.
+func RunChoice(name string, o ChoiceOptions) ChoiceResult {
 	s := newChoiceSim(name, o)
 	s.run()
 	return s.result(name)
 }
 
 type choiceSim struct {
-	o          ChoiceOptions
-	rnd        *rand.Rand
-	capacity   []int
-	open       []int
-	policies   []policy
-	pending    []reading
-	last       reading
-	spreads    []load.Spread
-	joinerNew  int
-	earlyNew   int
-	joinerHost int
-}
-
-// reading is one host's open flows on their way to the balancers.
-type reading struct {
+	opts           ChoiceOptions
+	rnd            *rand.Rand
+	capacity       []int
+	open           []int
+	policies       []choicePolicy
+	pendingReports []loadReports
+	lastReports    loadReports
+	spreads        []load.Spread
+	addedHostFlows int
+	earlyFlows     int
+	addedHost      int
+}
+
+// loadReports are the open flows of all hosts at one time, as reported to the
+// balancers.
+type loadReports struct {
 	at   time.Time
 	open []int
 }
 
-var choiceStart = time.Unix(1_700_000_000, 0)
+var simStart = time.Unix(1_700_000_000, 0)
 
 func newChoiceSim(name string, o ChoiceOptions) *choiceSim {
-	s := &choiceSim{o: o, rnd: rand.New(rand.NewPCG(o.Seed, 7)), joinerHost: -1}
+	s := &choiceSim{opts: o, rnd: rand.New(rand.NewPCG(o.Seed, 7)), addedHost: -1}
 	for i := range o.Hosts {
 		capacity := 10
 		if o.Uneven && i%2 == 1 {
@@ -109,90 +112,90 @@
 	for range o.Balancers {
 		s.policies = append(s.policies, s.newPolicy(name))
 	}
-	s.last = reading{choiceStart, append([]int(nil), s.open...)}
-	s.deliver(choiceStart)
-	if o.JoinEmpty {
-		s.joinerHost = len(s.open)
+	s.lastReports = loadReports{simStart, append([]int(nil), s.open...)}
+	s.deliverReports(simStart)
+	if o.AddEmptyHost {
+		s.addedHost = len(s.open)
 		s.capacity = append(s.capacity, 10)
 		s.open = append(s.open, 0)
 		for _, p := range s.policies {
-			p.join(choiceStart, 10)
+			p.addHost(simStart, 10)
 		}
 	}
 	return s
 }
 
 func (s *choiceSim) run() {
-	perStep := float64(s.total()) / s.o.MeanLength.Seconds() * s.o.Step.Seconds()
-	steps := int(s.o.Length / s.o.Step)
+	newFlowsPerStep := float64(s.steadyFlows()) / s.opts.MeanLength.Seconds() * s.opts.Step.Seconds()
+	steps := int(s.opts.Length / s.opts.Step)
 	for i := range steps {
-		now := choiceStart.Add(time.Duration(i) * s.o.Step)
-		s.end()
-		for range poisson(s.rnd, perStep) {
-			s.arrive(now)
+		now := simStart.Add(time.Duration(i) * s.opts.Step)
+		s.endFlows()
+		for range poisson(s.rnd, newFlowsPerStep) {
+			s.startFlow(now)
 		}
-		s.read(now)
+		s.collectReports(now)
 		if i >= steps/2 && i%20 == 0 {
-			s.spreads = append(s.spreads, load.SpreadOf(s.perCapacity()))
+			s.spreads = append(s.spreads, load.SpreadOf(s.flowsPerCapacity()))
 		}
 	}
 }
 
-func (s *choiceSim) total() int {
+func (s *choiceSim) steadyFlows() int {
 	sum := 0
 	for i, c := range s.capacity {
-		if i != s.joinerHost {
-			sum += s.o.FlowsPerHost * c / 10
+		if i != s.addedHost {
+			sum += s.opts.FlowsPerHost * c / 10
 		}
 	}
 	return sum
 }
 
-// end lets flows end, each with the same chance in a step.
-func (s *choiceSim) end() {
-	p := s.o.Step.Seconds() / s.o.MeanLength.Seconds()
+// endFlows ends flows, each with the same probability per step.
+func (s *choiceSim) endFlows() {
+	p := s.opts.Step.Seconds() / s.opts.MeanLength.Seconds()
 	for i := range s.open {
 		s.open[i] -= min(poisson(s.rnd, float64(s.open[i])*p), s.open[i])
 	}
 }
 
-func (s *choiceSim) arrive(now time.Time) {
-	h := s.policies[s.rnd.IntN(len(s.policies))].pick(now, s.rnd)
-	s.open[h]++
-	if now.Sub(choiceStart) < 2*time.Second {
-		s.earlyNew++
-		if h == s.joinerHost {
-			s.joinerNew++
+func (s *choiceSim) startFlow(now time.Time) {
+	host := s.policies[s.rnd.IntN(len(s.policies))].pick(now, s.rnd)
+	s.open[host]++
+	if now.Sub(simStart) < 2*time.Second {
+		s.earlyFlows++
+		if host == s.addedHost {
+			s.addedHostFlows++
 		}
 	}
 }
 
-// readEvery is how often hosts' readings are taken.
-const readEvery = 100 * time.Millisecond
+// reportInterval is the interval between load reports of a host.
+const reportInterval = 100 * time.Millisecond
 
-// read takes readings and delivers the latest one that is old enough. Hosts
-// answer all the time; only what they say of their load is old.
-func (s *choiceSim) read(now time.Time) {
-	if now.Sub(choiceStart)%readEvery != 0 {
+// collectReports collects load reports and delivers the latest ones that are
+// ReportAge old. Hosts always answer; only their load reports are delayed.
+func (s *choiceSim) collectReports(now time.Time) {
+	if now.Sub(simStart)%reportInterval != 0 {
 		return
 	}
-	s.pending = append(s.pending, reading{now, append([]int(nil), s.open...)})
-	for len(s.pending) > 0 && now.Sub(s.pending[0].at) >= s.o.Delay {
-		s.last = s.pending[0]
-		s.pending = s.pending[1:]
+	s.pendingReports = append(s.pendingReports, loadReports{now, append([]int(nil), s.open...)})
+	for len(s.pendingReports) > 0 && now.Sub(s.pendingReports[0].at) >= s.opts.ReportAge {
+		s.lastReports = s.pendingReports[0]
+		s.pendingReports = s.pendingReports[1:]
 	}
-	s.deliver(now)
+	s.deliverReports(now)
 }
 
-func (s *choiceSim) deliver(now time.Time) {
+func (s *choiceSim) deliverReports(now time.Time) {
 	for _, p := range s.policies {
-		for h, open := range s.last.open {
+		for h, open := range s.lastReports.open {
 			p.observe(now, h, open)
 		}
 	}
 }
 
-func (s *choiceSim) perCapacity() map[string]float64 {
+func (s *choiceSim) flowsPerCapacity() map[string]float64 {
 	out := make(map[string]float64, len(s.open))
 	for i, n := range s.open {
 		out[fmt.Sprint(i)] = float64(n) / float64(s.capacity[i])
@@ -207,14 +210,14 @@
 		r.CV += sp.CV / float64(len(s.spreads))
 		r.Worst = max(r.Worst, sp.MaxOverMean)
 	}
-	if s.joinerHost >= 0 && s.earlyNew > 0 {
-		r.JoinerShare = float64(s.joinerNew) / float64(s.earlyNew) * float64(len(s.open))
+	if s.addedHost >= 0 && s.earlyFlows > 0 {
+		r.AddedHostShare = float64(s.addedHostFlows) / float64(s.earlyFlows) * float64(len(s.open))
 	}
 	return r
 }
 
-// poisson draws a count with the given mean: Knuth's method when it is small,
-// the normal approximation otherwise.
+// poisson draws from a Poisson distribution, with Knuth's algorithm for a small
+// mean and the normal approximation otherwise.
 func poisson(rnd *rand.Rand, mean float64) int {
 	if mean > 30 {
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*rnd.NormFloat64())))
@@ -227,96 +230,99 @@
 	return k
 }
 
-func (s *choiceSim) newPolicy(name string) policy {
-	base := &baseline{sim: s, open: make([]int, len(s.capacity)), own: make([]int, len(s.capacity))}
+func (s *choiceSim) newPolicy(name string) choicePolicy {
+	base := &baseline{sim: s, open: make([]int, len(s.capacity)), unreported: make([]int, len(s.capacity))}
 	switch name {
 	case "random":
-		base.choose = base.random
+		base.selectHost = base.random
 	case "hash":
-		base.choose = base.hash
+		base.selectHost = base.hash
 	case "least-reading":
-		base.choose = base.least
+		base.selectHost = base.leastLoaded
 	case "least-reading+own":
-		base.countOwn, base.choose = true, base.least
+		base.countSent, base.selectHost = true, base.leastLoaded
 	case "d2-reading":
-		base.choose = base.two
+		base.selectHost = base.lesserOfTwo
 	case "central-oracle":
-		base.choose = base.central
+		base.selectHost = base.trueLeastLoaded
 	default:
-		return newOurs(s.capacity)
+		return newChooseSetPolicy(s.capacity)
 	}
 	return base
 }
 
-// ours drives choose.Set as a balancer does.
-type ours struct {
+// chooseSetPolicy uses choose.Set as a balancer does.
+type chooseSetPolicy struct {
 	set   *choose.Set
 	hosts []choose.Host
 	index map[netip.AddrPort]int
 }
 
-func newOurs(capacity []int) *ours {
-	o := &ours{set: choose.NewSet(choose.Defaults(), "a"), index: map[netip.AddrPort]int{}}
+func newChooseSetPolicy(capacity []int) *chooseSetPolicy {
+	p := &chooseSetPolicy{set: choose.NewSet(choose.Defaults(), "a"), index: map[netip.AddrPort]int{}}
 	for _, c := range capacity {
-		o.add(c)
+		p.appendHost(c)
 	}
-	// The hosts are long known when the run starts.
-	o.set.Replace(choiceStart.Add(-time.Minute), o.hosts)
-	return o
+	// The hosts were added a minute before the run, so they are past slow start.
+	p.set.Replace(simStart.Add(-time.Minute), p.hosts)
+	return p
 }
 
-func (o *ours) add(capacity int) {
-	i := len(o.hosts)
+func (p *chooseSetPolicy) appendHost(capacity int) {
+	i := len(p.hosts)
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1)
-	o.hosts = append(o.hosts, choose.Host{Addr: addr, Zone: "a", Capacity: capacity})
-	o.index[addr] = i
+	p.hosts = append(p.hosts, choose.Host{Addr: addr, Zone: "a", Capacity: capacity})
+	p.index[addr] = i
 }
 
-func (o *ours) join(now time.Time, capacity int) {
-	o.add(capacity)
-	o.set.Replace(now, o.hosts)
+func (p *chooseSetPolicy) addHost(now time.Time, capacity int) {
+	p.appendHost(capacity)
+	p.set.Replace(now, p.hosts)
 }
 
-func (o *ours) pick(now time.Time, rnd *rand.Rand) int {
-	a, _ := o.set.Pick(now, rnd)
-	return o.index[a]
+func (p *chooseSetPolicy) pick(now time.Time, rnd *rand.Rand) int {
+	a, _ := p.set.Pick(now, rnd)
+	return p.index[a]
 }
 
-func (o *ours) observe(now time.Time, host, open int) {
-	o.set.Observe(now, o.hosts[host].Addr, choose.LoadReport{Open: open})
+func (p *chooseSetPolicy) observe(now time.Time, host, open int) {
+	p.set.Observe(now, p.hosts[host].Addr, choose.LoadReport{Open: open})
 }
 
-// baseline is a simple policy to compare with.
+// baseline is a simple policy for comparison.
 type baseline struct {
-	sim      *choiceSim
-	open     []int
-	own      []int
-	countOwn bool
-	choose   func(*rand.Rand) int
+	sim  *choiceSim
+	open []int
+	// unreported is the number of flows sent to each host since its last load
+	// report. It is counted if countSent is set.
+	unreported []int
+	countSent  bool
+	selectHost func(*rand.Rand) int
 }
 
 func (b *baseline) pick(_ time.Time, rnd *rand.Rand) int {
-	h := b.choose(rnd)
-	if b.countOwn {
-		b.own[h]++
+	host := b.selectHost(rnd)
+	if b.countSent {
+		b.unreported[host]++
 	}
-	return h
+	return host
 }
 
-func (b *baseline) observe(_ time.Time, host, open int) { b.open[host], b.own[host] = open, 0 }
+func (b *baseline) observe(_ time.Time, host, open int) { b.open[host], b.unreported[host] = open, 0 }
 
-func (b *baseline) join(time.Time, int) {
-	b.open, b.own = append(b.open, 0), append(b.own, 0)
+func (b *baseline) addHost(time.Time, int) {
+	b.open, b.unreported = append(b.open, 0), append(b.unreported, 0)
 }
 
 func (b *baseline) cost(h int) float64 {
-	return float64(b.open[h]+b.own[h]) / float64(b.sim.capacity[h])
+	return float64(b.open[h]+b.unreported[h]) / float64(b.sim.capacity[h])
 }
 
 func (b *baseline) random(rnd *rand.Rand) int { return rnd.IntN(len(b.open)) }
 
-// hash spreads by a hash of the flow, here a random number, over capacity
-// units: what a consistent hash table of equal weights gives.
+// hash picks a host in proportion to its capacity by a hash of the flow, here a
+// random number. It models a consistent hash table with a slot for each unit of
+// capacity.
 func (b *baseline) hash(rnd *rand.Rand) int {
 	sum := 0
 	for _, c := range b.sim.capacity {
@@ -332,17 +338,17 @@
 	return 0
 }
 
-func (b *baseline) least(rnd *rand.Rand) int {
+func (b *baseline) leastLoaded(rnd *rand.Rand) int {
 	best := rnd.IntN(len(b.open))
-	for h := range b.open {
-		if b.cost(h) < b.cost(best) {
-			best = h
+	for host := range b.open {
+		if b.cost(host) < b.cost(best) {
+			best = host
 		}
 	}
 	return best
 }
 
-func (b *baseline) two(rnd *rand.Rand) int {
+func (b *baseline) lesserOfTwo(rnd *rand.Rand) int {
 	x, y := rnd.IntN(len(b.open)), rnd.IntN(len(b.open))
 	if b.cost(y) < b.cost(x) {
 		return y
@@ -350,19 +356,19 @@
 	return x
 }
 
-// central sees every host's true open flows.
-func (b *baseline) central(*rand.Rand) int {
+// trueLeastLoaded picks by the true number of open flows of every host.
+func (b *baseline) trueLeastLoaded(*rand.Rand) int {
 	best := 0
 	share := func(h int) float64 { return float64(b.sim.open[h]) / float64(b.sim.capacity[h]) }
-	for h := range b.sim.open {
-		if share(h) < share(best) {
-			best = h
+	for host := range b.sim.open {
+		if share(host) < share(best) {
+			best = host
 		}
 	}
 	return best
 }
 
-// PrintChoice compares all policies over delays and situations.
+// PrintChoice compares all policies by the age of load reports, in all situations.
 func PrintChoice(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, "SITUATION\tDELAY\tPOLICY\tMAX/MEAN\tCV\tWORST\tJOINER SHARE")
@@ -372,16 +378,16 @@
 	}{
 		{"equal hosts", func(*ChoiceOptions) {}},
 		{"uneven hosts", func(o *ChoiceOptions) { o.Uneven = true }},
-		{"a host joins empty", func(o *ChoiceOptions) { o.JoinEmpty = true }},
+		{"a host joins empty", func(o *ChoiceOptions) { o.AddEmptyHost = true }},
 	}
 	for _, sit := range situations {
 		for _, delay := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
-			for _, name := range Policies {
+			for _, name := range ChoicePolicies {
 				o := DefaultChoice()
-				o.Delay = delay
+				o.ReportAge = delay
 				sit.set(&o)
-				r := Choice(name, o)
-				fmt.Fprintf(tw, "%s\t%v\t%s\t%.3f\t%.4f\t%.3f\t%.2f\n", sit.name, delay, name, r.MaxOverMean, r.CV, r.Worst, r.JoinerShare)
+				r := RunChoice(name, o)
+				fmt.Fprintf(tw, "%s\t%v\t%s\t%.3f\t%.4f\t%.3f\t%.2f\n", sit.name, delay, name, r.MaxOverMean, r.CV, r.Worst, r.AddedHostShare)
 			}
 		}
 	}
--- a/measure/costs.go
+++ b/measure/costs.go
@@ -17,19 +17,19 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// The letter's sizes.
+// Size of the fleet that the system is designed for.
 const (
-	letterBalancers = 1700
-	letterHosts     = 15000
-	letterServices  = 890
-	letterZones     = 5
+	designBalancers = 1700
+	designHosts     = 15000
+	designServices  = 890
+	designZones     = 5
 )
 
 func dataAddr(kind directory.Kind, i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(kind), byte(i >> 8), byte(i)}), 4000)
 }
 
-func zoneOf(i int) string { return fmt.Sprintf("zone-%d", i%letterZones) }
+func zoneOf(i int) string { return fmt.Sprintf("zone-%d", i%designZones) }
 
 func balancerEntry(i int) directory.Entry {
 	return directory.Entry{
@@ -44,17 +44,17 @@
 		Kind: directory.KindHost, Name: fmt.Sprintf("host-%05d", i), Zone: zoneOf(i),
 		Data: dataAddr(directory.KindHost, i), Control: dataAddr(directory.KindHost, i),
 		Incarnation: 1, Sequence: seq, Status: directory.Alive,
-		Offers: []directory.Offer{{Service: route.ServiceID(i % letterServices), Slots: 5}},
+		Offers: []directory.Offer{{Service: route.ServiceID(i % designServices), Slots: 5}},
 	}
 }
 
 func filledDirectory(balancers, hosts int) *directory.Directory {
-	d := directory.New(directory.Defaults(), balancerEntry(0), choiceStart)
+	d := directory.New(directory.Defaults(), balancerEntry(0), simStart)
 	for i := range balancers {
-		d.Merge(choiceStart, []directory.Entry{balancerEntry(i)})
+		d.Merge(simStart, []directory.Entry{balancerEntry(i)})
 	}
 	for i := range hosts {
-		d.Merge(choiceStart, []directory.Entry{hostEntry(i, 1)})
+		d.Merge(simStart, []directory.Entry{hostEntry(i, 1)})
 	}
 	for len(d.PendingUpdates(nil)) > 0 {
 		continue
@@ -81,21 +81,21 @@
 	for i := range targets {
 		host := fmt.Sprintf("host-%05d", i)
 		add(catalog.Record{Key: catalog.TargetKey(host, ""), Change: "0b0e7a3c-0000-4000-8000-000000000000", Target: &catalog.Target{
-			Host: host, Labels: catalog.Labels{"service": fmt.Sprintf("service-%04d", i%letterServices)},
+			Host: host, Labels: catalog.Labels{"service": fmt.Sprintf("service-%04d", i%designServices)},
 		}})
 	}
 	u.Horizon = u.To
-	// A fresh state takes any update.
+	// Applying an update to an empty state does not fail.
 	_, _ = s.Apply(u)
 	return s
 }
 
-// heapOf returns the bytes of heap that make leaves behind.
+// heapOf returns the heap size in bytes of the value that build returns.
 func heapOf[T any](build func() T) int64 {
 	before := heapInUse()
-	kept := build()
+	value := build()
 	after := heapInUse()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return after - before
 }
 
@@ -107,31 +107,32 @@
 	return int64(m.HeapAlloc)
 }
 
-// PrintMemory shows the heap of directory and catalog over their size.
+// PrintMemory prints the heap size of the directory, the catalog and the
+// forwarding table by number of entries.
 func PrintMemory(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, "STATE\tENTRIES\tHEAP KB\tBYTES PER ENTRY")
-	for _, n := range []int{100, 1000, 5000, letterHosts} {
-		balancers := n * letterBalancers / letterHosts
+	for _, n := range []int{100, 1000, 5000, designHosts} {
+		balancers := n * designBalancers / designHosts
 		total := balancers + n
 		bytes := heapOf(func() *directory.Directory { return filledDirectory(balancers, n) })
 		fmt.Fprintf(tw, "directory\t%d\t%d\t%d\n", total, bytes/1024, bytes/int64(total))
 	}
-	for _, n := range []int{1000, 5000, letterHosts} {
-		services := n * letterServices / letterHosts
+	for _, n := range []int{1000, 5000, designHosts} {
+		services := n * designServices / designHosts
 		bytes := heapOf(func() *catalog.State { return filledCatalog(services, n) })
 		fmt.Fprintf(tw, "catalog\t%d\t%d\t%d\n", services+n, bytes/1024, bytes/int64(services+n))
 	}
-	for _, n := range []int{89, letterServices} {
-		hosts := n * letterHosts / letterServices
+	for _, n := range []int{89, designServices} {
+		hosts := n * designHosts / designServices
 		bytes := heapOf(func() *forward.Table { return filledTable(n, hosts) })
 		fmt.Fprintf(tw, "forwarding table, by services\t%d\t%d\t%d\n", n, bytes/1024, bytes/int64(n))
 	}
 	return tw.Flush()
 }
 
-// filledTable is a balancer's forwarding state: the hosts spread over the
-// services.
+// filledTable returns a balancer's forwarding table with the hosts distributed
+// over the services.
 func filledTable(services, hosts int) *forward.Table {
 	table := forward.NewTable(nil, nil, choose.Defaults(), zoneOf(0))
 	var specs []forward.Spec
@@ -144,17 +145,17 @@
 		for h := i; h < hosts; h += services {
 			list = append(list, choose.Host{Addr: dataAddr(directory.KindHost, h), Zone: zoneOf(h), Capacity: 5})
 		}
-		table.SetHosts(choiceStart, route.ServiceID(i+1), list)
+		table.SetHosts(simStart, route.ServiceID(i+1), list)
 	}
 	return table
 }
 
-// PrintOperations shows the processor time of what a balancer does for
-// control, over the size of the fleet.
+// PrintOperations prints the CPU time and the allocations of a balancer's control
+// operations by fleet size.
 func PrintOperations(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, "OPERATION\tBALANCERS\tHOSTS\tMICROSECONDS\tBYTES ALLOCATED")
-	for _, size := range []struct{ balancers, hosts int }{{17, 150}, {170, 1500}, {letterBalancers, letterHosts}} {
+	for _, size := range []struct{ balancers, hosts int }{{17, 150}, {170, 1500}, {designBalancers, designHosts}} {
 		for _, op := range operations(size.balancers, size.hosts) {
 			r := testing.Benchmark(op.run)
 			micros := float64(r.T.Nanoseconds()) / float64(r.N) / 1000
@@ -172,7 +173,7 @@
 func operations(balancers, hosts int) []operation {
 	d := filledDirectory(balancers, hosts)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	now := choiceStart
+	now := simStart
 	seq := uint32(1)
 	zone := zoneOf(1)
 	loop := func(f func(i int)) func(*testing.B) {
@@ -207,6 +208,6 @@
 				return len(r) > 0 && r[0].Data == d.Self().Data
 			})
 		})},
-		{"hosts of a service", loop(func(i int) { d.Hosts(route.ServiceID(i % letterServices)) })},
+		{"hosts of a service", loop(func(i int) { d.Hosts(route.ServiceID(i % designServices)) })},
 	}
 }
--- a/measure/doc.go
+++ b/measure/doc.go
@@ -1,6 +1,7 @@
-// Package measure runs the experiments that decide between policies: plain
-// loops over the pure modules with injected time, so that figures do not depend
-// on the machine, and cost measurements whose slopes docs/CAPACITY.md uses.
+// Package measure contains the simulations that compare policies and the cost
+// measurements that docs/CAPACITY.md extrapolates from. The simulations run the
+// modules that do no I/O on simulated time, so their results do not depend on
+// the machine.
 //
-// Every run is a subcommand of poppywall-measure.
+// Each simulation and measurement is a subcommand of poppywall-measure.
 package measure
--- a/measure/ejection.go
+++ b/measure/ejection.go
@@ -10,20 +10,20 @@
 	"github.com/poppywall/poppywall/outlier"
 )
 
-// Trace is a made-up history of requests at the targets of one host.
+// Trace describes simulated requests at the targets of one host.
 type Trace struct {
 	Name string
-	// PerSecond is the rate at each target.
-	PerSecond float64
-	// Base is the failure rate of healthy targets.
-	Base float64
-	// Bad is the failure rate of target 0 from a third of the run on; equal to
-	// Base when no target is bad.
-	Bad     float64
-	Targets int
+	// RequestsPerSecond is the request rate of each target.
+	RequestsPerSecond float64
+	// HealthyFailureRate is the share of requests that fail at a healthy target.
+	HealthyFailureRate float64
+	// FaultyFailureRate is the same for target 0 after the first third of the run.
+	// It equals HealthyFailureRate if no target is faulty.
+	FaultyFailureRate float64
+	Targets           int
 }
 
-// Traces are the histories that the judges are compared on.
+// Traces are the traces that the policies are compared on.
 var Traces = []Trace{
 	{"healthy, quiet", 2, 0.01, 0.01, 5},
 	{"healthy, busy", 50, 0.01, 0.01, 5},
@@ -40,12 +40,12 @@
 	{"all fail a little, alone", 22, 0.03, 0.03, 1},
 }
 
-// EjectionResult is how a judge did on a trace, over many seeds.
+// EjectionResult is the result of a policy on a trace over all seeds.
 type EjectionResult struct {
-	// FalsePerHour is ejections of healthy targets per target and hour.
+	// FalsePerHour is the number of ejections of healthy targets per target and hour.
 	FalsePerHour float64
-	// Detected is the share of runs in which the bad target was ejected, and
-	// MeanSeconds the mean time it took.
+	// Detected is the share of runs in which the faulty target was ejected, and
+	// MeanSeconds the mean time until then.
 	Detected, MeanSeconds float64
 }
 
@@ -54,10 +54,10 @@
 	ejectionRuns   = 60
 )
 
-// Judges are the candidates by name.
-var Judges = []struct {
-	Name  string
-	Judge outlier.Policy
+// EjectionPolicies are the compared policies.
+var EjectionPolicies = []struct {
+	Name   string
+	Policy outlier.Policy
 }{
 	{"threshold 50% of 5", outlier.Threshold{MinTrials: 5, Rate: 0.5}},
 	{"threshold 30% of 10", outlier.Threshold{MinTrials: 10, Rate: 0.3}},
@@ -65,20 +65,20 @@
 	{"binomial (in use)", outlier.DefaultPolicy()},
 }
 
-// Ejection runs a judge on a trace.
-func Ejection(judge outlier.Policy, tr Trace) EjectionResult {
+// RunEjection simulates a policy on a trace with ejectionRuns seeds.
+func RunEjection(policy outlier.Policy, trace Trace) EjectionResult {
 	var r EjectionResult
-	detected, seconds, falseOnes := 0, 0.0, 0
+	detected, seconds, falseEjections := 0, 0.0, 0
 	for seed := range ejectionRuns {
-		took, wrong := ejectionRun(judge, tr, uint64(seed))
-		falseOnes += wrong
-		if took >= 0 {
+		secondsToEject, runFalseEjections := simulateEjection(policy, trace, uint64(seed))
+		falseEjections += runFalseEjections
+		if secondsToEject >= 0 {
 			detected++
-			seconds += took
+			seconds += secondsToEject
 		}
 	}
-	hours := ejectionLength.Hours() * ejectionRuns * float64(tr.Targets)
-	r.FalsePerHour = float64(falseOnes) / hours
+	hours := ejectionLength.Hours() * ejectionRuns * float64(trace.Targets)
+	r.FalsePerHour = float64(falseEjections) / hours
 	r.Detected = float64(detected) / ejectionRuns
 	if detected > 0 {
 		r.MeanSeconds = seconds / float64(detected)
@@ -86,42 +86,42 @@
 	return r
 }
 
-// ejectionRun returns the seconds to eject the bad target, -1 for never, and
-// the number of healthy targets ejected.
-func ejectionRun(judge outlier.Policy, tr Trace, seed uint64) (float64, int) {
+// simulateEjection returns the seconds until the faulty target was ejected, or -1
+// if it was not, and the number of ejections of healthy targets.
+func simulateEjection(policy outlier.Policy, trace Trace, seed uint64) (float64, int) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
-	d := outlier.New(outlier.Defaults(), judge)
-	onset := choiceStart.Add(ejectionLength / 3)
-	now, took, wrong := choiceStart, -1.0, 0
-	for now.Before(choiceStart.Add(ejectionLength)) {
-		gap := rnd.ExpFloat64() / (tr.PerSecond * float64(tr.Targets))
+	d := outlier.New(outlier.Defaults(), policy)
+	onset := simStart.Add(ejectionLength / 3)
+	now, secondsToEject, falseEjections := simStart, -1.0, 0
+	for now.Before(simStart.Add(ejectionLength)) {
+		gap := rnd.ExpFloat64() / (trace.RequestsPerSecond * float64(trace.Targets))
 		now = now.Add(time.Duration(gap * float64(time.Second)))
-		t := rnd.IntN(tr.Targets)
-		bad := t == 0 && tr.Bad > tr.Base && !now.Before(onset)
-		rate := tr.Base
+		t := rnd.IntN(trace.Targets)
+		bad := t == 0 && trace.FaultyFailureRate > trace.HealthyFailureRate && !now.Before(onset)
+		rate := trace.HealthyFailureRate
 		if bad {
-			rate = tr.Bad
+			rate = trace.FaultyFailureRate
 		}
 		if d.Ejected(now, targetName(t)) || !d.Report(now, targetName(t), rnd.Float64() < rate) {
 			continue
 		}
 		switch {
 		case !bad:
-			wrong++
-		case took < 0:
-			took = now.Sub(onset).Seconds()
+			falseEjections++
+		case secondsToEject < 0:
+			secondsToEject = now.Sub(onset).Seconds()
 		}
 	}
-	return took, wrong
+	return secondsToEject, falseEjections
 }
 
-// PrintEjection compares the judges on all traces.
+// PrintEjection compares the policies on all traces.
 func PrintEjection(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, "TRACE\tJUDGE\tFALSE EJECTIONS PER TARGET AND HOUR\tDETECTED\tMEAN SECONDS TO EJECT")
 	for _, tr := range Traces {
-		for _, j := range Judges {
-			r := Ejection(j.Judge, tr)
+		for _, j := range EjectionPolicies {
+			r := RunEjection(j.Policy, tr)
 			fmt.Fprintf(tw, "%s\t%s\t%.2f\t%.2f\t%.2f\n", tr.Name, j.Name, r.FalsePerHour, r.Detected, r.MeanSeconds)
 		}
 	}
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -26,39 +26,41 @@
 	"github.com/poppywall/poppywall/trial"
 )
 
-// FleetResult is what control cost one balancer in a fleet of real balancers
-// on this machine, at the default periods.
+// FleetResult is the cost of control traffic at a balancer in a fleet of real
+// balancers on this machine, with the default intervals.
 type FleetResult struct {
 	Balancers, Hosts int
-	// QuietBytes and BusyBytes are bytes a second of control traffic, sent and
-	// received, at one balancer; busy with the changes of fleetChanges.
-	QuietBytes, BusyBytes float64
-	// CPU is the share of a core for one balancer, drivers included.
-	CPU float64
-	// Calls is platform calls a second of the whole fleet.
-	Calls float64
-	// Settle is how long the whole fleet took from a cold start until every
-	// balancer knew every host.
-	Settle time.Duration
-	// Change, Death are how long a change and a host's death took to be in
-	// force at every balancer.
-	Change, Death time.Duration
+	// IdleBytesPerSecond and BusyBytesPerSecond are the control traffic of one
+	// balancer, sent and received, without changes and with hostChanges and
+	// configChanges a second.
+	IdleBytesPerSecond, BusyBytesPerSecond float64
+	// CPUShare is the share of a core that one balancer uses, with its part of the
+	// simulated hosts and of the store.
+	CPUShare float64
+	// PlatformCallsPerSecond is the rate of platform calls of the whole fleet.
+	PlatformCallsPerSecond float64
+	// ColdStart is the time from a cold start until every balancer knew every host.
+	ColdStart time.Duration
+	// ConfigChange is the time until a configuration change was in force at every
+	// balancer, HostFailure the time until every balancer had removed a host that
+	// stopped.
+	ConfigChange, HostFailure time.Duration
 }
 
 const (
-	// fleetSettle lets the changes of the cold start die down.
-	fleetSettle  = 20 * time.Second
-	fleetQuiet   = 8 * time.Second
-	fleetBusy    = 8 * time.Second
-	fleetTimeout = 120 * time.Second
-	// hostsPerNode is 15,000 hosts over 1,700 balancers.
-	hostsPerNode = 9
-	// hostChanges and configChanges are the changes a second while busy.
+	// fleetSettleTime is the wait after a cold start for its changes to propagate.
+	fleetSettleTime = 20 * time.Second
+	fleetIdleLength = 8 * time.Second
+	fleetBusyLength = 8 * time.Second
+	fleetTimeout    = 120 * time.Second
+	// hostsPerBalancer is the ratio of 15,000 hosts to 1,700 balancers.
+	hostsPerBalancer = 9
+	// hostChanges and configChanges are the changes per second while busy.
 	hostChanges   = 10
 	configChanges = 2
 )
 
-// fleet is a running set of balancers with fake hosts.
+// fleet is a set of real balancers with simulated hosts.
 type fleet struct {
 	ctx      context.Context
 	store    *standin.Store
@@ -69,50 +71,50 @@
 	applier  *change.Applier
 	wg       conc.WaitGroup
 	traffic  control.Traffic
-	stopAll  context.CancelFunc
+	cancel   context.CancelFunc
 	revision catalog.Revision
 }
 
-// fakeHost sends the heartbeats of an agent.
+// fakeHost sends heartbeats as an agent does.
 type fakeHost struct {
-	entry      directory.Entry
-	registrars []directory.Entry
-	told       map[netip.AddrPort]uint32
-	period     time.Duration
-	asked      map[netip.AddrPort]time.Duration
-	dead       atomic.Bool
-	change     chan struct{}
+	entry            directory.Entry
+	registrars       []directory.Entry
+	acknowledged     map[netip.AddrPort]uint32
+	period           time.Duration
+	requestedPeriods map[netip.AddrPort]time.Duration
+	stopped          atomic.Bool
+	changes          chan struct{}
 }
 
-// Fleet measures one size.
-func Fleet(ctx context.Context, balancers int) (FleetResult, error) {
-	began := time.Now()
+// RunFleet measures a fleet of the given number of balancers.
+func RunFleet(ctx context.Context, balancers int) (FleetResult, error) {
+	startedAt := time.Now()
 	f, err := startFleet(ctx, balancers)
 	if err != nil {
 		return FleetResult{}, err
 	}
 	defer f.stop()
 	r := FleetResult{Balancers: balancers, Hosts: len(f.hosts)}
-	if err := f.waitHosts(len(f.hosts)); err != nil {
+	if err := f.waitForHosts(len(f.hosts)); err != nil {
 		return r, err
 	}
-	r.Settle = time.Since(began)
-	time.Sleep(fleetSettle)
+	r.ColdStart = time.Since(startedAt)
+	time.Sleep(fleetSettleTime)
 	calls, cpu := f.store.Calls(), cpuTime()
-	r.QuietBytes = f.bytesPerSecond(fleetQuiet, func() {})
-	r.Calls = float64(f.store.Calls()-calls) / fleetQuiet.Seconds()
-	r.CPU = (cpuTime() - cpu).Seconds() / fleetQuiet.Seconds() / float64(balancers)
-	r.BusyBytes = f.bytesPerSecond(fleetBusy, f.beBusy)
-	if r.Change, err = f.measureChange(); err != nil {
+	r.IdleBytesPerSecond = f.bytesPerSecond(fleetIdleLength, func() {})
+	r.PlatformCallsPerSecond = float64(f.store.Calls()-calls) / fleetIdleLength.Seconds()
+	r.CPUShare = (cpuTime() - cpu).Seconds() / fleetIdleLength.Seconds() / float64(balancers)
+	r.BusyBytesPerSecond = f.bytesPerSecond(fleetBusyLength, f.generateChanges)
+	if r.ConfigChange, err = f.measureConfigChange(); err != nil {
 		return r, err
 	}
-	r.Death, err = f.measureDeath()
+	r.HostFailure, err = f.measureHostFailure()
 	return r, err
 }
 
 func startFleet(ctx context.Context, balancers int) (*fleet, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	f := &fleet{ctx: ctx, stopAll: cancel}
+	f := &fleet{ctx: ctx, cancel: cancel}
 	site := trial.Site{Zones: []string{"zone-0", "zone-1", "zone-2"}, Balancers: balancers, Services: nil}
 	cluster, err := trial.StartBare(ctx, site, zap.NewNop(), settings.Duration(time.Second))
 	if err != nil {
@@ -129,20 +131,20 @@
 	if err := f.configure(); err != nil {
 		return nil, err
 	}
-	for i := range balancers * hostsPerNode {
+	for i := range balancers * hostsPerBalancer {
 		f.startHost(i)
 	}
 	return f, nil
 }
 
 func (f *fleet) stop() {
-	f.stopAll()
+	f.cancel()
 	f.wg.Wait()
 	f.client.Close()
 	f.cluster.Close()
 }
 
-// configure makes one service, whose hosts the balancers then report.
+// configure adds the service of the simulated hosts. waitForHosts counts its slots.
 func (f *fleet) configure() error {
 	res := f.applier.Apply(f.ctx, change.Document{Items: []change.Item{{Service: &catalog.Service{
 		Name: "fleet", Address: "127.0.0.1:9", Selector: catalog.Labels{"service": "fleet"},
@@ -155,69 +157,72 @@
 }
 
 func (f *fleet) startHost(i int) {
-	h := &fakeHost{entry: hostEntry(i, 1), told: map[netip.AddrPort]uint32{}, asked: map[netip.AddrPort]time.Duration{}, period: time.Second, change: make(chan struct{}, 1)}
-	h.entry.Zone = f.cluster.Site.Zones[i%3]
-	h.entry.Offers = []directory.Offer{{Service: route.ServiceID(1), Slots: 1}}
+	host := &fakeHost{entry: hostEntry(i, 1), acknowledged: map[netip.AddrPort]uint32{}, requestedPeriods: map[netip.AddrPort]time.Duration{}, period: time.Second, changes: make(chan struct{}, 1)}
+	host.entry.Zone = f.cluster.Site.Zones[i%3]
+	host.entry.Offers = []directory.Offer{{Service: route.ServiceID(1), Slots: 1}}
 	seed := f.nodes[i%len(f.nodes)].Balancer.ControlAddr()
-	h.registrars = []directory.Entry{{Control: seed, Data: seed}}
-	f.hosts = append(f.hosts, h)
-	f.wg.Go(func() { f.runHost(h) })
+	host.registrars = []directory.Entry{{Control: seed, Data: seed}}
+	f.hosts = append(f.hosts, host)
+	f.wg.Go(func() { f.runHost(host) })
 }
 
-// runHost announces a host as agent.announceLoop does.
+// runHost announces a host as the agent's heartbeat loop does.
 func (f *fleet) runHost(h *fakeHost) {
-	for f.ctx.Err() == nil && !h.dead.Load() {
-		again, stated := false, h.period
+	for f.ctx.Err() == nil && !h.stopped.Load() {
+		sendNow, period := false, h.period
 		for _, peer := range slices.Clone(h.registrars) {
-			again = f.heartbeat(h, peer) || again
+			sendNow = f.heartbeat(h, peer) || sendNow
 		}
-		wait := stated
-		if again {
+		wait := period
+		if sendNow {
 			wait = 0
 		}
 		select {
 		case <-f.ctx.Done():
-		case <-h.change:
+		case <-h.changes:
 			h.entry.Sequence++
 		case <-time.After(wait):
 		}
 	}
 }
 
-func (f *fleet) heartbeat(h *fakeHost, peer directory.Entry) (again bool) {
+// heartbeat sends a heartbeat to a registrar. It reports whether the next one has to
+// be sent at once.
+func (f *fleet) heartbeat(h *fakeHost, peer directory.Entry) (sendNow bool) {
 	req := control.HeartbeatRequest{
 		Data: h.entry.Data, Incarnation: h.entry.Incarnation, Sequence: h.entry.Sequence,
 		Host: h.entry.Name, Zone: h.entry.Zone, Revision: f.revision,
 		Registrars: control.RegistrarHash(h.registrars), PeriodMillis: h.period.Milliseconds(),
 	}
-	if h.told[peer.Data] != h.entry.Sequence {
+	if h.acknowledged[peer.Data] != h.entry.Sequence {
 		req.Entry = &h.entry
 	}
 	var reply control.HeartbeatReply
 	if err := f.client.Call(f.ctx, peer.Control.String(), control.MethodHeartbeat, req, &reply); err != nil {
 		return false
 	}
-	h.told[peer.Data] = req.Sequence
+	h.acknowledged[peer.Data] = req.Sequence
 	if reply.Sequence > 0 {
 		h.entry.Sequence = reply.Sequence + 1
-		again = true
+		sendNow = true
 	}
 	if reply.NeedEntry {
-		delete(h.told, peer.Data)
-		again = true
+		delete(h.acknowledged, peer.Data)
+		sendNow = true
 	}
 	if len(reply.Registrars) > 0 {
 		f.changeRegistrars(h, reply.Registrars)
-		again = true
+		sendNow = true
 	}
 	if reply.PeriodMillis > 0 {
-		h.asked[peer.Data] = time.Duration(reply.PeriodMillis) * time.Millisecond
-		h.period = longest(h.asked, h.registrars)
+		h.requestedPeriods[peer.Data] = time.Duration(reply.PeriodMillis) * time.Millisecond
+		h.period = longestPeriod(h.requestedPeriods, h.registrars)
 	}
-	return again
+	return sendNow
 }
 
-// changeRegistrars says farewell to those that are left.
+// changeRegistrars replaces a host's registrars and sends a final heartbeat to
+// each one that is no longer used.
 func (f *fleet) changeRegistrars(h *fakeHost, list []directory.Entry) {
 	for _, old := range h.registrars {
 		if slices.ContainsFunc(list, func(e directory.Entry) bool { return e.Control == old.Control }) {
@@ -232,7 +237,7 @@
 	h.registrars = list
 }
 
-func longest(asked map[netip.AddrPort]time.Duration, registrars []directory.Entry) time.Duration {
+func longestPeriod(asked map[netip.AddrPort]time.Duration, registrars []directory.Entry) time.Duration {
 	period := time.Second
 	for _, r := range registrars {
 		period = max(period, asked[r.Data])
@@ -240,7 +245,7 @@
 	return period
 }
 
-func (f *fleet) waitHosts(n int) error {
+func (f *fleet) waitForHosts(n int) error {
 	return waitUntil(func() bool {
 		for _, node := range f.nodes {
 			if node.Balancer.Slots()["fleet"] != n {
@@ -260,16 +265,17 @@
 	return errors.Errorf("not settled within %v", fleetTimeout)
 }
 
-// bytesPerSecond is the control traffic of one balancer while work runs.
+// bytesPerSecond runs work and returns the control traffic of one balancer over
+// the given length.
 func (f *fleet) bytesPerSecond(length time.Duration, work func()) float64 {
-	before := f.bytes()
+	before := f.controlBytes()
 	start := time.Now()
 	work()
 	time.Sleep(length - time.Since(start))
-	return float64(f.bytes()-before) / time.Since(start).Seconds() / float64(len(f.nodes))
+	return float64(f.controlBytes()-before) / time.Since(start).Seconds() / float64(len(f.nodes))
 }
 
-func (f *fleet) bytes() int64 {
+func (f *fleet) controlBytes() int64 {
 	sum := int64(0)
 	for _, n := range f.nodes {
 		sent, received := n.Balancer.ControlTraffic()
@@ -278,14 +284,14 @@
 	return sum
 }
 
-// beBusy makes changes of hosts and configuration at fixed rates.
-func (f *fleet) beBusy() {
+// generateChanges changes hosts and configuration at fixed rates.
+func (f *fleet) generateChanges() {
 	tick := time.NewTicker(time.Second / hostChanges)
 	defer tick.Stop()
-	for i := range int(fleetBusy.Seconds()) * hostChanges {
+	for i := range int(fleetBusyLength.Seconds()) * hostChanges {
 		<-tick.C
 		select {
-		case f.hosts[i%len(f.hosts)].change <- struct{}{}:
+		case f.hosts[i%len(f.hosts)].changes <- struct{}{}:
 		default:
 		}
 		if i%(hostChanges/configChanges) == 0 {
@@ -294,7 +300,7 @@
 	}
 }
 
-func (f *fleet) measureChange() (time.Duration, error) {
+func (f *fleet) measureConfigChange() (time.Duration, error) {
 	start := time.Now()
 	res := f.cluster.Drain("nobody", true)
 	err := waitUntil(func() bool {
@@ -303,14 +309,14 @@
 	return time.Since(start), err
 }
 
-func (f *fleet) measureDeath() (time.Duration, error) {
+func (f *fleet) measureHostFailure() (time.Duration, error) {
 	start := time.Now()
-	f.hosts[0].dead.Store(true)
-	err := f.waitHosts(len(f.hosts) - 1)
+	f.hosts[0].stopped.Store(true)
+	err := f.waitForHosts(len(f.hosts) - 1)
 	return time.Since(start), err
 }
 
-// cpuTime is the processor time of this process so far.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -319,20 +325,21 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// FleetSizes are the balancers of the runs.
+// FleetSizes are the numbers of balancers that PrintFleet measures.
 var FleetSizes = []int{3, 10, 30, 100}
 
-// PrintFleet shows the cost of control and the time to agree over the fleet.
+// PrintFleet prints the cost of control traffic and the convergence times by fleet
+// size.
 func PrintFleet(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 11, 4, 2, ' ', 0)
 	fmt.Fprintf(tw, "BALANCERS\tHOSTS\tCOLD START\tQUIET B/S\tBUSY B/S (%d+%d CHANGES/S)\tCPU SHARE\tPLATFORM CALLS/S\tCHANGE IN FORCE\tDEATH KNOWN\n", hostChanges, configChanges)
 	for _, n := range FleetSizes {
-		r, err := Fleet(context.Background(), n)
+		r, err := RunFleet(context.Background(), n)
 		if err != nil {
 			return errors.Wrapf(err, "%d balancers", n)
 		}
-		fmt.Fprintf(tw, "%d\t%d\t%v\t%.0f\t%.0f\t%.2f%%\t%.1f\t%v\t%v\n", r.Balancers, r.Hosts, r.Settle.Round(100*time.Millisecond), r.QuietBytes, r.BusyBytes, 100*r.CPU,
-			r.Calls, r.Change.Round(10*time.Millisecond), r.Death.Round(10*time.Millisecond))
+		fmt.Fprintf(tw, "%d\t%d\t%v\t%.0f\t%.0f\t%.2f%%\t%.1f\t%v\t%v\n", r.Balancers, r.Hosts, r.ColdStart.Round(100*time.Millisecond), r.IdleBytesPerSecond, r.BusyBytesPerSecond, 100*r.CPUShare,
+			r.PlatformCallsPerSecond, r.ConfigChange.Round(10*time.Millisecond), r.HostFailure.Round(10*time.Millisecond))
 		if err := tw.Flush(); err != nil {
 			return err
 		}
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -12,68 +12,69 @@
 	"github.com/poppywall/poppywall/admission"
 )
 
-// WorkspaceLoad is what one workspace offers.
+// WorkspaceLoad is the load that one workspace offers.
 type WorkspaceLoad struct {
 	Name   string
 	Weight int
 	// PerSecond is the rate of first attempts.
 	PerSecond float64
-	// Work is the time a request needs on a free slot.
+	// Work is the service time of a request in a slot of its own.
 	Work time.Duration
 }
 
-// OverloadOptions describe one run of admission under load.
+// OverloadOptions are the options of one simulation of admission control.
 type OverloadOptions struct {
 	Workspaces []WorkspaceLoad
 	Targets    int
-	// Slots is how many requests a target really serves at once; more slow
-	// each other down, with Overhead extra per surplus request and slot.
+	// Slots is the number of requests that a target serves at full speed at the
+	// same time. With more, all get an equal share of the slots, and the total
+	// rate falls by the factor 1 + Overhead * (requests - Slots) / Slots.
 	Slots    int
 	Overhead float64
-	// Limit is the configured bound of requests at a target.
-	Limit int
-	// Patience is the callers' deadline.
-	Patience time.Duration
-	// Retries is how often a refused caller comes back; Obedient ones wait as
-	// long as they were told, others not at all.
-	Retries  int
-	Obedient bool
-	Length   time.Duration
-	Seed     uint64
-	// Gate switches admission off when false: every request goes to the least
-	// busy target at once, for comparison.
-	Gate bool
+	// MaxRequests is the configured limit of concurrent requests at a target.
+	MaxRequests int
+	// Timeout is the time from a request's arrival to its caller's deadline.
+	Timeout time.Duration
+	// Retries is how often a refused request is retried: after the refusal's
+	// RetryAfter if HonorRetryAfter is set, otherwise after 1 ms.
+	Retries         int
+	HonorRetryAfter bool
+	Length          time.Duration
+	Seed            uint64
+	// Admission enables admission control. Without it each request is sent to the
+	// target with the fewest requests at once, for comparison.
+	Admission bool
 }
 
-// DefaultOverload is a service of 2 targets with 5 slots and 10 ms of work:
-// 1,000 requests a second at the most.
+// DefaultOverload returns the options of a service with 2 targets of 5 slots. With
+// 10 ms of work per request its capacity is 1,000 requests per second.
 func DefaultOverload() OverloadOptions {
 	return OverloadOptions{
-		Targets:  2,
-		Slots:    5,
-		Overhead: 0.05,
-		Limit:    80,
-		Patience: time.Second,
-		Length:   20 * time.Second,
-		Seed:     1,
-		Gate:     true,
+		Targets:     2,
+		Slots:       5,
+		Overhead:    0.05,
+		MaxRequests: 80,
+		Timeout:     time.Second,
+		Length:      20 * time.Second,
+		Seed:        1,
+		Admission:   true,
 	}
 }
 
-// OverloadResult is what became of the requests.
+// OverloadResult holds the rates of requests by outcome.
 type OverloadResult struct {
-	// Goodput is the requests a second that ended within the callers'
-	// patience, by workspace and in all.
-	Goodput map[string]float64
-	Total   float64
-	Refused float64
-	Late    float64
+	// Goodput is the rate of requests that were completed within Timeout by
+	// workspace, TotalGoodput that of all workspaces.
+	Goodput          map[string]float64
+	TotalGoodput     float64
+	RefusedPerSecond float64
+	LatePerSecond    float64
 	// SlowestRefusal is the longest time from an attempt to its refusal.
 	SlowestRefusal time.Duration
 }
 
-// Overload runs one load.
-func Overload(o OverloadOptions) OverloadResult {
+// RunOverload simulates one load.
+func RunOverload(o OverloadOptions) OverloadResult {
 	s := newOverloadSim(o)
 	s.run()
 	return s.result()
@@ -122,38 +123,38 @@
 }
 
 type overloadSim struct {
-	o       OverloadOptions
-	rnd     *rand.Rand
-	ctrl    *admission.Controller
-	events  eventQueue
-	seq     int
-	now     time.Time
-	waiting map[admission.Ticket]*job
-	servers []server
-	good    map[string]float64
-	refused float64
-	late    float64
-	slowest time.Duration
+	opts            OverloadOptions
+	rnd             *rand.Rand
+	controller      *admission.Controller
+	events          eventQueue
+	seq             int
+	now             time.Time
+	queued          map[admission.Ticket]*job
+	servers         []server
+	completedInTime map[string]float64
+	refused         float64
+	late            float64
+	slowestRefusal  time.Duration
 }
 
 func newOverloadSim(o OverloadOptions) *overloadSim {
 	s := &overloadSim{
-		o:       o,
-		rnd:     rand.New(rand.NewPCG(o.Seed, 3)),
-		now:     choiceStart,
-		waiting: map[admission.Ticket]*job{},
-		good:    map[string]float64{},
+		opts:            o,
+		rnd:             rand.New(rand.NewPCG(o.Seed, 3)),
+		now:             simStart,
+		queued:          map[admission.Ticket]*job{},
+		completedInTime: map[string]float64{},
 	}
-	s.ctrl = admission.New(admission.Defaults(), s.rnd)
+	s.controller = admission.New(admission.Defaults(), s.rnd)
 	var names []string
 	for i := range o.Targets {
 		name := targetName(i)
 		names = append(names, name)
-		spec := admission.TargetSpec{Slots: o.Slots, Requests: o.Limit, Streams: 1, Ready: true}
-		s.ctrl.SetTarget(s.now, name, spec)
+		spec := admission.TargetSpec{Slots: o.Slots, Requests: o.MaxRequests, Streams: 1, Ready: true}
+		s.controller.SetTarget(s.now, name, spec)
 		s.servers = append(s.servers, server{})
 	}
-	s.ctrl.SetService(s.now, overloadService, names)
+	s.controller.SetService(s.now, overloadService, names)
 	for i := range o.Workspaces {
 		s.push(event{at: s.nextArrival(i), kind: eventArrive, workspace: i})
 	}
@@ -170,38 +171,39 @@
 }
 
 func (s *overloadSim) nextArrival(workspace int) time.Time {
-	gap := s.rnd.ExpFloat64() / s.o.Workspaces[workspace].PerSecond
+	gap := s.rnd.ExpFloat64() / s.opts.Workspaces[workspace].PerSecond
 	return s.now.Add(time.Duration(gap * float64(time.Second)))
 }
 
 func (s *overloadSim) run() {
-	end := choiceStart.Add(s.o.Length)
+	end := simStart.Add(s.opts.Length)
 	for s.now.Before(end) {
 		next := s.events[0].at
 		if at, ok := s.nextCompletion(); ok && at.Before(next) {
 			s.advance(at)
-			s.complete()
+			s.completeJobs()
 			continue
 		}
 		s.advance(next)
-		s.handle(heap.Pop(&s.events).(event))
+		s.handleEvent(heap.Pop(&s.events).(event))
 	}
 }
 
-// rate is the speed of each request at a target with n of them.
-func (s *overloadSim) rate(n int) float64 {
-	if n <= s.o.Slots {
+// requestSpeed returns the speed at which each of n requests at a target
+// progresses, relative to a request in a slot of its own.
+func (s *overloadSim) requestSpeed(n int) float64 {
+	if n <= s.opts.Slots {
 		return 1
 	}
-	surplus := float64(n-s.o.Slots) / float64(s.o.Slots)
-	return float64(s.o.Slots) / float64(n) / (1 + s.o.Overhead*surplus)
+	surplus := float64(n-s.opts.Slots) / float64(s.opts.Slots)
+	return float64(s.opts.Slots) / float64(n) / (1 + s.opts.Overhead*surplus)
 }
 
 func (s *overloadSim) nextCompletion() (time.Time, bool) {
 	soonest := math.Inf(1)
 	for i := range s.servers {
 		if sv := &s.servers[i]; len(sv.jobs) > 0 {
-			soonest = min(soonest, (sv.jobs[0].finish-sv.virtual)/s.rate(len(sv.jobs)))
+			soonest = min(soonest, (sv.jobs[0].virtualFinish-sv.virtualTime)/s.requestSpeed(len(sv.jobs)))
 		}
 	}
 	if math.IsInf(soonest, 1) {
@@ -210,69 +212,70 @@
 	return s.now.Add(time.Duration(max(soonest, 0)*float64(time.Second)) + 1), true
 }
 
-// advance moves time and lets the targets work.
+// advance moves the simulated time forward, and with it the virtual time of each
+// server.
 func (s *overloadSim) advance(to time.Time) {
 	dt := to.Sub(s.now).Seconds()
 	for i := range s.servers {
 		sv := &s.servers[i]
-		sv.virtual += dt * s.rate(len(sv.jobs))
+		sv.virtualTime += dt * s.requestSpeed(len(sv.jobs))
 	}
 	s.now = to
 }
 
-func (s *overloadSim) complete() {
+func (s *overloadSim) completeJobs() {
 	for i := range s.servers {
 		sv := &s.servers[i]
-		for len(sv.jobs) > 0 && sv.jobs[0].finish <= sv.virtual {
+		for len(sv.jobs) > 0 && sv.jobs[0].virtualFinish <= sv.virtualTime {
 			j := heap.Pop(&sv.jobs).(*job)
-			s.count(j)
-			if s.o.Gate {
+			s.recordCompletion(j)
+			if s.opts.Admission {
 				res := admission.Result{Outcome: admission.Succeeded, Comparable: true}
-				s.take(s.ctrl.Done(s.now, j.ticket, res))
+				s.applyDecisions(s.controller.Done(s.now, j.ticket, res))
 			}
 		}
 	}
 }
 
-func (s *overloadSim) count(j *job) {
-	if s.now.Sub(j.since) > s.o.Patience {
+func (s *overloadSim) recordCompletion(j *job) {
+	if s.now.Sub(j.arrivedAt) > s.opts.Timeout {
 		s.late++
 		return
 	}
-	s.good[s.o.Workspaces[j.workspace].Name]++
+	s.completedInTime[s.opts.Workspaces[j.workspace].Name]++
 }
 
-func (s *overloadSim) handle(e event) {
+func (s *overloadSim) handleEvent(e event) {
 	switch e.kind {
 	case eventExpire:
-		s.take(s.ctrl.Expire(s.now))
+		s.applyDecisions(s.controller.Expire(s.now))
 		s.push(event{at: s.now.Add(expireEvery), kind: eventExpire})
 	case eventArrive:
 		if e.attempt == 0 {
 			s.push(event{at: s.nextArrival(e.workspace), kind: eventArrive, workspace: e.workspace})
 		}
-		s.arrive(e)
+		s.handleArrival(e)
 	}
 }
 
-func (s *overloadSim) arrive(e event) {
-	m := s.o.Workspaces[e.workspace]
-	j := &job{workspace: e.workspace, attempt: e.attempt, since: s.now, work: m.Work}
-	if !s.o.Gate {
+func (s *overloadSim) handleArrival(e event) {
+	workspace := s.opts.Workspaces[e.workspace]
+	j := &job{workspace: e.workspace, attempt: e.attempt, arrivedAt: s.now, work: workspace.Work}
+	if !s.opts.Admission {
 		s.seq++
 		j.ticket = admission.Ticket(s.seq)
 		s.servers[s.leastBusy()].add(j)
 		return
 	}
-	decisions := s.ctrl.Offer(s.now, admission.Offer{
+	decisions := s.controller.Offer(s.now, admission.Offer{
 		Service:   overloadService,
-		Workspace: m.Name,
-		Weight:    m.Weight,
-		Deadline:  s.now.Add(s.o.Patience),
+		Workspace: workspace.Name,
+		Weight:    workspace.Weight,
+		Deadline:  s.now.Add(s.opts.Timeout),
 	})
 	j.ticket = decisions[0].Ticket
-	s.waiting[j.ticket] = j
-	s.take(decisions)
+	s.queued[j.ticket] = j
+	s.applyDecisions(decisions)
 }
 
 func (s *overloadSim) leastBusy() int {
@@ -285,15 +288,15 @@
 	return best
 }
 
-func (s *overloadSim) take(decisions []admission.Decision) {
+func (s *overloadSim) applyDecisions(decisions []admission.Decision) {
 	for _, d := range decisions {
-		j, ok := s.waiting[d.Ticket]
+		j, ok := s.queued[d.Ticket]
 		if !ok || d.Action == admission.Wait {
 			continue
 		}
-		delete(s.waiting, d.Ticket)
+		delete(s.queued, d.Ticket)
 		if d.Action == admission.Refuse {
-			s.refuse(j, d)
+			s.handleRefusal(j, d)
 			continue
 		}
 		for i := range s.servers {
@@ -304,67 +307,68 @@
 	}
 }
 
-func (s *overloadSim) refuse(j *job, d admission.Decision) {
+func (s *overloadSim) handleRefusal(j *job, d admission.Decision) {
 	s.refused++
-	s.slowest = max(s.slowest, s.now.Sub(j.since))
-	if j.attempt >= s.o.Retries {
+	s.slowestRefusal = max(s.slowestRefusal, s.now.Sub(j.arrivedAt))
+	if j.attempt >= s.opts.Retries {
 		return
 	}
 	at := s.now.Add(time.Millisecond)
-	if s.o.Obedient {
+	if s.opts.HonorRetryAfter {
 		at = s.now.Add(d.RetryAfter)
 	}
 	s.push(event{at: at, kind: eventArrive, workspace: j.workspace, attempt: j.attempt + 1})
 }
 
 func (s *overloadSim) result() OverloadResult {
-	length := s.o.Length.Seconds()
-	r := OverloadResult{Goodput: map[string]float64{}, Refused: s.refused / length, Late: s.late / length, SlowestRefusal: s.slowest}
-	for m, n := range s.good {
+	length := s.opts.Length.Seconds()
+	r := OverloadResult{Goodput: map[string]float64{}, RefusedPerSecond: s.refused / length, LatePerSecond: s.late / length, SlowestRefusal: s.slowestRefusal}
+	for m, n := range s.completedInTime {
 		r.Goodput[m] = n / length
-		r.Total += n / length
+		r.TotalGoodput += n / length
 	}
 	return r
 }
 
-// MaxMin returns the weighted max-min fair shares of a capacity: the oracle of
-// fairness.
-func MaxMin(capacity float64, offered []float64, weights []int) []float64 {
+// MaxMinShares returns the weighted max-min fair shares of a capacity, the reference
+// for the fairness of admission.
+func MaxMinShares(capacity float64, offered []float64, weights []int) []float64 {
 	share := make([]float64, len(offered))
-	open := make([]bool, len(offered))
-	for i := range open {
-		open[i] = true
+	unsatisfied := make([]bool, len(offered))
+	for i := range unsatisfied {
+		unsatisfied[i] = true
 	}
-	for left := capacity; left > 1e-9; {
-		sum := 0
+	for remaining := capacity; remaining > 1e-9; {
+		totalWeight := 0
 		for i, w := range weights {
-			if open[i] {
-				sum += w
+			if unsatisfied[i] {
+				totalWeight += w
 			}
 		}
-		if sum == 0 {
+		if totalWeight == 0 {
 			break
 		}
-		given := 0.0
-		unit := left / float64(sum)
+		assigned := 0.0
+		perWeight := remaining / float64(totalWeight)
 		for i, w := range weights {
-			if !open[i] {
+			if !unsatisfied[i] {
 				continue
 			}
-			g := min(unit*float64(w), offered[i]-share[i])
+			g := min(perWeight*float64(w), offered[i]-share[i])
 			share[i] += g
-			given += g
-			open[i] = offered[i]-share[i] > 1e-9
+			assigned += g
+			unsatisfied[i] = offered[i]-share[i] > 1e-9
 		}
-		left -= given
-		if given < 1e-9 {
+		remaining -= assigned
+		if assigned < 1e-9 {
 			break
 		}
 	}
 	return share
 }
 
-// EqualWorkspaces returns workspaces of equal weight that offer a total rate.
+// EqualWorkspaces returns n workspaces of weight 1 that offer the total rate in
+// equal parts.
 func EqualWorkspaces(n int, total float64) []WorkspaceLoad {
 	var out []WorkspaceLoad
 	for i := range n {
@@ -376,8 +380,8 @@
 	return out
 }
 
-// PrintOverload compares goodput with and without admission under rising load
-// and retries.
+// PrintOverload compares goodput with and without admission control under rising
+// load and retries.
 func PrintOverload(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, "LOAD\tRETRIES\tADMISSION\tGOODPUT/S\tREFUSED/S\tLATE/S\tSLOWEST REFUSAL")
@@ -385,9 +389,9 @@
 		for _, retries := range []int{0, 3} {
 			for _, gate := range []bool{true, false} {
 				o := DefaultOverload()
-				o.Workspaces, o.Retries, o.Gate = EqualWorkspaces(4, 950*x), retries, gate
-				r := Overload(o)
-				fmt.Fprintf(tw, "%gx\t%d\t%v\t%.0f\t%.0f\t%.0f\t%v\n", x, retries, gate, r.Total, r.Refused, r.Late, r.SlowestRefusal.Round(time.Millisecond))
+				o.Workspaces, o.Retries, o.Admission = EqualWorkspaces(4, 950*x), retries, gate
+				r := RunOverload(o)
+				fmt.Fprintf(tw, "%gx\t%d\t%v\t%.0f\t%.0f\t%.0f\t%v\n", x, retries, gate, r.TotalGoodput, r.RefusedPerSecond, r.LatePerSecond, r.SlowestRefusal.Round(time.Millisecond))
 			}
 		}
 	}
--- a/measure/packetbench.go
+++ b/measure/packetbench.go
@@ -32,11 +32,12 @@
 	packetMetrics  = 22024
 )
 
-// benchFront is the entrance of the measured service.
+// benchFront is the address of the measured service.
 var benchFront = flow.Front{IP: 0xc6120001, Port: 443}
 
-// PrintPackets compares the packet front's packets a second with those of a bare
-// relay of the same socket calls, in turns within one run.
+// PrintPackets compares the packet rate of the packet front with that of a bare
+// relay that makes the same socket calls. Rounds of the two alternate within one
+// run.
 func PrintPackets(w io.Writer) error {
 	agent, err := newPacketSink()
 	if err != nil {
@@ -48,28 +49,29 @@
 		return err
 	}
 	defer stop()
-	bare, err := startBareDatagrams(agent.socket.Addr())
+	bare, err := startBareForwarder(agent.socket.Addr())
 	if err != nil {
 		return err
 	}
 	defer bare.stop()
-	data := at(packetBalancer, packetData)
+	data := addrPort(packetBalancer, packetData)
 	payload := benchPacket(false)
 	sums := [2]float64{}
 	for range relayRounds {
-		sums[0] += rate(&agent.count, bare.socket.Addr(), payload)
-		sums[1] += rate(&agent.count, data, payload)
+		sums[0] += measureRate(&agent.count, bare.socket.Addr(), payload)
+		sums[1] += measureRate(&agent.count, data, payload)
 	}
 	_, err = fmt.Fprintf(w, "bare relay %.0f packets/s, packet front %.0f packets/s, ratio %.2f (%d bytes, an open flow, one call for each datagram, %d rounds in turns)\n",
 		sums[0]/relayRounds, sums[1]/relayRounds, sums[1]/sums[0], len(payload), relayRounds)
 	return err
 }
 
-func at(ip string, port uint16) netip.AddrPort {
+func addrPort(ip string, port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr(ip), port)
 }
 
-// benchPacket is a client's SYN or a full packet of its open flow.
+// benchPacket returns a client's SYN or a packet of its open flow with the largest
+// payload.
 func benchPacket(syn bool) []byte {
 	key := flow.Key{ClientIP: 0x64400001, ClientPort: 1024, FrontIP: benchFront.IP, FrontPort: benchFront.Port}
 	if syn {
@@ -78,7 +80,7 @@
 	return platformtest.FromClient(key, flow.ACK, 2, 2, make([]byte, platform.MaxPayload))
 }
 
-// packetSink stands for an agent: it counts what is delivered.
+// packetSink takes the place of an agent and counts the packets delivered to it.
 type packetSink struct {
 	socket *relay.DatagramSocket
 	count  atomic.Int64
@@ -86,7 +88,7 @@
 }
 
 func newPacketSink() (*packetSink, error) {
-	socket, err := relay.OpenDatagramSocket(at(packetAgent, packetInternal))
+	socket, err := relay.OpenDatagramSocket(addrPort(packetAgent, packetInternal))
 	if err != nil {
 		return nil, err
 	}
@@ -103,8 +105,8 @@
 	return worker.Start(func(ctx context.Context) error { return socket.Serve(ctx, handle) })
 }
 
-// startPacketFront runs a balancer that knows the sink as its one target and has
-// opened the measured flow there.
+// startPacketFront starts a balancer with the sink as its only target and opens the
+// measured flow.
 func startPacketFront(agent *packetSink) (stop func(), err error) {
 	store := standin.NewStore(time.Now)
 	server := httptest.NewServer(platformtest.NewStoreHandler(store))
@@ -116,7 +118,7 @@
 	}
 	cfg := packetfront.Defaults()
 	cfg.Name, cfg.Zone, cfg.Store, cfg.LeaveDelay = "b", "z1", server.Listener.Addr().String(), settings.Duration(0)
-	cfg.Data, cfg.Internal, cfg.Ready = at(packetBalancer, packetData).String(), at(packetBalancer, packetInternal).String(), at(packetBalancer, packetReady).String()
+	cfg.Data, cfg.Internal, cfg.Ready = addrPort(packetBalancer, packetData).String(), addrPort(packetBalancer, packetInternal).String(), addrPort(packetBalancer, packetReady).String()
 	f, err := packetfront.NewFront(cfg, zap.NewNop())
 	if err != nil {
 		return nil, err
@@ -132,24 +134,25 @@
 		stop()
 		return nil, err
 	}
-	return stop, agent.socket.Send(at(packetBalancer, packetData), nil, benchPacket(true))
+	return stop, agent.socket.Send(addrPort(packetBalancer, packetData), nil, benchPacket(true))
 }
 
-// announce keeps the balancer informed of the sink.
+// announce sends the announcements of a ready target for the sink until ctx ends.
 func announce(ctx context.Context, socket *relay.DatagramSocket) error {
 	a := fleetnet.Announcement{Service: flow.TagOf("bench"), Zone: flow.TagOf("z1"), State: fleetnet.Ready, Slots: 8}
 	a.Incarnation = 1
 	for ctx.Err() == nil {
 		a.Seq++
-		// What is lost is sent again.
-		_ = socket.Send(at(packetBalancer, packetInternal), nil, a.Append(nil))
+		// The next announcement makes up for one that is lost.
+		_ = socket.Send(addrPort(packetBalancer, packetInternal), nil, a.Append(nil))
 		worker.Sleep(ctx, fleetnet.SameZonePeriod/4)
 	}
 	return nil
 }
 
-// startBareDatagrams forwards every datagram as it is, by the same socket calls.
-func startBareDatagrams(to netip.AddrPort) (*packetSink, error) {
+// startBareForwarder forwards every datagram unchanged, with the socket calls that
+// the packet front makes.
+func startBareForwarder(to netip.AddrPort) (*packetSink, error) {
 	in, err := relay.OpenDatagramSocket(netip.MustParseAddrPort(loopbackAny))
 	if err != nil {
 		return nil, err
--- a/measure/relaybench.go
+++ b/measure/relaybench.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	relayRun     = 3 * time.Second
-	relayRounds  = 3
-	relaySenders = 3
-	relayPayload = 1200
+	relayRunLength = 3 * time.Second
+	relayRounds    = 3
+	relaySenders   = 3
+	relayPayload   = 1200
 )
 
-// PrintRelay compares a balancer's datagrams a second with those of a bare
-// relay of the same batch I/O, in turns within one run. Senders offer more than
-// either can carry.
+// PrintRelay compares the datagram rate of a balancer with that of a bare relay
+// that uses the same batch I/O. Rounds of the two alternate within one run. The
+// senders offer more than either can forward.
 func PrintRelay(w io.Writer) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -50,15 +50,15 @@
 	defer func() { _ = bare.Close() }()
 	sums := [2]float64{}
 	for range relayRounds {
-		sums[0] += rate(&sink.count, bare.Addr(), payload)
-		sums[1] += rate(&sink.count, service, payload)
+		sums[0] += measureRate(&sink.count, bare.Addr(), payload)
+		sums[1] += measureRate(&sink.count, service, payload)
 	}
 	_, err = fmt.Fprintf(w, "bare relay %.0f datagrams/s, balancer %.0f datagrams/s, ratio %.2f (%d bytes, one worker each, %d rounds in turns)\n",
 		sums[0]/relayRounds, sums[1]/relayRounds, sums[1]/sums[0], relayPayload, relayRounds)
 	return err
 }
 
-// sink counts what arrives.
+// sink counts the datagrams that arrive.
 type sink struct {
 	socket *relay.Socket
 	count  atomic.Int64
@@ -87,22 +87,23 @@
 
 func (s *sink) close() { _ = s.socket.Close() }
 
-// rate offers datagrams to an address and returns how many a second a sink counts.
-func rate(arrived *atomic.Int64, to netip.AddrPort, payload []byte) float64 {
-	ctx, cancel := context.WithTimeout(context.Background(), relayRun)
+// measureRate sends datagrams to an address as fast as possible and returns how
+// many per second are added to arrived.
+func measureRate(arrived *atomic.Int64, to netip.AddrPort, payload []byte) float64 {
+	ctx, cancel := context.WithTimeout(context.Background(), relayRunLength)
 	defer cancel()
 	for range relaySenders {
-		go blast(ctx, to, payload)
+		go sendContinuously(ctx, to, payload)
 	}
-	time.Sleep(relayRun / 6)
+	time.Sleep(relayRunLength / 6)
 	before, start := arrived.Load(), time.Now()
 	<-ctx.Done()
-	got := float64(arrived.Load()-before) / time.Since(start).Seconds()
-	time.Sleep(relayRun / 6)
-	return got
+	perSecond := float64(arrived.Load()-before) / time.Since(start).Seconds()
+	time.Sleep(relayRunLength / 6)
+	return perSecond
 }
 
-func blast(ctx context.Context, to netip.AddrPort, payload []byte) {
+func sendContinuously(ctx context.Context, to netip.AddrPort, payload []byte) {
 	socket, err := relay.Listen(netip.MustParseAddrPort(loopbackAny), relay.Spray{})
 	if err != nil {
 		return
@@ -117,8 +118,8 @@
 	}
 }
 
-// startRelayBalancer runs a real balancer with one service and returns its
-// address and a datagram whose route leads to the sink.
+// startRelayBalancer starts a real balancer with one service. It returns the
+// service's address and a datagram that the balancer forwards to host.
 func startRelayBalancer(ctx context.Context, host netip.AddrPort) (netip.AddrPort, []byte, func(), error) {
 	c, err := trial.StartBare(ctx, trial.Site{Zones: []string{"a"}, Balancers: 1}, zap.NewNop(), settings.Duration(time.Second))
 	if err != nil {
@@ -157,8 +158,8 @@
 	return append([]byte{0x41}, append(id[:], make([]byte, relayPayload-1-route.Len)...)...), nil
 }
 
-// startBareRelay forwards every datagram as it is: the same batch I/O and
-// nothing decided.
+// startBareRelay forwards every datagram unchanged, with the batch I/O of a
+// balancer and without its decisions.
 func startBareRelay(to netip.AddrPort) (*relay.Socket, error) {
 	in, err := relay.Listen(netip.MustParseAddrPort(loopbackAny), relay.Spray{})
 	if err != nil {
--- a/measure/server.go
+++ b/measure/server.go
@@ -7,22 +7,22 @@
 	"github.com/poppywall/poppywall/admission"
 )
 
-// job is a request inside the site.
+// job is a request that is queued or being served.
 type job struct {
 	workspace int
 	attempt   int
-	since     time.Time
+	arrivedAt time.Time
 	ticket    admission.Ticket
 	work      time.Duration
-	// finish is the server's virtual time at which the job is done.
-	finish float64
+	// virtualFinish is the server's virtual time at which the job is completed.
+	virtualFinish float64
 }
 
-// server is one target: all its jobs progress at the same speed, so a virtual
-// clock that runs at that speed orders them.
+// server simulates one target. All its jobs progress at the same speed, so they
+// finish in the order of their finish times on a virtual clock of that speed.
 type server struct {
-	virtual float64
-	jobs    jobQueue
+	virtualTime float64
+	jobs        jobQueue
 }
 
 type jobQueue []*job
@@ -30,8 +30,8 @@
 func (q jobQueue) Len() int { return len(q) }
 
 func (q jobQueue) Less(i, j int) bool {
-	if q[i].finish != q[j].finish {
-		return q[i].finish < q[j].finish
+	if q[i].virtualFinish != q[j].virtualFinish {
+		return q[i].virtualFinish < q[j].virtualFinish
 	}
 	return q[i].ticket < q[j].ticket
 }
@@ -48,6 +48,6 @@
 }
 
 func (sv *server) add(j *job) {
-	j.finish = sv.virtual + j.work.Seconds()
+	j.virtualFinish = sv.virtualTime + j.work.Seconds()
 	heap.Push(&sv.jobs, j)
 }
--- a/measure/startup.go
+++ b/measure/startup.go
@@ -23,17 +23,18 @@
 
 const (
 	startupRounds = 15
-	// startupRoutes is the size of the configuration.
+	// startupRoutes is the number of routes in the configuration.
 	startupRoutes  = 250
 	startupTimeout = 5 * time.Second
 )
 
-// start is what one start of a balancer took until it was ready.
-type start struct{ wall, cpu time.Duration }
+// startTimes are the wall time and the CPU time that a balancer needed until its
+// configuration was in force.
+type startTimes struct{ wall, cpu time.Duration }
 
-// PrintStartup measures a packet front's balancer from exec until it answers
-// ready, which it does once a configuration is in force. Without targets it waits
-// for them, so that "in force" is read from its log.
+// PrintStartup measures the start of a packet front's balancer from exec until its
+// configuration is in force. Readiness does not show that here: without targets a
+// balancer that has its configuration waits for them before it reports ready.
 func PrintStartup(w io.Writer, binary string) error {
 	store := standin.NewStore(time.Now)
 	server := httptest.NewServer(platformtest.NewStoreHandler(store))
@@ -47,61 +48,62 @@
 	if err := platformtest.PutConfig(store, config); err != nil {
 		return err
 	}
-	var starts []start
+	var starts []startTimes
 	for range startupRounds {
-		s, err := startOnce(binary, server.Listener.Addr().String())
+		s, err := measureStart(binary, server.Listener.Addr().String())
 		if err != nil {
 			return err
 		}
 		starts = append(starts, s)
 	}
-	slices.SortFunc(starts, func(a, b start) int { return int(a.cpu - b.cpu) })
-	middle := starts[len(starts)/2]
+	slices.SortFunc(starts, func(a, b startTimes) int { return int(a.cpu - b.cpu) })
+	median := starts[len(starts)/2]
 	_, err := fmt.Fprintf(w, "balancer with %d routes, median of %d starts: configuration in force after %.1f ms, of processor time %.1f ms (%.1f to %.1f)\n",
-		startupRoutes, startupRounds, middle.wall.Seconds()*1e3, middle.cpu.Seconds()*1e3, starts[0].cpu.Seconds()*1e3, starts[len(starts)-1].cpu.Seconds()*1e3)
+		startupRoutes, startupRounds, median.wall.Seconds()*1e3, median.cpu.Seconds()*1e3, starts[0].cpu.Seconds()*1e3, starts[len(starts)-1].cpu.Seconds()*1e3)
 	return err
 }
 
-func startOnce(binary, store string) (start, error) {
+func measureStart(binary, store string) (startTimes, error) {
 	dir, err := os.MkdirTemp("", "poppywall-startup")
 	if err != nil {
-		return start{}, err
+		return startTimes{}, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	path := filepath.Join(dir, "settings.json")
 	settings, err := json.Marshal(map[string]any{
-		"name": "b", "zone": "z1", "store": store, "data": at(packetBalancer, packetData).String(),
-		"internal": at(packetBalancer, packetInternal).String(), "ready": at(packetBalancer, packetReady).String(),
-		"metrics": at(packetBalancer, packetMetrics).String(), "log": map[string]any{"level": "info"},
+		"name": "b", "zone": "z1", "store": store, "data": addrPort(packetBalancer, packetData).String(),
+		"internal": addrPort(packetBalancer, packetInternal).String(), "ready": addrPort(packetBalancer, packetReady).String(),
+		"metrics": addrPort(packetBalancer, packetMetrics).String(), "log": map[string]any{"level": "info"},
 	})
 	if err != nil {
-		return start{}, err
+		return startTimes{}, err
 	}
 	if err := os.WriteFile(path, settings, 0o600); err != nil {
-		return start{}, err
+		return startTimes{}, err
 	}
 	cmd := exec.Command(binary, "packets", "--settings", path)
-	began := time.Now()
+	startedAt := time.Now()
 	if err := cmd.Start(); err != nil {
-		return start{}, err
+		return startTimes{}, err
 	}
 	defer func() {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	}()
-	if err := untilConfig(began); err != nil {
-		return start{}, err
+	if err := waitForConfig(startedAt); err != nil {
+		return startTimes{}, err
 	}
-	s := start{wall: time.Since(began)}
+	s := startTimes{wall: time.Since(startedAt)}
 	s.cpu, err = processorTime(cmd.Process.Pid)
 	return s, err
 }
 
-// untilConfig waits until the balancer hands out its configuration.
-func untilConfig(began time.Time) error {
+// waitForConfig waits until the balancer serves its configuration on the internal
+// address.
+func waitForConfig(startedAt time.Time) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for time.Since(began) < startupTimeout {
-		resp, err := client.Get("http://" + at(packetBalancer, packetInternal).String() + "/config")
+	for time.Since(startedAt) < startupTimeout {
+		resp, err := client.Get("http://" + addrPort(packetBalancer, packetInternal).String() + "/config")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -110,10 +112,10 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return errors.New("the balancer did not take its configuration")
+	return errors.New("balancer did not serve its configuration before the timeout")
 }
 
-// processorTime reads the nanoseconds that all threads of a process have run.
+// processorTime returns the CPU time of all threads of a process.
 func processorTime(pid int) (time.Duration, error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
