--- a/soak/faults.go
+++ b/soak/faults.go
@@ -11,32 +11,33 @@
 	"github.com/poppywall/poppywall/store"
 )
 
-// deployment is a site of either front.
+// deployment is a running site of either front.
 type deployment interface {
-	// balancerNodes and agentNodes are the processes of the system.
+	// balancerNodes and agentNodes return the balancers and the agents.
 	balancerNodes() []*node
 	agentNodes() []*node
-	// faultStore sets what the store does wrong.
-	faultStore(standin.Faults)
+	// setStoreFaults replaces the faults that the store injects.
+	setStoreFaults(standin.Faults)
 }
 
-// nodes returns all processes of the system.
+// nodes returns all balancers and agents.
 func nodes(s deployment) []*node { return append(s.balancerNodes(), s.agentNodes()...) }
 
-// withWay returns those that reach the store.
-func withWay(s deployment) []*node {
-	return slices.DeleteFunc(nodes(s), func(n *node) bool { return n.way == nil })
+// nodesWithStoreProxy returns the nodes that connect to the store.
+func nodesWithStoreProxy(s deployment) []*node {
+	return slices.DeleteFunc(nodes(s), func(n *node) bool { return n.storeProxy == nil })
 }
 
-// fault is something that happens to a site; it returns what ends it, nil when
-// it ends by itself.
+// fault is a fault that can be injected into a site. inject returns a function that
+// ends the fault, or nil if it ends by itself or was not injected.
 type fault[S deployment] struct {
-	name string
-	do   func(s S, rnd *rand.Rand, rec *recorder) (end func())
+	name   string
+	inject func(s S, rnd *rand.Rand, rec *recorder) (end func())
 }
 
-// systemFaults are the kinds that meet the processes and the store of either front.
-func systemFaults[S deployment]() []fault[S] {
+// commonFaults returns the faults of processes and of the store, which both fronts
+// have in common.
+func commonFaults[S deployment]() []fault[S] {
 	return []fault[S]{
 		{"balancer killed", signalOne(S.balancerNodes, syscall.SIGKILL)},
 		{"balancer stopped", signalOne(S.balancerNodes, syscall.SIGTERM)},
@@ -44,311 +45,314 @@
 		{"agent killed", signalOne(S.agentNodes, syscall.SIGKILL)},
 		{"agent stopped", signalOne(S.agentNodes, syscall.SIGTERM)},
 		{"agent paused", pauseOne(S.agentNodes)},
-		{"settings reloaded", reload[S]},
+		{"settings reloaded", reloadSettings[S]},
 		{"store down", storeFault[S](standin.Faults{Down: true})},
 		{"store slow", storeFault[S](standin.Faults{DelayMillis: 700})},
 		{"store answers lost", storeFault[S](standin.Faults{LoseAnswers: 4})},
-		{"a way to the store goes silent", wayFault[S](func(p *standin.Proxy) func() { p.Silence(); return nil })},
-		{"a way to the store is cut in one direction", wayFault[S](func(p *standin.Proxy) func() { p.Cut(standin.FromTarget); return nil })},
-		{"a way to the store is reset", wayFault[S](func(p *standin.Proxy) func() { p.Reset(); return nil })},
-		{"a way to the store is closed", wayFault[S](func(p *standin.Proxy) func() {
+		{"a way to the store goes silent", storeProxyFault[S](func(p *standin.Proxy) func() { p.Silence(); return nil })},
+		{"a way to the store is cut in one direction", storeProxyFault[S](func(p *standin.Proxy) func() { p.Cut(standin.FromTarget); return nil })},
+		{"a way to the store is reset", storeProxyFault[S](func(p *standin.Proxy) func() { p.Reset(); return nil })},
+		{"a way to the store is closed", storeProxyFault[S](func(p *standin.Proxy) func() {
 			p.Refuse(true)
 			p.Reset()
 			return func() { p.Refuse(false) }
 		})},
-		{"a way to the store is slow", wayFault[S](func(p *standin.Proxy) func() {
-			p.Delay(slowWay)
+		{"a way to the store is slow", storeProxyFault[S](func(p *standin.Proxy) func() {
+			p.Delay(storeDelay)
 			return func() { p.Delay(0) }
 		})},
-		{"a way to the store is narrow", wayFault[S](func(p *standin.Proxy) func() {
-			p.Narrow(narrowWay)
+		{"a way to the store is narrow", storeProxyFault[S](func(p *standin.Proxy) func() {
+			p.Narrow(storeBytesPerSecond)
 			return func() { p.Narrow(0) }
 		})},
 		{"all connections to the store go silent", func(s S, _ *rand.Rand, _ *recorder) func() {
-			for _, n := range withWay(s) {
-				n.way.Silence()
+			for _, n := range nodesWithStoreProxy(s) {
+				n.storeProxy.Silence()
 			}
 			return nil
 		}},
 	}
 }
 
-// packetFaults are all kinds for the packet front, each as likely as the others.
-var packetFaults = append(systemFaults[*site](),
+// packetFaults are the faults for the packet front. Each is equally likely.
+var packetFaults = append(commonFaults[*site](),
 	fault[*site]{"target crashes", crashPacketTarget},
 	fault[*site]{"target drains and is replaced", drainPacketTarget},
 	fault[*site]{"target is replaced by one of another service", replacePacketTarget},
-	fault[*site]{"store lapses and drops its history", lapse},
+	fault[*site]{"store lapses and drops its history", dropStoreState},
 	fault[*site]{"configuration changes", reconfigure},
 	fault[*site]{"configuration grows", func(s *site, rnd *rand.Rand, rec *recorder) func() {
-		s.grown = min(s.grown+growth, mostGrown)
-		rec.note("%d more routes", s.grown)
+		s.idleRoutes = min(s.idleRoutes+idleRoutesPerStep, maxIdleRoutes)
+		rec.logEvent("%d routes without traffic", s.idleRoutes)
 		return reconfigure(s, rnd, rec)
 	}},
-	fault[*site]{"all processes killed", blackout},
-	fault[*site]{"a zone is emptied", emptyZone},
+	fault[*site]{"all processes killed", killAllProcesses},
+	fault[*site]{"a zone is emptied", evacuateZone},
 )
 
-// reconfigure writes the next configuration.
+// reconfigure writes the next version of the configuration.
 func reconfigure(s *site, _ *rand.Rand, rec *recorder) func() {
 	if err := s.putConfig(); err != nil {
-		rec.violate("configuration: %v", err)
+		rec.addViolation("configuration: %v", err)
 	}
 	return nil
 }
 
-// narrowWay is the rate of a narrow way to the store, in bytes a second: 10 Mbit/s,
-// over which the largest configuration takes a second.
-const narrowWay = 1_250_000
+// storeBytesPerSecond is the limited rate of a node's connections to the store. At
+// this rate (10 Mbit/s) the largest configuration takes a second.
+const storeBytesPerSecond = 1_250_000
 
-// growth is how many routes come with a configuration that grows, mostGrown how many
-// there are in the end: 0.9 MB, close to the largest value of the store.
+// idleRoutesPerStep is the number of routes that each growth of the configuration
+// adds. maxIdleRoutes bounds their number: the configuration then has 0.9 MB, close
+// to the largest value that the store accepts.
 const (
-	growth    = 1400
-	mostGrown = 5600
+	idleRoutesPerStep = 1400
+	maxIdleRoutes     = 5600
 )
 
-// slowWay is the delay of a slow way to the store, in each direction: calls at it
-// take longer than the programs wait for some of them.
-const slowWay = 350 * time.Millisecond
+// storeDelay is the delay added to a node's connections to the store, in each
+// direction. It is longer than the programs' timeout for some of the calls.
+const storeDelay = 350 * time.Millisecond
 
-// wayFault does something to one node's way to the store.
-func wayFault[S deployment](do func(*standin.Proxy) func()) func(S, *rand.Rand, *recorder) func() {
+// storeProxyFault injects a fault into one node's connections to the store.
+func storeProxyFault[S deployment](do func(*standin.Proxy) func()) func(S, *rand.Rand, *recorder) func() {
 	return func(s S, rnd *rand.Rand, rec *recorder) func() {
-		n := pick(withWay(s), rnd)
-		rec.note("%s's way to the store", n.name)
-		return do(n.way)
+		n := pick(nodesWithStoreProxy(s), rnd)
+		rec.logEvent("connections of %s to the store", n.name)
+		return do(n.storeProxy)
 	}
 }
 
-func signalOne[S deployment](of func(S) []*node, how syscall.Signal) func(S, *rand.Rand, *recorder) func() {
-	return func(s S, rnd *rand.Rand, rec *recorder) func() { return restart(pick(of(s), rnd), how, rec) }
+func signalOne[S deployment](list func(S) []*node, sig syscall.Signal) func(S, *rand.Rand, *recorder) func() {
+	return func(s S, rnd *rand.Rand, rec *recorder) func() { return restartProcess(pick(list(s), rnd), sig, rec) }
 }
 
-func pauseOne[S deployment](of func(S) []*node) func(S, *rand.Rand, *recorder) func() {
-	return func(s S, rnd *rand.Rand, rec *recorder) func() { return pause(pick(of(s), rnd), rec) }
+func pauseOne[S deployment](list func(S) []*node) func(S, *rand.Rand, *recorder) func() {
+	return func(s S, rnd *rand.Rand, rec *recorder) func() { return pauseProcess(pick(list(s), rnd), rec) }
 }
 
 func storeFault[S deployment](f standin.Faults) func(S, *rand.Rand, *recorder) func() {
 	return func(s S, _ *rand.Rand, _ *recorder) func() {
-		s.faultStore(f)
-		return func() { s.faultStore(standin.Faults{}) }
+		s.setStoreFaults(f)
+		return func() { s.setStoreFaults(standin.Faults{}) }
 	}
 }
 
 func pick[T any](list []T, rnd *rand.Rand) T { return list[rnd.IntN(len(list))] }
 
-// inject lets the faults come one after the other; some overlap.
-func inject[S deployment](s S, cfg Config, faults []fault[S], rnd *rand.Rand, rec *recorder) {
-	type running struct {
-		end func()
-		at  time.Time
+// injectFaults injects cfg.Faults random faults one after the other. Some overlap.
+func injectFaults[S deployment](s S, cfg Config, faults []fault[S], rnd *rand.Rand, rec *recorder) {
+	type activeFault struct {
+		stop   func()
+		stopAt time.Time
 	}
-	var open []running
-	finish := func(all bool) {
-		var left []running
-		for _, r := range open {
-			if all || time.Now().After(r.at) {
-				r.end()
+	var active []activeFault
+	stopFaults := func(all bool) {
+		var remaining []activeFault
+		for _, r := range active {
+			if all || time.Now().After(r.stopAt) {
+				r.stop()
 			} else {
-				left = append(left, r)
+				remaining = append(remaining, r)
 			}
 		}
-		open = left
+		active = remaining
 	}
 	for range cfg.Faults {
 		f := faults[rnd.IntN(len(faults))]
-		rec.note("%s", f.name)
-		if end := f.do(s, rnd, rec); end != nil {
-			open = append(open, running{end, time.Now().Add(time.Duration(100+rnd.IntN(1500)) * time.Millisecond)})
+		rec.logEvent("%s", f.name)
+		if end := f.inject(s, rnd, rec); end != nil {
+			active = append(active, activeFault{end, time.Now().Add(time.Duration(100+rnd.IntN(1500)) * time.Millisecond)})
 		}
 		time.Sleep(time.Duration(50+rnd.IntN(900)) * time.Millisecond)
-		finish(false)
+		stopFaults(false)
 		checkProcesses(s, rec)
 	}
-	finish(true)
+	stopFaults(true)
 }
 
-// checkProcesses finds processes that ended by themselves.
+// checkProcesses reports processes that ended without being stopped, and restarts
+// them.
 func checkProcesses(s deployment, rec *recorder) {
 	for _, n := range nodes(s) {
-		if n.running() || n.asked {
+		if n.running() || n.stopRequested {
 			continue
 		}
-		rec.violate("%s ended by itself", n.name)
+		rec.addViolation("%s exited unexpectedly", n.name)
 		if err := n.start(); err != nil {
-			rec.violate("restart: %v", err)
+			rec.addViolation("restart: %v", err)
 		}
 	}
 }
 
-// restart ends a process; it is started again later. A process that is down or
-// paused already is left alone.
-func restart(n *node, how syscall.Signal, rec *recorder) func() {
-	if !n.free() {
+// restartProcess stops a process and returns a function that starts it again. It does
+// nothing if the process is down, stopping or paused.
+func restartProcess(n *node, sig syscall.Signal, rec *recorder) func() {
+	if !n.acceptsFault() {
 		return nil
 	}
-	rec.note("%s: %v", n.name, how)
-	n.asked = true
-	n.cut()
-	n.signal(how)
+	rec.logEvent("%s: %v", n.name, sig)
+	n.stopRequested = true
+	n.markInterrupted()
+	n.signal(sig)
 	return func() {
 		<-n.exited
-		rec.note("%s starts again", n.name)
+		rec.logEvent("%s restarts", n.name)
 		if err := n.start(); err != nil {
-			rec.violate("restart: %v", err)
+			rec.addViolation("restart: %v", err)
 		}
 	}
 }
 
-func pause(n *node, rec *recorder) func() {
-	if !n.free() {
+func pauseProcess(n *node, rec *recorder) func() {
+	if !n.acceptsFault() {
 		return nil
 	}
-	rec.note("%s paused", n.name)
+	rec.logEvent("%s paused", n.name)
 	n.paused = true
 	n.signal(syscall.SIGSTOP)
 	return func() {
-		rec.note("%s goes on", n.name)
+		rec.logEvent("%s resumed", n.name)
 		n.signal(syscall.SIGCONT)
 		n.paused = false
 	}
 }
 
-func reload[S deployment](s S, rnd *rand.Rand, _ *recorder) func() {
+func reloadSettings[S deployment](s S, rnd *rand.Rand, _ *recorder) func() {
 	n := pick(nodes(s), rnd)
-	if n.free() && time.Since(n.started) > signalAge {
+	if n.acceptsFault() && time.Since(n.startedAt) > minSignalAge {
 		n.signal(syscall.SIGHUP)
 	}
 	return nil
 }
 
-// signalAge is how old a process has to be to take SIGHUP: before its first
-// instruction nothing can keep the signal from ending it.
-const signalAge = 200 * time.Millisecond
+// minSignalAge is the age from which a process is sent SIGHUP. A process that has not
+// yet installed its handler would be ended by the signal.
+const minSignalAge = 200 * time.Millisecond
 
-// startAgain starts a target where none is.
-func startAgain(s *site, n *packetNode, rec *recorder) {
-	if n.current() != nil {
+// restartTarget starts a target beside an agent that has none.
+func restartTarget(s *site, n *packetAgent, rec *recorder) {
+	if n.currentTarget() != nil {
 		return
 	}
-	rec.note("target beside %s starts", n.name)
+	rec.logEvent("target beside %s starts", n.name)
 	if err := s.startTarget(n); err != nil {
-		rec.violate("target: %v", err)
+		rec.addViolation("target: %v", err)
 	}
 }
 
-// crashPacketTarget ends a target without a word; a heartbeat and a farewell of it arrive after
-// its successor's first heartbeat.
+// crashPacketTarget ends a target without deregistration. A delayed heartbeat and a
+// delayed deregistration of it arrive after its successor's first heartbeat.
 func crashPacketTarget(s *site, rnd *rand.Rand, rec *recorder) func() {
 	n := pick(s.agents, rnd)
-	former := n.current()
+	former := n.currentTarget()
 	if former == nil || lastOfService(s, n) {
 		return nil
 	}
-	rec.note("target beside %s crashes", n.name)
+	rec.logEvent("target beside %s crashes", n.name)
 	n.crashTarget()
 	return func() {
-		startAgain(s, n, rec)
-		rec.note("a heartbeat of %s arrives late", former.ID)
+		restartTarget(s, n, rec)
+		rec.logEvent("a heartbeat of %s arrives late", former.ID)
 		former.SendDelayedHeartbeat()
 		former.SendDelayedDeregistration()
 	}
 }
 
-// drainPacketTarget lets a target drain, crash late and come back.
+// drainPacketTarget drains a target, later crashes it and starts a new one.
 func drainPacketTarget(s *site, rnd *rand.Rand, rec *recorder) func() {
 	n := pick(s.agents, rnd)
-	h := n.current()
-	if h == nil || lastOfService(s, n) {
+	target := n.currentTarget()
+	if target == nil || lastOfService(s, n) {
 		return nil
 	}
-	rec.note("target %s drains", h.ID)
-	h.Drain()
+	rec.logEvent("target %s drains", target.ID)
+	target.Drain()
 	return func() {
-		if h.LateSYNs() > 0 {
-			rec.violate("%d new flows at target %s after its drain was acknowledged", h.LateSYNs(), h.ID)
+		if target.LateSYNs() > 0 {
+			rec.addViolation("%d new flows at target %s after its drain was acknowledged", target.LateSYNs(), target.ID)
 		}
-		if n.current() == h {
+		if n.currentTarget() == target {
 			n.crashTarget()
 		}
-		startAgain(s, n, rec)
+		restartTarget(s, n, rec)
 	}
 }
 
-// replacePacketTarget ends a target with its agent; its address serves another service
-// from then on.
+// replacePacketTarget crashes a target and kills its agent. Both start again later, at
+// the same address, with another service.
 func replacePacketTarget(s *site, rnd *rand.Rand, rec *recorder) func() {
 	n := pick(s.agents, rnd)
-	if !n.free() || n.current() == nil || lastOfService(s, n) {
+	if !n.acceptsFault() || n.currentTarget() == nil || lastOfService(s, n) {
 		return nil
 	}
-	rec.note("target beside %s is replaced", n.name)
+	rec.logEvent("target beside %s is replaced", n.name)
 	n.crashTarget()
 	n.kill()
 	n.service = (n.service + 1) % len(services)
 	return func() {
-		if err := n.prepare(s.cfg, "poppywall-agent", n.name, s.agentSettings(n), frontPackets); err != nil {
-			rec.violate("restart: %v", err)
+		if err := n.startWithSettings(s.cfg, "poppywall-agent", n.name, s.agentSettings(n), frontPackets); err != nil {
+			rec.addViolation("restart: %v", err)
 		}
-		startAgain(s, n, rec)
+		restartTarget(s, n, rec)
 	}
 }
 
-// emptyZone empties a zone for a while, whatever else goes on. What may keep a node
-// from hearing of it is over within that time, so that it is judged only whether the
-// zone still gets new flows after all faults: the last word of the store holds.
-func emptyZone(s *site, rnd *rand.Rand, rec *recorder) func() {
+// evacuateZone evacuates a zone, for a while or until the end of the run. Other faults
+// may delay a node's receipt of the evacuation, so whether the zone still gets new
+// flows is checked only after all faults, against what the store then holds.
+func evacuateZone(s *site, rnd *rand.Rand, rec *recorder) func() {
 	zone := zones[rnd.IntN(len(zones))]
-	rec.note("zone %s emptied", zone)
+	rec.logEvent("zone %s evacuated", zone)
 	s.store.Operator(store.Put{Key: platform.EvacuateKey(zone), Value: []byte("{}")})
 	if rnd.IntN(2) == 0 {
 		return func() {
-			rec.note("zone %s taken back", zone)
+			rec.logEvent("zone %s no longer evacuated", zone)
 			s.store.OperatorRemoves(platform.EvacuateKey(zone))
 		}
 	}
 	return nil
 }
 
-// checkEmptied checks that no target of a zone that stays emptied has got a new flow
-// lately, and takes all zones back.
-func checkEmptied(s *site, since time.Time, rec *recorder) {
+// checkEvacuated checks that no target in a zone that is still evacuated has received
+// a new flow after since, and ends all evacuations.
+func checkEvacuated(s *site, since time.Time, rec *recorder) {
 	for _, zone := range zones {
 		if !s.store.Has(platform.EvacuateKey(zone)) {
 			continue
 		}
 		for _, n := range s.agents {
-			if h := n.current(); h != nil && n.zone == zone && h.LastSYNAt().After(since) {
-				rec.violate("a new flow at target %s of zone %s, which is emptied", h.ID, zone)
+			if target := n.currentTarget(); target != nil && n.zone == zone && target.LastSYNAt().After(since) {
+				rec.addViolation("new flow at target %s of zone %s, which is evacuated", target.ID, zone)
 			}
 		}
-		rec.note("zone %s taken back", zone)
+		rec.logEvent("zone %s no longer evacuated", zone)
 		s.store.OperatorRemoves(platform.EvacuateKey(zone))
 	}
 }
 
-// lastOfService tells whether a service would be left without a target.
-func lastOfService(s *site, n *packetNode) bool {
+// lastOfService reports whether the service of n would have no other target.
+func lastOfService(s *site, n *packetAgent) bool {
 	for _, other := range s.agents {
-		if other != n && other.service == n.service && other.current() != nil {
+		if other != n && other.service == n.service && other.currentTarget() != nil {
 			return false
 		}
 	}
 	return true
 }
 
-func lapse(s *site, _ *rand.Rand, _ *recorder) func() {
+// dropStoreState expires all leases of the store and compacts its history.
+func dropStoreState(s *site, _ *rand.Rand, _ *recorder) func() {
 	s.store.LapseLeases()
 	s.store.Compact()
 	return nil
 }
 
-// blackout ends all processes of the system at once; the targets live on.
-func blackout(s *site, rnd *rand.Rand, rec *recorder) func() {
+// killAllProcesses kills all balancers and agents at once. The targets keep running.
+func killAllProcesses(s *site, rnd *rand.Rand, rec *recorder) func() {
 	var ends []func()
 	for _, n := range nodes(s) {
-		if end := restart(n, syscall.SIGKILL, rec); end != nil {
+		if end := restartProcess(n, syscall.SIGKILL, rec); end != nil {
 			ends = append(ends, end)
 		}
 	}
--- a/soak/process.go
+++ b/soak/process.go
@@ -15,7 +15,7 @@
 	"github.com/poppywall/poppywall/standin"
 )
 
-// process is one process of the system that may be ended and started again.
+// process is a balancer or agent process that can be stopped and restarted.
 type process struct {
 	name string
 	args []string
@@ -24,12 +24,12 @@
 	// exited is closed when the process has ended.
 	exited chan struct{}
 	paused bool
-	// asked is set before the process is told to end.
-	asked   bool
-	started time.Time
-	// cutAt is when the process was last told to end, or started again, in Unix
-	// nanoseconds: what it held may have been lost since then.
-	cutAt atomic.Int64
+	// stopRequested is set before the process is sent a signal that ends it.
+	stopRequested bool
+	startedAt     time.Time
+	// interruptedAt is when the process was last stopped or started, in Unix
+	// nanoseconds. State that it held before may be lost.
+	interruptedAt atomic.Int64
 }
 
 func (p *process) start() error {
@@ -37,12 +37,12 @@
 	if err != nil {
 		return err
 	}
-	p.asked, p.started = false, time.Now()
-	p.cut()
+	p.stopRequested, p.startedAt = false, time.Now()
+	p.markInterrupted()
 	p.cmd = exec.Command(p.args[0], p.args[1:]...)
 	p.cmd.Stdout, p.cmd.Stderr = out, out
-	// A group of its own: a group that is orphaned while a member is paused gets
-	// SIGHUP from the kernel, which would end the soak.
+	// The process gets its own process group, because the kernel sends SIGHUP to a
+	// group that is orphaned while a member is stopped, which would end the soak.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := p.cmd.Start(); err != nil {
 		return errors.Wrapf(err, "start %s", p.name)
@@ -50,7 +50,8 @@
 	exited := make(chan struct{})
 	p.exited = exited
 	go func(cmd *exec.Cmd) {
-		// How it ended was asked for; what it said stands in its log.
+		// The exit status is not needed: checkProcesses detects an unexpected exit,
+		// and the output is in the log.
 		_ = cmd.Wait()
 		_ = out.Close()
 		close(exited)
@@ -58,11 +59,11 @@
 	return nil
 }
 
-// cut notes that what the process holds may be lost.
-func (p *process) cut() { p.cutAt.Store(time.Now().UnixNano()) }
+// markInterrupted records that the process may lose its state now.
+func (p *process) markInterrupted() { p.interruptedAt.Store(time.Now().UnixNano()) }
 
-// cutSince tells whether what the process held at a time may be lost.
-func (p *process) cutSince(t time.Time) bool { return p.cutAt.Load() >= t.UnixNano() }
+// interruptedSince reports whether state that the process held at t may be lost.
+func (p *process) interruptedSince(t time.Time) bool { return p.interruptedAt.Load() >= t.UnixNano() }
 
 func (p *process) running() bool {
 	select {
@@ -73,17 +74,18 @@
 	}
 }
 
-// free tells whether nothing happens to the process at the moment: one that is
-// ending must not be paused, for whoever waits for its end would wait for ever.
-func (p *process) free() bool { return p.running() && !p.paused && !p.asked }
+// acceptsFault reports whether the process is running, not paused and not stopping. A
+// process that is stopping must not be paused, or waiting for its exit would block
+// forever.
+func (p *process) acceptsFault() bool { return p.running() && !p.paused && !p.stopRequested }
 
-// signal sends a signal; a process that is gone by now needs none.
+// signal sends a signal. An error is ignored: the process may have exited.
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits for its exit.
 func (p *process) kill() {
-	p.asked = true
-	p.cut()
+	p.stopRequested = true
+	p.markInterrupted()
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 	p.paused = false
@@ -94,18 +96,20 @@
 	process
 	addr netip.Addr
 	zone string
-	// way is the node's way to the store.
-	way *standin.Proxy
+	// storeProxy carries the node's connections to the store. It is nil if the node
+	// makes none.
+	storeProxy *standin.Proxy
 }
 
-// connect makes a node's own way to the store.
-func (n *node) connect(store string) (err error) {
-	n.way, err = standin.NewProxy(store)
+// startStoreProxy starts the node's own proxy to the store.
+func (n *node) startStoreProxy(store string) (err error) {
+	n.storeProxy, err = standin.NewProxy(store)
 	return err
 }
 
-// prepare writes a node's settings and starts it; args come before them.
-func (n *node) prepare(cfg Config, binary, name string, settings map[string]any, args ...string) error {
+// startWithSettings writes a node's settings file and starts the node. args precede
+// the settings flag on its command line.
+func (n *node) startWithSettings(cfg Config, binary, name string, settings map[string]any, args ...string) error {
 	path := filepath.Join(cfg.Dir, name+".json")
 	data, err := json.Marshal(settings)
 	if err != nil {
@@ -119,5 +123,5 @@
 	return n.start()
 }
 
-// at returns an address in the form of the settings.
-func at(a netip.Addr, port int) string { return netip.AddrPortFrom(a, uint16(port)).String() }
+// hostPort returns an address in the format of the settings.
+func hostPort(a netip.Addr, port int) string { return netip.AddrPortFrom(a, uint16(port)).String() }
--- a/soak/quic.go
+++ b/soak/quic.go
@@ -16,10 +16,10 @@
 	"github.com/poppywall/poppywall/standin"
 )
 
-// RunQUIC runs one seed against the QUIC front. An error is a failure of the run
-// itself.
+// RunQUIC runs one seed against the QUIC front. An error means that the run itself
+// failed.
 func RunQUIC(cfg Config) (Report, error) {
-	rec := &recorder{report: Report{Seed: cfg.Seed}, began: time.Now()}
+	rec := &recorder{report: Report{Seed: cfg.Seed}, startedAt: time.Now()}
 	s, err := newQUICSite(cfg)
 	if err != nil {
 		return rec.report, err
@@ -35,7 +35,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c.work(done)
+			c.run(done)
 		}()
 	}
 	wg.Add(1)
@@ -43,28 +43,28 @@
 		defer wg.Done()
 		watchRevisions(s, rec, done)
 	}()
-	inject(s, cfg, quicFaults, rand.New(rand.NewPCG(cfg.Seed, 1)), rec)
+	injectFaults(s, cfg, quicFaults, rand.New(rand.NewPCG(cfg.Seed, 1)), rec)
 	undrainAll(s, rec)
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	close(done)
 	wg.Wait()
 	for _, c := range callers {
-		c.finish()
+		c.checkConnections()
 	}
 	checkRevision(s, rec)
 	for _, c := range callers {
-		c.checkRuns()
+		c.checkExecutions()
 	}
 	return rec.report, nil
 }
 
-// quicFaults are all kinds for the QUIC front.
-var quicFaults = append(systemFaults[*quicSite](),
+// quicFaults are the faults for the QUIC front. Each is equally likely.
+var quicFaults = append(commonFaults[*quicSite](),
 	fault[*quicSite]{"target crashes", crashTarget},
-	fault[*quicSite]{"target freezes", misbehave(func(t *standin.Target, on bool) { t.Frozen.Store(on) })},
-	fault[*quicSite]{"target fails", misbehave(func(t *standin.Target, on bool) { t.FailAll.Store(on) })},
-	fault[*quicSite]{"target dies in the middle of answers", misbehave(func(t *standin.Target, on bool) { t.DieMidAnswer.Store(on) })},
-	fault[*quicSite]{"target stops announcing itself", misbehave(func(t *standin.Target, on bool) { t.Silent.Store(on) })},
+	fault[*quicSite]{"target freezes", targetFault(func(t *standin.Target, on bool) { t.Frozen.Store(on) })},
+	fault[*quicSite]{"target fails", targetFault(func(t *standin.Target, on bool) { t.FailAll.Store(on) })},
+	fault[*quicSite]{"target dies in the middle of answers", targetFault(func(t *standin.Target, on bool) { t.DieMidAnswer.Store(on) })},
+	fault[*quicSite]{"target stops announcing itself", targetFault(func(t *standin.Target, on bool) { t.Silent.Store(on) })},
 	fault[*quicSite]{"host drains", drainTarget},
 	fault[*quicSite]{"configuration changes", func(s *quicSite, rnd *rand.Rand, rec *recorder) func() {
 		s.relabel(pick(s.agents, rnd), rec)
@@ -73,7 +73,7 @@
 	fault[*quicSite]{"all balancers killed", func(s *quicSite, _ *rand.Rand, rec *recorder) func() {
 		var ends []func()
 		for _, n := range s.balancers {
-			if end := restart(n, syscall.SIGKILL, rec); end != nil {
+			if end := restartProcess(n, syscall.SIGKILL, rec); end != nil {
 				ends = append(ends, end)
 			}
 		}
@@ -85,90 +85,91 @@
 	}},
 )
 
-// crashTarget ends a target without a word; another one follows.
+// crashTarget ends a target without deregistration and starts a new one later.
 func crashTarget(s *quicSite, rnd *rand.Rand, rec *recorder) func() {
 	n := pick(s.agents, rnd)
-	if n.current() == nil || s.lastOfService(n) {
+	if n.currentTarget() == nil || s.lastOfService(n) {
 		return nil
 	}
-	rec.note("target beside %s crashes", n.name)
+	rec.logEvent("target beside %s crashes", n.name)
 	n.crashTarget()
 	return func() {
 		if err := s.startTarget(n); err != nil {
-			rec.violate("target: %v", err)
+			rec.addViolation("target: %v", err)
 		}
 	}
 }
 
-// misbehave lets a target do something wrong for a while.
-func misbehave(set func(t *standin.Target, on bool)) func(*quicSite, *rand.Rand, *recorder) func() {
+// targetFault makes a target misbehave for a while.
+func targetFault(set func(t *standin.Target, on bool)) func(*quicSite, *rand.Rand, *recorder) func() {
 	return func(s *quicSite, rnd *rand.Rand, rec *recorder) func() {
 		n := pick(s.agents, rnd)
-		t := n.current()
+		t := n.currentTarget()
 		if t == nil || s.lastOfService(n) {
 			return nil
 		}
-		rec.note("target beside %s", n.name)
-		n.spoil(true)
+		rec.logEvent("affects the target beside %s", n.name)
+		n.setMisbehaving(true)
 		set(t, true)
 		return func() {
 			set(t, false)
-			n.spoil(false)
+			n.setMisbehaving(false)
 		}
 	}
 }
 
-// drainTarget lets an operator drain a host until the faults are over: what must
-// not happen takes longer to be seen than other faults last.
+// drainTarget drains a host by a change of the configuration, until all faults are
+// over: a new connection violates the drain only after drainGrace, which is longer
+// than other faults last.
 func drainTarget(s *quicSite, rnd *rand.Rand, rec *recorder) func() {
 	n := pick(s.agents, rnd)
-	if !n.drained().IsZero() || s.lastOfService(n) {
+	if !n.drainingSince().IsZero() || s.lastOfService(n) {
 		return nil
 	}
 	if s.drain(n, true) {
-		rec.note("%s drains", n.host)
+		rec.logEvent("%s drains", n.host)
 	}
 	return nil
 }
 
 func undrainAll(s *quicSite, rec *recorder) {
 	for _, n := range s.agents {
-		if n.drained().IsZero() {
+		if n.drainingSince().IsZero() {
 			continue
 		}
-		rec.note("%s drains no more", n.host)
+		rec.logEvent("%s no longer drains", n.host)
 		if !s.drain(n, false) {
-			rec.violate("%s: the store refuses a change after the faults", n.host)
+			rec.addViolation("%s: the end of its drain was not accepted after the faults", n.host)
 		}
 	}
 }
 
-// relabel changes something that no selector heeds.
-func (s *quicSite) relabel(n *targetNode, rec *recorder) {
+// relabel changes a label that no selector uses.
+func (s *quicSite) relabel(n *quicAgent, rec *recorder) {
 	edit := change.EditTarget(s.store, n.host, "", func(t *catalog.Target) {
 		t.Labels = catalog.Labels{"tried": strconv.Itoa(int(s.revision))}
 	})
-	if err := s.accepted(s.applier().Edit(context.Background(), edit)); err != nil {
-		rec.note("change not accepted: %v", err)
+	if err := s.checkAccepted(s.applier().Edit(context.Background(), edit)); err != nil {
+		rec.logEvent("change not accepted: %v", err)
 	}
 }
 
-// lastOfService tells whether a service would be left without a target that takes
-// new work.
-func (s *quicSite) lastOfService(n *targetNode) bool {
+// lastOfService reports whether the service of n would have no other target that
+// accepts new work.
+func (s *quicSite) lastOfService(n *quicAgent) bool {
 	for _, other := range s.agents {
-		if other != n && other.service == n.service && other.current() != nil && other.drained().IsZero() {
+		if other != n && other.service == n.service && other.currentTarget() != nil && other.drainingSince().IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// watchRevisions checks that no balancer's configuration goes back during its
-// process's life.
+// watchRevisions checks that no balancer returns to an earlier configuration within
+// one incarnation of its process.
 func watchRevisions(s *quicSite, rec *recorder, done chan struct{}) {
 	seen := map[*node]catalog.Revision{}
-	life := map[*node]time.Time{}
+	incarnation := map[*node]time.Time{}
 	for {
 		select {
 		case <-done:
@@ -176,35 +177,35 @@
 		case <-time.After(200 * time.Millisecond):
 		}
 		for _, n := range s.balancers {
-			since := time.Unix(0, n.cutAt.Load())
+			since := time.Unix(0, n.interruptedAt.Load())
 			revision, ok := revisionOf(n)
-			if !ok || n.cutSince(since.Add(1)) {
+			if !ok || n.interruptedSince(since.Add(1)) {
 				continue
 			}
-			if life[n].Equal(since) && revision < seen[n] {
-				rec.violate("%s went back from revision %d to %d", n.name, seen[n], revision)
+			if incarnation[n].Equal(since) && revision < seen[n] {
+				rec.addViolation("%s returned from revision %d to %d", n.name, seen[n], revision)
 			}
-			seen[n], life[n] = revision, since
+			seen[n], incarnation[n] = revision, since
 		}
 	}
 }
 
-// checkRevision makes a change and looks for it at every balancer.
+// checkRevision makes a change and checks that it is in force at every balancer.
 func checkRevision(s *quicSite, rec *recorder) {
 	s.relabel(s.agents[0], rec)
-	time.Sleep(configTime)
+	time.Sleep(configTimeout)
 	for _, n := range s.balancers {
 		if revision, _ := revisionOf(n); revision < s.revision {
-			rec.violate("%s: revision %d is not in force, but %d", n.name, s.revision, revision)
+			rec.addViolation("%s: revision %d is not in force, revision %d is", n.name, s.revision, revision)
 		}
 	}
 }
 
-// revisionOf reads a balancer's revision from its metrics; false when it does not
-// answer.
+// revisionOf returns the configuration revision in a balancer's metrics, or false if
+// it cannot be read.
 func revisionOf(n *node) (catalog.Revision, bool) {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + at(n.addr, portMetrics) + "/metrics")
+	resp, err := client.Get("http://" + hostPort(n.addr, portMetrics) + "/metrics")
 	if err != nil {
 		return 0, false
 	}
--- a/soak/quiccaller.go
+++ b/soak/quiccaller.go
@@ -18,8 +18,8 @@
 	"github.com/poppywall/poppywall/verdict"
 )
 
-// caller keeps a QUIC connection to one service open and makes moves on it, which
-// must not run twice.
+// caller keeps a QUIC connection to one service open and sends moves on it: requests
+// to /move, which must not run twice.
 type caller struct {
 	site    *quicSite
 	rec     *recorder
@@ -27,16 +27,16 @@
 	service int
 	rnd     *rand.Rand
 
-	// conn is the present connection, openedAt when it was made, holder the agent
+	// conn is the current connection, openedAt when it was made, and agent the agent
 	// that answered on it, nil before its first answer.
 	conn     *load.Caller
 	openedAt time.Time
-	holder   *targetNode
+	agent    *quicAgent
 
-	// asked counts the moves; done are those that were answered, notRun those that
-	// were said not to have run.
-	asked        int
-	done, notRun []string
+	// moves is the number of moves sent. answered holds the IDs of those that were
+	// answered, notRun of those that were reported as not run.
+	moves            int
+	answered, notRun []string
 }
 
 func newCallers(s *quicSite, rec *recorder) []*caller {
@@ -49,35 +49,36 @@
 	return out
 }
 
-// work makes moves until done.
-func (c *caller) work(done chan struct{}) {
+// run sends moves until done is closed.
+func (c *caller) run(done chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
 		case <-time.After(time.Duration(c.rnd.IntN(60)) * time.Millisecond):
 		}
-		// Now and then a caller goes and another one comes.
-		if c.rnd.IntN(meanMoves) == 0 {
-			c.hangUp()
+		// Simulates that a caller leaves and another one connects.
+		if c.rnd.IntN(meanMovesPerConnection) == 0 {
+			c.disconnect()
 		}
-		if !c.ask(patience) {
-			c.hangUp()
+		if !c.move(requestTimeout) {
+			c.disconnect()
 		}
 	}
 }
 
-// meanMoves is the mean number of moves on a connection.
-const meanMoves = 40
+// meanMovesPerConnection is the mean number of moves on a connection that does not
+// fail.
+const meanMovesPerConnection = 40
 
-func (c *caller) hangUp() {
+func (c *caller) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
 	}
-	c.conn, c.holder = nil, nil
+	c.conn, c.agent = nil, nil
 }
 
-// connect makes a connection unless there is one.
+// connect opens a connection if there is none.
 func (c *caller) connect() error {
 	if c.conn != nil {
 		return nil
@@ -90,124 +91,125 @@
 	return nil
 }
 
-// ask makes a move and checks its answer; it tells whether the connection lives on.
-func (c *caller) ask(patience time.Duration) bool {
+// move sends a move and checks its answer. It reports whether the connection is still
+// usable.
+func (c *caller) move(timeout time.Duration) bool {
 	if err := c.connect(); err != nil {
-		c.rec.violate("caller %d: %v", c.id, err)
+		c.rec.addViolation("caller %d: %v", c.id, err)
 		return false
 	}
-	c.asked++
-	id := fmt.Sprintf("m%d-%d", c.id, c.asked)
+	c.moves++
+	id := fmt.Sprintf("m%d-%d", c.id, c.moves)
 	body := strings.Repeat(id+" ", 1+c.rnd.IntN(400))
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	startedAt := time.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	resp, err := c.conn.Do(ctx, http.MethodPost, "/move", strings.NewReader(body), http.Header{standin.HeaderRequestID: {id}})
 	if err != nil {
-		return c.failed(ctx, id, began, err)
+		return c.handleFailure(ctx, id, startedAt, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return c.failed(ctx, id, began, err)
+		return c.handleFailure(ctx, id, startedAt, err)
 	}
-	c.check(id, body, string(answer), resp)
+	c.checkAnswer(id, body, string(answer), resp)
 	return true
 }
 
-// check compares an answer with what was asked.
-func (c *caller) check(id, body, answer string, resp *http.Response) {
+// checkAnswer checks an answer and records it.
+func (c *caller) checkAnswer(id, body, answer string, resp *http.Response) {
 	if verdict.Parse(resp.Header.Get(verdict.HeaderVerdict)) == verdict.NotRun {
 		c.notRun = append(c.notRun, id)
 	}
 	if target := resp.Header.Get(standin.HeaderTarget); target != "" {
-		c.answeredBy(id, target)
+		c.checkAgent(id, target)
 	}
 	if resp.StatusCode != http.StatusOK {
-		c.rec.count(&c.rec.report.Refused)
+		c.rec.increment(&c.rec.report.Refused)
 		return
 	}
-	c.rec.count(&c.rec.report.Requests)
-	c.done = append(c.done, id)
+	c.rec.increment(&c.rec.report.Requests)
+	c.answered = append(c.answered, id)
 	if answer != body {
-		c.rec.violate("move %s of %d bytes got an answer of %d", id, len(body), len(answer))
+		c.rec.addViolation("move %s of %d bytes was answered with %d bytes", id, len(body), len(answer))
 	}
 }
 
-// answeredBy checks which target answered. A target's name is its service, its
-// agent's name and a number.
-func (c *caller) answeredBy(id, target string) {
-	words := strings.Fields(target)
-	if words[0] != services[c.service] {
-		c.rec.violate("move %s to %s was answered by %s", id, services[c.service], target)
+// checkAgent checks which target answered. The name of a target consists of its
+// service, its agent's host name and a number.
+func (c *caller) checkAgent(id, target string) {
+	nameParts := strings.Fields(target)
+	if nameParts[0] != services[c.service] {
+		c.rec.addViolation("move %s to %s was answered by %s", id, services[c.service], target)
 		return
 	}
-	i := slices.IndexFunc(c.site.agents, func(n *targetNode) bool { return n.host == words[1] })
+	i := slices.IndexFunc(c.site.agents, func(n *quicAgent) bool { return n.host == nameParts[1] })
 	n := c.site.agents[i]
-	if n == c.holder {
+	if n == c.agent {
 		return
 	}
-	// The first answer, or the agent has asked the caller to go elsewhere, which
-	// its library did between two moves.
-	if since := n.drained(); !since.IsZero() && c.openedAt.Sub(since) > drainGrace {
-		c.rec.violate("a new connection at %s, which drains since %v", n.host, since)
+	// Either this is the first answer, or the agent asked the caller to reconnect
+	// and its library did so between two moves.
+	if since := n.drainingSince(); !since.IsZero() && c.openedAt.Sub(since) > drainGrace {
+		c.rec.addViolation("new connection at %s, which has been draining since %v", n.host, since)
 	}
-	c.holder = n
+	c.agent = n
 }
 
-// failed judges a move that got no whole answer; it tells whether the connection
-// lives on. A move alone fails only with its target, and a connection lasts as long
-// as its agent.
-func (c *caller) failed(ctx context.Context, id string, began time.Time, err error) bool {
+// handleFailure evaluates a move without a complete answer. It reports whether the
+// connection is still usable. A move alone may fail only if its target misbehaves or
+// ends, and a connection only if its agent is interrupted.
+func (c *caller) handleFailure(ctx context.Context, id string, startedAt time.Time, err error) bool {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		c.rec.count(&c.rec.report.Silent)
+		c.rec.increment(&c.rec.report.Silent)
 		return false
 	}
-	c.rec.count(&c.rec.report.Resets)
+	c.rec.increment(&c.rec.report.Resets)
 	var h3 *http3.Error
 	moveOnly := errors.As(err, &h3)
-	if c.holder != nil && !c.holder.cutSince(c.openedAt) && !(moveOnly && c.holder.spoiltSince(began)) {
-		c.rec.violate("move %s failed while %s lives: %v", id, c.holder.host, err)
+	if c.agent != nil && !c.agent.interruptedSince(c.openedAt) && !(moveOnly && c.agent.misbehavedSince(startedAt)) {
+		c.rec.addViolation("move %s failed while %s is alive: %v", id, c.agent.host, err)
 	}
 	return moveOnly
 }
 
-// finish asks once more on the open connection, and on a new one: after the faults
-// both have to be served.
-func (c *caller) finish() {
-	held := c.holder != nil && !c.holder.cutSince(c.openedAt)
-	if !c.served() && held && !c.holder.cutSince(c.openedAt) {
-		c.rec.violate("caller %d's connection at %s is not served after the faults", c.id, c.holder.host)
+// checkConnections sends a move on the open connection and one on a new connection.
+// After the faults both have to be served.
+func (c *caller) checkConnections() {
+	connectionValid := c.agent != nil && !c.agent.interruptedSince(c.openedAt)
+	if !c.isServed() && connectionValid && !c.agent.interruptedSince(c.openedAt) {
+		c.rec.addViolation("caller %d's connection at %s is not served after the faults", c.id, c.agent.host)
 	}
-	c.hangUp()
-	if !c.served() {
-		c.rec.violate("caller %d's new connection is not served after the faults", c.id)
+	c.disconnect()
+	if !c.isServed() {
+		c.rec.addViolation("caller %d's new connection is not served after the faults", c.id)
 	}
-	c.hangUp()
+	c.disconnect()
 }
 
-// served tells whether a move is answered in time.
-func (c *caller) served() bool {
-	before := len(c.done)
-	return c.ask(calm) && len(c.done) > before
+// isServed sends a move and reports whether it is answered within settledTimeout.
+func (c *caller) isServed() bool {
+	before := len(c.answered)
+	return c.move(settledTimeout) && len(c.answered) > before
 }
 
-// checkRuns compares what callers were told with what ran.
-func (c *caller) checkRuns() {
-	for i := range c.asked {
+// checkExecutions compares the answers to moves with how often the moves ran.
+func (c *caller) checkExecutions() {
+	for i := range c.moves {
 		id := fmt.Sprintf("m%d-%d", c.id, 1+i)
-		if n := c.site.runs(id); n > 1 {
-			c.rec.violate("move %s ran %d times", id, n)
+		if n := c.site.countExecutions(id); n > 1 {
+			c.rec.addViolation("move %s ran %d times", id, n)
 		}
 	}
 	for _, id := range c.notRun {
-		if n := c.site.runs(id); n > 0 {
-			c.rec.violate("move %s was said not to have run, and ran", id)
+		if n := c.site.countExecutions(id); n > 0 {
+			c.rec.addViolation("move %s was reported as not run, but ran", id)
 		}
 	}
-	for _, id := range c.done {
-		if n := c.site.runs(id); n != 1 {
-			c.rec.violate("move %s was answered and ran %d times", id, n)
+	for _, id := range c.answered {
+		if n := c.site.countExecutions(id); n != 1 {
+			c.rec.addViolation("move %s was answered and ran %d times", id, n)
 		}
 	}
 }
--- a/soak/quicsite.go
+++ b/soak/quicsite.go
@@ -18,7 +18,7 @@
 	"github.com/poppywall/poppywall/standin"
 )
 
-// Settings of the QUIC front's site.
+// Settings of a site of the QUIC front.
 const (
 	portMetrics    = 21007
 	quicSecret     = "706f70707977616c6c2d736f616b2d7465737400000000"
@@ -29,25 +29,25 @@
 	labelService   = "service"
 )
 
-// targetNode is an agent of the QUIC front with the target beside it.
-type targetNode struct {
+// quicAgent is an agent of the QUIC front with the target beside it.
+type quicAgent struct {
 	node
 	// host is the agent's name in the directory, service the index of the
 	// target's service.
 	host    string
 	service int
 
-	// mu guards what follows.
-	mu         sync.Mutex
-	target     *standin.Target
-	stopTarget context.CancelFunc
-	targets    int
-	// misbehaving tells that the target does something wrong, spoiltAt is when it
-	// did so last or ended.
-	misbehaving bool
-	spoiltAt    time.Time
-	// drainedAt is when an operator's drain was accepted; zero when there is none.
-	drainedAt time.Time
+	// mu guards the fields below.
+	mu           sync.Mutex
+	target       *standin.Target
+	stopTarget   context.CancelFunc
+	targetStarts int
+	// misbehaving is set while a fault makes the target misbehave.
+	// misbehavingChangedAt is when it was last set or cleared, or the target crashed.
+	misbehaving          bool
+	misbehavingChangedAt time.Time
+	// drainAcceptedAt is when the host's drain was accepted, or zero if it has none.
+	drainAcceptedAt time.Time
 }
 
 // quicSite is a running deployment of the QUIC front.
@@ -56,18 +56,18 @@
 	store     *standin.Store
 	storeHTTP *httptest.Server
 	balancers []*node
-	agents    []*targetNode
-	// addresses are those of the services.
+	agents    []*quicAgent
+	// addresses are the addresses of the services.
 	addresses []string
 	roots     *x509.CertPool
 	revision  catalog.Revision
 
-	// mu guards everStarted.
-	mu          sync.Mutex
-	everStarted []*standin.Target
+	// mu guards startedTargets.
+	mu             sync.Mutex
+	startedTargets []*standin.Target
 }
 
-// authority is the name that callers of a service ask for.
+// authority returns the server name of a service.
 func authority(service int) string { return services[service] + ".example" }
 
 func newQUICSite(cfg Config) (*quicSite, error) {
@@ -77,12 +77,12 @@
 		return nil, err
 	}
 	for i := range cfg.Balancers {
-		n := &node{addr: cfg.address(kindBalancer, i), zone: zones[i%len(zones)]}
+		n := &node{addr: cfg.address(addrBalancer, i), zone: zones[i%len(zones)]}
 		s.balancers = append(s.balancers, n)
-		if err := n.connect(s.storeHTTP.Listener.Addr().String()); err != nil {
+		if err := n.startStoreProxy(s.storeHTTP.Listener.Addr().String()); err != nil {
 			return nil, err
 		}
-		if err := n.prepare(cfg, "poppywall-balancer", fmt.Sprintf("balancer-%d", i), s.balancerSettings(n)); err != nil {
+		if err := n.startWithSettings(cfg, "poppywall-balancer", fmt.Sprintf("balancer-%d", i), s.balancerSettings(n)); err != nil {
 			return nil, err
 		}
 	}
@@ -96,12 +96,12 @@
 		return nil, err
 	}
 	for i := range cfg.Agents {
-		n := &targetNode{
-			node: node{addr: cfg.address(kindAgent, i), zone: zones[i%len(zones)]},
+		n := &quicAgent{
+			node: node{addr: cfg.address(addrAgent, i), zone: zones[i%len(zones)]},
 			host: fmt.Sprintf("host-%d", i), service: i % len(services),
 		}
 		s.agents = append(s.agents, n)
-		if err := n.prepare(cfg, "poppywall-agent", fmt.Sprintf("agent-%d", i), s.agentSettings(n, cert, key)); err != nil {
+		if err := n.startWithSettings(cfg, "poppywall-agent", fmt.Sprintf("agent-%d", i), s.agentSettings(n, cert, key)); err != nil {
 			return nil, err
 		}
 		if err := s.startTarget(n); err != nil {
@@ -113,17 +113,17 @@
 
 func (s *quicSite) balancerSettings(n *node) map[string]any {
 	return map[string]any{
-		"name": "balancer", "zone": n.zone, "data": at(n.addr, portData), "control": at(n.addr, portControl),
-		"metrics": at(n.addr, portMetrics), "platform": "http://" + n.way.Addr(), "seeds": s.controls(),
+		"name": "balancer", "zone": n.zone, "data": hostPort(n.addr, portData), "control": hostPort(n.addr, portControl),
+		"metrics": hostPort(n.addr, portMetrics), "platform": "http://" + n.storeProxy.Addr(), "seeds": s.controlAddrs(),
 		"secrets": secrets(), "sprayMembers": s.cfg.Balancers, "gossipEvery": quicPeriod, "pullEvery": quicPeriod,
 		"leaveDelay": "500ms",
 	}
 }
 
-func (s *quicSite) agentSettings(n *targetNode, cert, key string) map[string]any {
+func (s *quicSite) agentSettings(n *quicAgent, cert, key string) map[string]any {
 	return map[string]any{
-		"host": n.host, "zone": n.zone, "data": at(n.addr, portData), "announce": at(n.addr, portApp),
-		"metrics": at(n.addr, portMetrics), "balancers": s.controls(), "secrets": secrets(),
+		"host": n.host, "zone": n.zone, "data": hostPort(n.addr, portData), "announce": hostPort(n.addr, portApp),
+		"metrics": hostPort(n.addr, portMetrics), "balancers": s.controlAddrs(), "secrets": secrets(),
 		"certificates": []map[string]any{{"cert": cert, "key": key}}, "heartbeat": quicPeriod,
 		"drainLimit": quicDrainLimit.String(),
 	}
@@ -131,20 +131,20 @@
 
 func secrets() []map[string]any { return []map[string]any{{"number": 1, "hex": quicSecret}} }
 
-func (s *quicSite) controls() []string {
+func (s *quicSite) controlAddrs() []string {
 	var out []string
 	for i := range s.cfg.Balancers {
-		out = append(out, at(s.cfg.address(kindBalancer, i), portControl))
+		out = append(out, hostPort(s.cfg.address(addrBalancer, i), portControl))
 	}
 	return out
 }
 
-// applier changes the configuration as an operator does.
+// applier returns an applier that changes the configuration as an operator does.
 func (s *quicSite) applier() *change.Applier {
 	return change.NewApplier(s.store, change.Options{Author: "soak", Now: time.Now, NewID: uuid.NewString})
 }
 
-// configure puts the services.
+// configure adds the services to the configuration.
 func (s *quicSite) configure() error {
 	var doc change.Document
 	for _, name := range services {
@@ -157,11 +157,12 @@
 			Name: name, Address: address.String(), Selector: catalog.Labels{labelService: name},
 		}})
 	}
-	return s.accepted(s.applier().Apply(context.Background(), doc))
+	return s.checkAccepted(s.applier().Apply(context.Background(), doc))
 }
 
-// accepted notes the revision of a change.
-func (s *quicSite) accepted(r change.Result) error {
+// checkAccepted records the revision of an accepted change, and returns an error for
+// any other.
+func (s *quicSite) checkAccepted(r change.Result) error {
 	if r.Outcome != change.Accepted {
 		return errors.Errorf("%s: %s", r.Text, r.Reason)
 	}
@@ -169,15 +170,15 @@
 	return nil
 }
 
-// startTarget starts a fresh target beside an agent.
-func (s *quicSite) startTarget(n *targetNode) error {
+// startTarget starts a new target beside an agent.
+func (s *quicSite) startTarget(n *quicAgent) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.targets++
+	n.targetStarts++
 	t, err := standin.NewTarget(standin.TargetOptions{
-		Name: fmt.Sprintf("%s %s %d", services[n.service], n.host, n.targets), Slots: targetSlots,
+		Name: fmt.Sprintf("%s %s %d", services[n.service], n.host, n.targetStarts), Slots: targetSlots,
 		Labels: catalog.Labels{labelService: services[n.service]},
-		Agent:  "http://" + at(n.addr, portApp), Heartbeat: heartbeatEvery, Work: targetWork,
+		Agent:  "http://" + hostPort(n.addr, portApp), Heartbeat: heartbeatEvery, Work: targetWork,
 	})
 	if err != nil {
 		return errors.Wrapf(err, "target beside %s", n.name)
@@ -185,78 +186,79 @@
 	ctx, stop := context.WithCancel(context.Background())
 	n.target, n.stopTarget = t, stop
 	go func() {
-		// It ends when it is stopped; its listener is its own.
+		// Serve returns when stop is called. It opened its listener itself.
 		_ = t.Serve(ctx)
 	}()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.everStarted = append(s.everStarted, t)
+	s.startedTargets = append(s.startedTargets, t)
 	return nil
 }
 
-// runs tells how often a request ran, at whichever target.
-func (s *quicSite) runs(id string) (n int) {
+// countExecutions returns how often a request ran, over all targets ever started.
+func (s *quicSite) countExecutions(id string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.everStarted {
+	for _, t := range s.startedTargets {
 		n += t.Runs(id)
 	}
 	return n
 }
 
-// current returns the target beside the agent, nil when there is none.
-func (n *targetNode) current() *standin.Target {
+// currentTarget returns the target beside the agent, or nil if there is none.
+func (n *quicAgent) currentTarget() *standin.Target {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.target
 }
 
 // crashTarget ends the target beside an agent.
-func (n *targetNode) crashTarget() {
+func (n *quicAgent) crashTarget() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.target != nil {
 		n.stopTarget()
-		n.target, n.spoiltAt = nil, time.Now()
+		n.target, n.misbehavingChangedAt = nil, time.Now()
 	}
 }
 
-// spoil notes that the target misbehaves, or does no more.
-func (n *targetNode) spoil(on bool) {
+// setMisbehaving records that the target starts or stops misbehaving.
+func (n *quicAgent) setMisbehaving(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.misbehaving, n.spoiltAt = on, time.Now()
+	n.misbehaving, n.misbehavingChangedAt = on, time.Now()
 }
 
-// spoiltSince tells whether the target may have failed moves since a time.
-func (n *targetNode) spoiltSince(t time.Time) bool {
+// misbehavedSince reports whether the target may have failed moves since t.
+func (n *quicAgent) misbehavedSince(t time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.misbehaving || n.spoiltAt.After(t)
+	return n.misbehaving || n.misbehavingChangedAt.After(t)
 }
 
-// drain changes the operator's drain of the host; it tells whether the change was
+// drain starts or ends the drain of a host. It reports whether the change was
 // accepted.
-func (s *quicSite) drain(n *targetNode, drain bool) bool {
+func (s *quicSite) drain(n *quicAgent, drain bool) bool {
 	edit := change.EditTarget(s.store, n.host, "", func(t *catalog.Target) { t.Drain = drain })
-	if s.accepted(s.applier().Edit(context.Background(), edit)) != nil {
-		// The store is away, or it is not known whether the change was written.
+	if s.checkAccepted(s.applier().Edit(context.Background(), edit)) != nil {
+		// The store is unavailable, or the outcome of the change is unknown.
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.drainedAt = time.Time{}
+	n.drainAcceptedAt = time.Time{}
 	if drain {
-		n.drainedAt = time.Now()
+		n.drainAcceptedAt = time.Now()
 	}
 	return true
 }
 
-// drained returns since when the host drains; zero when it does not.
-func (n *targetNode) drained() time.Time {
+// drainingSince returns when the host's drain was accepted, or zero if it does not
+// drain.
+func (n *quicAgent) drainingSince() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.drainedAt
+	return n.drainAcceptedAt
 }
 
 // balancerNodes implements deployment.
@@ -271,12 +273,12 @@
 	return out
 }
 
-// faultStore implements deployment.
-func (s *quicSite) faultStore(f standin.Faults) { s.store.SetFaults(f) }
+// setStoreFaults implements deployment.
+func (s *quicSite) setStoreFaults(f standin.Faults) { s.store.SetFaults(f) }
 
-// waitHealthy waits until all balancers say that they are healthy.
+// waitHealthy waits until all balancers pass their health check.
 func (s *quicSite) waitHealthy() error {
-	for end := time.Now().Add(startTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if !slices.ContainsFunc(s.balancers, func(n *node) bool { return !healthy(n) }) {
 			return nil
 		}
@@ -285,7 +287,7 @@
 }
 
 func healthy(n *node) bool {
-	resp, err := http.Get("http://" + at(n.addr, portMetrics) + "/healthz")
+	resp, err := http.Get("http://" + hostPort(n.addr, portMetrics) + "/healthz")
 	if err != nil {
 		return false
 	}
@@ -293,13 +295,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// stop ends everything.
+// stop stops all processes, targets and the store.
 func (s *quicSite) stop() {
 	for _, n := range nodes(s) {
 		n.kill()
 	}
 	for _, n := range s.balancers {
-		n.way.Close()
+		n.storeProxy.Close()
 	}
 	for _, n := range s.agents {
 		n.crashTarget()
--- a/soak/site.go
+++ b/soak/site.go
@@ -15,8 +15,7 @@
 	"github.com/poppywall/poppywall/standin"
 )
 
-// Ports are the same on all nodes, each of which has an address of its own in
-// the loopback range.
+// Ports are the same on all nodes: each node has its own loopback address.
 const (
 	portData     = 21001
 	portInternal = 21002
@@ -29,17 +28,17 @@
 // frontPackets is the argument that selects the packet front.
 const frontPackets = "packets"
 
-// zones are the availability zones that nodes are spread over.
+// zones are the availability zones that nodes are distributed over.
 var zones = []string{"z1", "z2", "z3"}
 
-// services are what targets serve; service i is called at front i.
+// services are the names of the services. Service i has the address frontOf(i).
 var services = []string{"alpha", "beta"}
 
-// front returns the address of a service's entrance.
-func front(service int) flow.Front { return flow.Front{IP: 0xc6120001 + flow.IPv4(service), Port: 443} }
+// frontOf returns the address of service i.
+func frontOf(i int) flow.Front { return flow.Front{IP: 0xc6120001 + flow.IPv4(i), Port: 443} }
 
-// packetNode is an agent with the target beside it.
-type packetNode struct {
+// packetAgent is an agent with the target beside it.
+type packetAgent struct {
 	node
 	// service is the index of the target's service.
 	service int
@@ -47,39 +46,40 @@
 	// mu guards target.
 	mu     sync.Mutex
 	target *platformtest.Target
-	// targets counts the targets started here.
-	targets int
+	// targetStarts is the number of targets started beside the agent.
+	targetStarts int
 }
 
-func (n *packetNode) current() *platformtest.Target {
+func (n *packetAgent) currentTarget() *platformtest.Target {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.target
 }
 
-// site is a running deployment.
+// site is a running deployment of the packet front.
 type site struct {
 	cfg       Config
 	store     *standin.Store
 	storeHTTP *httptest.Server
 	balancers []*node
-	agents    []*packetNode
+	agents    []*packetAgent
 	routers   *platformtest.Routers
 	version   int64
-	// grown is how many routes a configuration has that see no traffic.
-	grown int
+	// idleRoutes is the number of configured routes without traffic.
+	idleRoutes int
 }
 
-// address gives each node an address of its own; the slot keeps runs apart.
+// address returns the loopback address of a node. Runs with different slots have
+// different addresses.
 func (c *Config) address(kind, i int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(100 + c.Slot), byte(kind), byte(1 + i)})
 }
 
-// Kinds of addresses.
+// Kinds of node in an address.
 const (
-	kindBalancer = 1 + iota
-	kindAgent
-	kindClient
+	addrBalancer = 1 + iota
+	addrAgent
+	addrClient
 )
 
 func newSite(cfg Config) (*site, error) {
@@ -89,22 +89,22 @@
 		return nil, err
 	}
 	for i := range cfg.Balancers {
-		n := &node{addr: s.cfg.address(kindBalancer, i), zone: zones[i%len(zones)]}
+		n := &node{addr: s.cfg.address(addrBalancer, i), zone: zones[i%len(zones)]}
 		s.balancers = append(s.balancers, n)
-		if err := n.connect(s.storeHTTP.Listener.Addr().String()); err != nil {
+		if err := n.startStoreProxy(s.storeHTTP.Listener.Addr().String()); err != nil {
 			return nil, err
 		}
-		if err := n.prepare(cfg, "poppywall-balancer", fmt.Sprintf("balancer-%d", i), s.balancerSettings(n), frontPackets); err != nil {
+		if err := n.startWithSettings(cfg, "poppywall-balancer", fmt.Sprintf("balancer-%d", i), s.balancerSettings(n), frontPackets); err != nil {
 			return nil, err
 		}
 	}
 	for i := range cfg.Agents {
-		n := &packetNode{node: node{addr: s.cfg.address(kindAgent, i), zone: zones[i%len(zones)]}, service: i % len(services)}
+		n := &packetAgent{node: node{addr: s.cfg.address(addrAgent, i), zone: zones[i%len(zones)]}, service: i % len(services)}
 		s.agents = append(s.agents, n)
-		if err := n.connect(s.storeHTTP.Listener.Addr().String()); err != nil {
+		if err := n.startStoreProxy(s.storeHTTP.Listener.Addr().String()); err != nil {
 			return nil, err
 		}
-		if err := n.prepare(cfg, "poppywall-agent", fmt.Sprintf("agent-%d", i), s.agentSettings(n), frontPackets); err != nil {
+		if err := n.startWithSettings(cfg, "poppywall-agent", fmt.Sprintf("agent-%d", i), s.agentSettings(n), frontPackets); err != nil {
 			return nil, err
 		}
 		if err := s.startTarget(n); err != nil {
@@ -134,63 +134,64 @@
 	return out
 }
 
-// faultStore implements deployment.
-func (s *site) faultStore(f standin.Faults) { s.store.SetFaults(f) }
+// setStoreFaults implements deployment.
+func (s *site) setStoreFaults(f standin.Faults) { s.store.SetFaults(f) }
 
-func (s *site) seeds() []string {
+func (s *site) seedAddrs() []string {
 	var out []string
 	for i := range min(3, s.cfg.Balancers) {
-		out = append(out, at(s.cfg.address(kindBalancer, i), portControl))
+		out = append(out, hostPort(s.cfg.address(addrBalancer, i), portControl))
 	}
 	return out
 }
 
 func (s *site) balancerSettings(n *node) map[string]any {
 	return map[string]any{
-		"name": "balancer", "zone": n.zone, "data": at(n.addr, portData), "internal": at(n.addr, portInternal),
-		"ready": at(n.addr, portReady), "seeds": s.seeds(), "store": n.way.Addr(), "log": map[string]any{"level": "info"},
+		"name": "balancer", "zone": n.zone, "data": hostPort(n.addr, portData), "internal": hostPort(n.addr, portInternal),
+		"ready": hostPort(n.addr, portReady), "seeds": s.seedAddrs(), "store": n.storeProxy.Addr(), "log": map[string]any{"level": "info"},
 	}
 }
 
-func (s *site) agentSettings(n *packetNode) map[string]any {
+func (s *site) agentSettings(n *packetAgent) map[string]any {
 	return map[string]any{
-		"name": "agent", "zone": n.zone, "service": services[n.service], "data": at(n.addr, portData),
-		"internal": at(n.addr, portInternal), "outbound": at(n.addr, portOutbound), "target": at(n.addr, portApp),
-		"control": at(n.addr, portControl), "seeds": s.seeds(), "store": n.way.Addr(),
+		"name": "agent", "zone": n.zone, "service": services[n.service], "data": hostPort(n.addr, portData),
+		"internal": hostPort(n.addr, portInternal), "outbound": hostPort(n.addr, portOutbound), "target": hostPort(n.addr, portApp),
+		"control": hostPort(n.addr, portControl), "seeds": s.seedAddrs(), "store": n.storeProxy.Addr(),
 		"heartbeatEvery": heartbeatEvery.String(), "log": map[string]any{"level": "info"},
 	}
 }
 
-// heartbeatEvery is how often targets report.
+// heartbeatEvery is the interval between heartbeats of a target.
 const heartbeatEvery = 600 * time.Millisecond
 
 // drainGrace is how long after the acknowledgement a new flow may still reach a
-// draining target: an agent that was restarted knows after the next heartbeat.
+// draining target. A restarted agent learns of the drain with the next heartbeat.
 const drainGrace = 3 * time.Second
 
-// livesOfAnID is how many targets in a row that serve the same start under one ID.
-const livesOfAnID = 3
+// incarnationsPerID is how many successive targets beside an agent start under the
+// same ID if they serve the same service.
+const incarnationsPerID = 3
 
-// startTarget starts a fresh target beside an agent.
-func (s *site) startTarget(n *packetNode) error {
+// startTarget starts a new target beside an agent.
+func (s *site) startTarget(n *packetAgent) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	id := fmt.Sprintf("%s-%s-%d", n.name, services[n.service], n.targets/livesOfAnID)
-	n.targets++
-	h, err := platformtest.StartTarget(id, platformtest.TargetConfig{
+	id := fmt.Sprintf("%s-%s-%d", n.name, services[n.service], n.targetStarts/incarnationsPerID)
+	n.targetStarts++
+	target, err := platformtest.StartTarget(id, platformtest.TargetConfig{
 		Service: services[n.service], ListenAddr: netip.AddrPortFrom(n.addr, portApp),
-		AgentAddr: netip.AddrPortFrom(n.addr, portOutbound), AgentControlAddr: at(n.addr, portControl),
+		AgentAddr: netip.AddrPortFrom(n.addr, portOutbound), AgentControlAddr: hostPort(n.addr, portControl),
 		Slots: 5, HeartbeatEvery: heartbeatEvery, Grace: drainGrace,
 	})
 	if err != nil {
 		return errors.Wrapf(err, "target beside %s", n.name)
 	}
-	n.target = h
+	n.target = target
 	return nil
 }
 
-// crashTarget ends the target beside an agent.
-func (n *packetNode) crashTarget() {
+// crashTarget crashes the target beside an agent.
+func (n *packetAgent) crashTarget() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.target != nil {
@@ -199,36 +200,36 @@
 	}
 }
 
-// extraFront is the entrance of a route that comes with a configuration's
-// version.
-func extraFront(version int64) flow.Front {
+// versionFront returns the address of the route that only one version of the
+// configuration has.
+func versionFront(version int64) flow.Front {
 	return flow.Front{IP: 0xc6130000 + flow.IPv4(version), Port: 443}
 }
 
-// idleFront is the entrance of a route that sees no traffic.
-func idleFront(i int) flow.Front { return flow.Front{IP: 0xc6140000 + flow.IPv4(i), Port: 443} }
+// idleRouteFront returns the address of a route without traffic.
+func idleRouteFront(i int) flow.Front { return flow.Front{IP: 0xc6140000 + flow.IPv4(i), Port: 443} }
 
-// putConfig writes the next configuration: the services' routes, one of its own and
-// those that see no traffic.
+// putConfig writes the next version of the configuration: the routes of the services,
+// one route of this version and the routes without traffic.
 func (s *site) putConfig() error {
 	s.version++
 	c := &flow.Config{Version: s.version, IdleTimeout: 15 * time.Second, Routes: map[flow.Front]*flow.Route{
-		extraFront(s.version): {Name: "extra", Backends: []flow.Backend{{Name: services[0]}}},
+		versionFront(s.version): {Name: "extra", Backends: []flow.Backend{{Name: services[0]}}},
 	}}
 	for i, service := range services {
-		c.Routes[front(i)] = &flow.Route{Name: service, Backends: []flow.Backend{{Name: service}}}
+		c.Routes[frontOf(i)] = &flow.Route{Name: service, Backends: []flow.Backend{{Name: service}}}
 	}
-	for i := range s.grown {
-		c.Routes[idleFront(i)] = &flow.Route{Name: fmt.Sprintf("idle-%064d", i), Backends: []flow.Backend{{Name: services[0]}}}
+	for i := range s.idleRoutes {
+		c.Routes[idleRouteFront(i)] = &flow.Route{Name: fmt.Sprintf("idle-%064d", i), Backends: []flow.Backend{{Name: services[0]}}}
 	}
 	return platformtest.PutConfig(s.store, c)
 }
 
-// stop ends everything.
+// stop stops all processes, targets, routers and the store.
 func (s *site) stop() {
 	for _, n := range nodes(s) {
 		n.kill()
-		n.way.Close()
+		n.storeProxy.Close()
 	}
 	for _, n := range s.agents {
 		n.crashTarget()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -14,78 +14,85 @@
 	"github.com/poppywall/poppywall/platform/platformtest"
 )
 
-// Config is one run.
+// Config configures a run.
 type Config struct {
-	// Bin holds the binaries, Dir takes settings and logs.
+	// Bin is the directory of the binaries, Dir the one for settings and logs.
 	Bin, Dir string
 	Seed     uint64
-	// Slot keeps the addresses of runs at the same time apart, 0 to 100.
+	// Slot selects the loopback addresses, 0 to 100. Concurrent runs need different
+	// slots.
 	Slot              int
 	Balancers, Agents int
 	Clients           int
-	// Faults is how many faults come one after the other, some overlapping.
+	// Faults is the number of faults to inject. They start one after the other, and
+	// some overlap.
 	Faults int
 }
 
 // Report is the outcome of a run.
 type Report struct {
 	Seed uint64
-	// Journal says what was injected when.
+	// Journal lists the injected faults with their times.
 	Journal []string
-	// Requests were answered, Refused were answered by an error; Resets and Silent
-	// are flows that ended otherwise for a reason that the promises allow.
+	// Requests is the number of answered requests and Refused of those answered with
+	// an error. Resets and Silent are flows or requests that ended with a reset or
+	// without an answer; where the guarantees do not allow that, there is a violation
+	// as well.
 	Requests, Refused, Resets, Silent int
-	// Violations are broken promises.
+	// Violations are the violated guarantees.
 	Violations []string
 }
 
-// recorder collects what the clients see.
+// recorder collects the report from the clients and the fault injection.
 type recorder struct {
 	// mu guards report.
-	mu     sync.Mutex
-	report Report
-	began  time.Time
+	mu        sync.Mutex
+	report    Report
+	startedAt time.Time
 }
 
-// note adds a line to the journal.
-func (r *recorder) note(format string, args ...any) {
+// logEvent adds a line to the journal.
+func (r *recorder) logEvent(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := time.Since(r.began).Seconds()
+	at := time.Since(r.startedAt).Seconds()
 	r.report.Journal = append(r.report.Journal, fmt.Sprintf("%7.3f  ", at)+fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) violate(format string, args ...any) {
+func (r *recorder) addViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := time.Since(r.began).Seconds()
+	at := time.Since(r.startedAt).Seconds()
 	r.report.Violations = append(r.report.Violations, fmt.Sprintf("%7.3f  ", at)+fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) count(c *int) {
+func (r *recorder) increment(c *int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	*c++
 }
 
-// Times of a run.
+// Durations of a run.
 const (
-	// startTime is how long a deployment may take to be in rotation.
-	startTime = 20 * time.Second
-	// settle is how long after the last fault everything has to work again.
-	settle = 6 * time.Second
-	// emptyWatch is how long zones that stay emptied are looked at after that.
-	emptyWatch = 1500 * time.Millisecond
-	// patience is how long a request may take under faults, and calm at the end.
-	patience = 8 * time.Second
-	calm     = 3 * time.Second
-	// configTime is how long an accepted configuration may take.
-	configTime = 3 * time.Second
+	// startTimeout is how long the balancers may take to become ready.
+	startTimeout = 20 * time.Second
+	// settleTime is the time after the last fault within which the system has to
+	// recover.
+	settleTime = 6 * time.Second
+	// evacuationWatch is how long zones that stay evacuated are observed after that.
+	evacuationWatch = 1500 * time.Millisecond
+	// requestTimeout is the timeout of a request under faults, settledTimeout that of
+	// the requests after settleTime.
+	requestTimeout = 8 * time.Second
+	settledTimeout = 3 * time.Second
+	// configTimeout is how long an accepted configuration may take to be in force.
+	configTimeout = 3 * time.Second
 )
 
-// Run runs one seed. An error is a failure of the run itself.
+// Run runs one seed against the packet front. An error means that the run itself
+// failed.
 func Run(cfg Config) (Report, error) {
-	rec := &recorder{report: Report{Seed: cfg.Seed}, began: time.Now()}
+	rec := &recorder{report: Report{Seed: cfg.Seed}, startedAt: time.Now()}
 	s, err := newSite(cfg)
 	if err != nil {
 		return rec.report, err
@@ -104,30 +111,30 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c.work(done)
+			c.run(done)
 		}()
 	}
-	inject(s, cfg, packetFaults, rand.New(rand.NewPCG(cfg.Seed, 1)), rec)
-	time.Sleep(settle)
-	settled := time.Now()
-	time.Sleep(emptyWatch)
-	checkEmptied(s, settled, rec)
+	injectFaults(s, cfg, packetFaults, rand.New(rand.NewPCG(cfg.Seed, 1)), rec)
+	time.Sleep(settleTime)
+	settledAt := time.Now()
+	time.Sleep(evacuationWatch)
+	checkEvacuated(s, settledAt, rec)
 	close(done)
 	wg.Wait()
 	for _, c := range clients {
-		c.finish()
+		c.checkOpenFlows()
 	}
 	checkConfig(s, clients[0], rec)
 	for _, n := range s.agents {
-		if h := n.current(); h != nil && h.LateSYNs() > 0 {
-			rec.violate("%d new flows at target %s after its drain was acknowledged", h.LateSYNs(), h.ID)
+		if target := n.currentTarget(); target != nil && target.LateSYNs() > 0 {
+			rec.addViolation("%d new flows at target %s after its drain was acknowledged", target.LateSYNs(), target.ID)
 		}
 	}
 	return rec.report, nil
 }
 
 func (s *site) waitInRotation() error {
-	for end := time.Now().Add(startTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if s.routers.InRotation() == len(s.balancers) {
 			return nil
 		}
@@ -135,22 +142,22 @@
 	return errors.New("the balancers did not become ready")
 }
 
-// client keeps flows to one service open and asks on them.
+// client keeps flows to one service open and sends requests on them.
 type client struct {
-	site    *site
-	rec     *recorder
-	id      int
-	service int
-	rnd     *rand.Rand
-	machine *platformtest.Client
-	flows   []*platformtest.Flow
-	asked   int
+	site     *site
+	rec      *recorder
+	id       int
+	service  int
+	rnd      *rand.Rand
+	machine  *platformtest.Client
+	flows    []*platformtest.Flow
+	requests int
 }
 
 func newClients(s *site, rec *recorder) ([]*client, error) {
 	var out []*client
 	for i := range s.cfg.Clients {
-		addr := netip.AddrPortFrom(s.cfg.address(kindClient, i), portData)
+		addr := netip.AddrPortFrom(s.cfg.address(addrClient, i), portData)
 		machine, err := platformtest.NewClient(addr, s.routers.Send)
 		if err != nil {
 			return nil, err
@@ -163,79 +170,80 @@
 	return out, nil
 }
 
-// flowsEach is how many flows a client keeps open.
-const flowsEach = 4
+// flowsPerClient is the number of flows that a client keeps open.
+const flowsPerClient = 4
 
-// work opens flows and asks on them until done.
-func (c *client) work(done chan struct{}) {
+// run opens flows and sends requests on them until done is closed.
+func (c *client) run(done chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
 		case <-time.After(time.Duration(c.rnd.IntN(60)) * time.Millisecond):
 		}
-		if len(c.flows) < flowsEach {
-			c.open()
+		if len(c.flows) < flowsPerClient {
+			c.openFlow()
 			continue
 		}
 		i := c.rnd.IntN(len(c.flows))
-		if !c.ask(c.flows[i], patience) {
+		if !c.request(c.flows[i], requestTimeout) {
 			c.flows = append(c.flows[:i], c.flows[i+1:]...)
 		}
 	}
 }
 
-func (c *client) open() {
-	f, err := c.machine.Open(front(c.service))
+func (c *client) openFlow() {
+	f, err := c.machine.Open(frontOf(c.service))
 	if err != nil {
-		c.rec.count(&c.rec.report.Silent)
+		c.rec.increment(&c.rec.report.Silent)
 		return
 	}
-	if c.ask(f, patience) {
+	if c.request(f, requestTimeout) {
 		c.flows = append(c.flows, f)
 	}
 }
 
-// ask sends a request and checks its answer; it tells whether the flow lives on.
-func (c *client) ask(f *platformtest.Flow, patience time.Duration) bool {
-	c.asked++
-	body := fmt.Sprintf("c%d-%d", c.id, c.asked)
-	answer, err := f.Request(body, patience)
+// request sends a request and checks its answer. It reports whether the flow is still
+// usable.
+func (c *client) request(f *platformtest.Flow, timeout time.Duration) bool {
+	c.requests++
+	body := fmt.Sprintf("c%d-%d", c.id, c.requests)
+	answer, err := f.Request(body, timeout)
 	switch {
 	case errors.Is(err, platformtest.ErrReset):
-		c.rec.count(&c.rec.report.Resets)
-		if h := c.site.holder(f.Key); h != nil {
-			c.rec.violate("flow %v was reset while its target %s lives", f.Key, h.ID)
+		c.rec.increment(&c.rec.report.Resets)
+		if target := c.site.targetOfFlow(f.Key); target != nil {
+			c.rec.addViolation("flow %v was reset while its target %s is alive", f.Key, target.ID)
 		}
 		return false
 	case err != nil:
-		c.rec.count(&c.rec.report.Silent)
+		c.rec.increment(&c.rec.report.Silent)
 		return false
 	}
-	c.rec.count(&c.rec.report.Requests)
+	c.rec.increment(&c.rec.report.Requests)
 	if !strings.HasPrefix(answer, services[c.service]+" ") || !strings.HasSuffix(answer, " "+body) {
-		c.rec.violate("client %d asked %q of %s and got %q", c.id, body, services[c.service], answer)
+		c.rec.addViolation("client %d sent %q to %s and received %q", c.id, body, services[c.service], answer)
 	}
 	return true
 }
 
-// holder returns the target that lives and holds a flow.
-func (s *site) holder(key flow.Key) *platformtest.Target {
+// targetOfFlow returns the running target at which a flow is open, or nil.
+func (s *site) targetOfFlow(key flow.Key) *platformtest.Target {
 	for _, n := range s.agents {
-		if h := n.current(); h != nil && h.HasOpenFlow(key) {
-			return h
+		if target := n.currentTarget(); target != nil && target.HasOpenFlow(key) {
+			return target
 		}
 	}
 	return nil
 }
 
-// finish asks once more on every open flow: after the faults each flow whose
-// target lives has to be served.
-func (c *client) finish() {
+// checkOpenFlows sends a request on every open flow. After the faults each flow whose
+// target still runs has to be served.
+func (c *client) checkOpenFlows() {
 	for _, f := range c.flows {
-		h := c.site.holder(f.Key)
-		if !c.ask(f, calm) && h != nil && c.site.holder(f.Key) == h {
-			c.rec.violate("flow %v at target %s is not served after the faults", f.Key, h.ID)
+		target := c.site.targetOfFlow(f.Key)
+		if !c.request(f, settledTimeout) && target != nil && c.site.targetOfFlow(f.Key) == target {
+			c.rec.addViolation("flow %v at target %s is not served after the faults", f.Key, target.ID)
 		}
 	}
 	c.machine.Close()
@@ -245,28 +253,28 @@
 // every balancer.
 func checkConfig(s *site, _ *client, rec *recorder) {
 	if err := s.putConfig(); err != nil {
-		rec.violate("configuration: %v", err)
+		rec.addViolation("configuration: %v", err)
 		return
 	}
-	time.Sleep(configTime)
+	time.Sleep(configTimeout)
 	for i, b := range s.balancers {
 		members := []platformtest.Balancer{{
 			Data: netip.AddrPortFrom(b.addr, portData), Ready: netip.AddrPortFrom(b.addr, portReady),
 		}}
-		one, err := platformtest.NewRouters(members, 1)
+		routers, err := platformtest.NewRouters(members, 1)
 		if err != nil {
-			rec.violate("routers: %v", err)
+			rec.addViolation("routers: %v", err)
 			return
 		}
-		machine, err := platformtest.NewClient(netip.AddrPortFrom(s.cfg.address(kindClient, 200+i), portData), one.Send)
+		machine, err := platformtest.NewClient(netip.AddrPortFrom(s.cfg.address(addrClient, 200+i), portData), routers.Send)
 		if err != nil {
-			rec.violate("client: %v", err)
+			rec.addViolation("client: %v", err)
 			return
 		}
-		if _, err := machine.Open(extraFront(s.version)); err != nil {
-			rec.violate("%s: the route of version %d is not in force: %v", b.name, s.version, err)
+		if _, err := machine.Open(versionFront(s.version)); err != nil {
+			rec.addViolation("%s: the route of version %d is not in force: %v", b.name, s.version, err)
 		}
 		machine.Close()
-		one.Close()
+		routers.Close()
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestShortSoak runs one seed of each front against the real programs;
-// poppywall-soak runs more and longer ones.
+// TestShortSoak guards against violations of the guarantees under faults, with one
+// seed of each front against the real programs. poppywall-soak runs more seeds and
+// longer ones.
 func TestShortSoak(t *testing.T) {
 	bin := t.TempDir()
 	for _, name := range []string{"poppywall-balancer", "poppywall-agent"} {
