--- a/measure/choice.go
+++ b/measure/choice.go
@@ -85,9 +85,12 @@
 	pendingReports []loadReports
 	lastReports    loadReports
 	spreads        []load.Spread
+	// earlyFlows are the new flows of the first two seconds, addedHostFlows those of
+	// them that went to the added host.
 	addedHostFlows int
 	earlyFlows     int
-	addedHost      int
+	// addedHost is the index of the added host, or -1 if there is none.
+	addedHost int
 }
 
 // loadReports are the open flows of all hosts at one time, as reported to the
@@ -97,6 +100,7 @@
 	open []int
 }
 
+// simStart is the start of the simulated time in all simulations.
 var simStart = time.Unix(1_700_000_000, 0)
 
 func newChoiceSim(name string, o ChoiceOptions) *choiceSim {
@@ -141,6 +145,7 @@
 	}
 }
 
+// steadyFlows returns the number of open flows in the steady state.
 func (s *choiceSim) steadyFlows() int {
 	sum := 0
 	for i, c := range s.capacity {
@@ -159,6 +164,7 @@
 	}
 }
 
+// startFlow starts a flow at a random balancer.
 func (s *choiceSim) startFlow(now time.Time) {
 	host := s.policies[s.rnd.IntN(len(s.policies))].pick(now, s.rnd)
 	s.open[host]++
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -199,6 +199,8 @@
 	return float64(s.opts.Slots) / float64(n) / (1 + s.opts.Overhead*surplus)
 }
 
+// nextCompletion returns when the next job completes, or false if none is being
+// served.
 func (s *overloadSim) nextCompletion() (time.Time, bool) {
 	soonest := math.Inf(1)
 	for i := range s.servers {
@@ -288,6 +290,7 @@
 	return best
 }
 
+// applyDecisions starts or refuses queued jobs as the admission controller decided.
 func (s *overloadSim) applyDecisions(decisions []admission.Decision) {
 	for _, d := range decisions {
 		j, ok := s.queued[d.Ticket]
