--- a/agent/handover_test.go
+++ b/agent/handover_test.go
@@ -344,7 +344,7 @@
 		go func() { defer concurrent.Done(); assert.NoError(t, request()) }()
 	}
 	concurrent.Wait()
-	proxy.Silence()
+	proxy.Blackhole()
 	err = request()
 	require.Equal(t, verdict.Unknown, verdict.FromError(err), "the request may have run")
 	require.NoError(t, request())
--- a/agent/packetfront/admission.go
+++ b/agent/packetfront/admission.go
@@ -223,7 +223,7 @@
 	c.updateSlots(now)
 	r.request.began = time.Time{}
 	if requestID != nil {
-		c.events.Request(key, requestID, c.flows.running, c.target.slots())
+		c.events.RequestDelivered(key, requestID, c.flows.running, c.target.slots())
 	}
 }
 
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -35,26 +35,26 @@
 // discardEvents discards all events.
 type discardEvents struct{}
 
-func (discardEvents) Delivered()                                         {}
-func (discardEvents) Request(flow.Key, []byte, int, int)                 {}
-func (discardEvents) Queued(flow.Key, []byte, int, time.Duration)        {}
-func (discardEvents) Postponed(flow.Key, time.Duration)                  {}
-func (discardEvents) AbandonedInQueue(flow.Key, time.Duration)           {}
-func (discardEvents) Withheld(flow.Key, []byte, AbandonReason)           {}
-func (discardEvents) AbandonedAtTarget(flow.Key, time.Duration)          {}
-func (discardEvents) PassedOn(flow.Key, string, int)                     {}
-func (discardEvents) Bounced(flow.Key, bool)                             {}
-func (discardEvents) Reset(flow.Key, string)                             {}
-func (discardEvents) Dropped(DropReason)                                 {}
-func (discardEvents) TargetReport(string, fleet.Heartbeat)               {}
-func (discardEvents) RequestFailed()                                     {}
-func (discardEvents) Ejected(bool, int, int)                             {}
-func (discardEvents) OnProbation(int, time.Duration)                     {}
-func (discardEvents) Overloaded(bool, backlog.Load, int, time.Duration)  {}
-func (discardEvents) PeerChanged(flow.IPv4, string)                      {}
-func (discardEvents) ZoneRelayed(flow.Tag, int, bool)                    {}
-func (discardEvents) BalancerProbed(flow.IPv4, time.Duration)            {}
-func (discardEvents) EvacuationsChanged(_, _ flow.Evacuations, _ string) {}
+func (discardEvents) Delivered()                                             {}
+func (discardEvents) RequestDelivered(flow.Key, []byte, int, int)            {}
+func (discardEvents) Queued(flow.Key, []byte, int, time.Duration)            {}
+func (discardEvents) Postponed(flow.Key, time.Duration)                      {}
+func (discardEvents) AbandonedInQueue(flow.Key, time.Duration)               {}
+func (discardEvents) Withheld(flow.Key, []byte, AbandonReason)               {}
+func (discardEvents) AbandonedAtTarget(flow.Key, time.Duration)              {}
+func (discardEvents) PassedOn(flow.Key, string, int)                         {}
+func (discardEvents) Bounced(flow.Key, bool)                                 {}
+func (discardEvents) Reset(flow.Key, string)                                 {}
+func (discardEvents) Dropped(DropReason)                                     {}
+func (discardEvents) TargetReport(string, fleet.Heartbeat)                   {}
+func (discardEvents) RequestFailed()                                         {}
+func (discardEvents) Ejected(bool, int, int)                                 {}
+func (discardEvents) OnProbation(int, time.Duration)                         {}
+func (discardEvents) OverloadChanged(bool, backlog.Load, int, time.Duration) {}
+func (discardEvents) PeerChanged(flow.IPv4, string)                          {}
+func (discardEvents) ZoneRelayed(flow.Tag, int, bool)                        {}
+func (discardEvents) Probed(flow.IPv4, time.Duration)                        {}
+func (discardEvents) EvacuationsChanged(_, _ flow.Evacuations, _ string)     {}
 
 // eventCounts counts abandoned requests and overloads.
 type eventCounts struct {
@@ -67,7 +67,7 @@
 func (t *eventCounts) AbandonedAtTarget(flow.Key, time.Duration) { t.abandonedAtTarget++ }
 func (t *eventCounts) AbandonedInQueue(flow.Key, time.Duration)  { t.abandonedInQueue++ }
 
-func (t *eventCounts) Overloaded(active bool, _ backlog.Load, _ int, _ time.Duration) {
+func (t *eventCounts) OverloadChanged(active bool, _ backlog.Load, _ int, _ time.Duration) {
 	if active {
 		t.overloads++
 	}
--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -39,9 +39,9 @@
 type Events interface {
 	// Delivered reports a packet that was sent to the target.
 	Delivered()
-	// Request reports a request whose first packet was delivered to the target. busy is the
+	// RequestDelivered reports a request whose first packet was delivered to the target. busy is the
 	// number of requests at the target, this one included; slots is its concurrency.
-	Request(key flow.Key, requestID []byte, busy, slots int)
+	RequestDelivered(key flow.Key, requestID []byte, busy, slots int)
 	// Queued reports a request that waits for a free slot of the target. queued is the number of
 	// requests that were waiting before it, wait its expected wait.
 	Queued(key flow.Key, requestID []byte, queued int, wait time.Duration)
@@ -78,17 +78,17 @@
 	// OnProbation reports a target that is up again after the given number of consecutive crashes
 	// and gets no new flows during its probation.
 	OnProbation(crashes int, probation time.Duration)
-	// Overloaded reports the start or the end of an overload of the target. queued is the number
+	// OverloadChanged reports the start or the end of an overload of the target. queued is the number
 	// of requests that wait for a slot, wait the expected wait of a new one.
-	Overloaded(active bool, load backlog.Load, queued int, wait time.Duration)
+	OverloadChanged(active bool, load backlog.Load, queued int, wait time.Duration)
 	// PeerChanged reports that a balancer has joined or was removed from the view.
 	PeerChanged(ip flow.IPv4, change string)
 	// ZoneRelayed reports whether announcements to another zone go through relays from now on, or
 	// directly, and how many of its balancers were seen recently.
 	ZoneRelayed(zone flow.Tag, balancers int, relayed bool)
-	// BalancerProbed reports that a balancer of another zone is probed because its relayed messages
+	// Probed reports that a balancer of another zone is probed because its relayed messages
 	// have stopped arriving; sinceLastSeen is the time since it was last seen.
-	BalancerProbed(ip flow.IPv4, sinceLastSeen time.Duration)
+	Probed(ip flow.IPv4, sinceLastSeen time.Duration)
 	// EvacuationsChanged reports that the set of evacuated zones has changed; from is the balancer
 	// that the change came from.
 	EvacuationsChanged(current, previous flow.Evacuations, from string)
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -172,7 +172,7 @@
 // the stop to the balancers.
 func (f *Front) deregister() {
 	removeEntry := false
-	f.locked(func(time.Time) { removeEntry = f.core.RemovesEntry() })
+	f.locked(func(time.Time) { removeEntry = f.core.MustRemoveEntry() })
 	if removeEntry {
 		f.entry.Deregister()
 	}
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -96,8 +96,8 @@
 // Delivered implements Events.
 func (o *observer) Delivered() { o.delivered.Inc() }
 
-// Request implements Events.
-func (o *observer) Request(key flow.Key, requestID []byte, busy, slots int) {
+// RequestDelivered implements Events.
+func (o *observer) RequestDelivered(key flow.Key, requestID []byte, busy, slots int) {
 	o.requested.Inc()
 	o.load.Observe(float64(busy))
 	o.Write(&o.requests, "request delivered", zap.Stringer(fieldFlow, key), zap.ByteString(fieldRequest, requestID),
@@ -185,8 +185,8 @@
 	o.Write(&o.reports, "target restarted, on probation", zap.Int("ends", crashes), zap.Duration("proof", probation))
 }
 
-// Overloaded implements Events.
-func (o *observer) Overloaded(active bool, load backlog.Load, queued int, wait time.Duration) {
+// OverloadChanged implements Events.
+func (o *observer) OverloadChanged(active bool, load backlog.Load, queued int, wait time.Duration) {
 	msg := "overload has ended"
 	o.overloaded.Set(0)
 	if active {
@@ -213,8 +213,8 @@
 	o.Log.Info("relaying to another zone changed", zap.Uint32("zone_tag", uint32(zone)), zap.Int("balancers", balancers), zap.Bool("relayed", relayed))
 }
 
-// BalancerProbed implements Events.
-func (o *observer) BalancerProbed(ip flow.IPv4, sinceLastSeen time.Duration) {
+// Probed implements Events.
+func (o *observer) Probed(ip flow.IPv4, sinceLastSeen time.Duration) {
 	o.probed.Inc()
 	o.Write(&o.other, "relayed messages of a node stopped, probing it", zap.Stringer(telemetry.FieldPeer, ip), zap.Duration("silent", sinceLastSeen))
 }
--- a/agent/packetfront/overload.go
+++ b/agent/packetfront/overload.go
@@ -69,7 +69,7 @@
 		return
 	}
 	c.overload.active = active
-	c.events.Overloaded(active, c.overload.Load(now), c.queue.Len(), wait)
+	c.events.OverloadChanged(active, c.overload.Load(now), c.queue.Len(), wait)
 	c.nextSameZone = now
 	if next := c.overload.changedAt.Add(crossZoneNotifyPause); next.Before(c.nextCrossZone) {
 		c.nextCrossZone = next
--- a/agent/packetfront/presence.go
+++ b/agent/packetfront/presence.go
@@ -15,9 +15,9 @@
 // TargetEnded reports whether the target has deregistered or is known to have ended.
 func (c *Core) TargetEnded() bool { return !c.target.deregisteredAt.IsZero() || c.target.absent() }
 
-// RemovesEntry reports whether the agent, which is about to stop, has to remove its registry
+// MustRemoveEntry reports whether the agent, which is about to stop, has to remove its registry
 // entry because its target has ended.
-func (c *Core) RemovesEntry() bool {
+func (c *Core) MustRemoveEntry() bool {
 	if !c.TargetEnded() || c.registration == fleet.RegistrationRemoved {
 		return false
 	}
--- a/agent/packetfront/relay.go
+++ b/agent/packetfront/relay.go
@@ -108,7 +108,7 @@
 func (c *Core) probeOverdue(now time.Time) {
 	for _, ip := range c.view.PeersToProbe(now, c.opts.Zone, probeBalancersAfter, false) {
 		p, _ := c.view.Peer(ip)
-		c.events.BalancerProbed(ip, now.Sub(p.LastSeen))
+		c.events.Probed(ip, now.Sub(p.LastSeen))
 		c.probeBalancer(now, ip)
 	}
 }
--- a/agent/reset_test.go
+++ b/agent/reset_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	ca, err := standin.NewAuthority()
 	require.NoError(t, err)
-	certPath, keyPath, err := ca.WritePair(t.TempDir(), "tables.example")
+	certPath, keyPath, err := ca.WriteKeyPair(t.TempDir(), "tables.example")
 	require.NoError(t, err)
 	pair, err := tls.LoadX509KeyPair(certPath, keyPath)
 	require.NoError(t, err)
--- a/balancer/packetfront/front_test.go
+++ b/balancer/packetfront/front_test.go
@@ -182,7 +182,7 @@
 	for range 3 {
 		_, err = client.Fetch(t.Context(), netip.MustParseAddrPort(proxy.Addr()))
 		require.NoError(t, err)
-		proxy.Silence()
+		proxy.Blackhole()
 	}
 }
 
@@ -195,7 +195,7 @@
 	f := startFront(t, 77, proxy.Addr())
 	require.Eventually(t, func() bool { return f.version() == 3 }, 5*time.Second, 5*time.Millisecond)
 	time.Sleep(50 * time.Millisecond)
-	proxy.Silence()
+	proxy.Blackhole()
 	putVersion(t, s, 4)
 	require.Eventually(t, func() bool { return f.version() == 4 }, f.cfg.CatchUpWithin.D(), 5*time.Millisecond)
 }
--- a/balancer/packetfront/largeconfig_test.go
+++ b/balancer/packetfront/largeconfig_test.go
@@ -77,7 +77,7 @@
 	size := putLargeConfig(t, s, 1, maxConfigRoutes)
 	require.Greater(t, size, 1_000_000)
 	proxy := newProxy(t, serveStore(t, s))
-	proxy.Narrow(narrowLink)
+	proxy.LimitRate(narrowLink)
 
 	f := startFront(t, 73, proxy.Addr())
 	require.Eventually(t, func() bool { return f.version() == 1 }, maxConfigDelay, 5*time.Millisecond)
@@ -92,13 +92,13 @@
 	f := startFront(t, 74, proxy.Addr())
 	require.Eventually(t, func() bool { return f.version() == 1 }, 5*time.Second, 5*time.Millisecond)
 
-	proxy.Refuse(true)
+	proxy.RefuseConnections(true)
 	proxy.Reset()
 	const last = 6
 	for version := int64(2); version <= last; version++ {
 		putLargeConfig(t, s, version, maxConfigRoutes)
 	}
-	proxy.Refuse(false)
+	proxy.RefuseConnections(false)
 	require.Eventually(t, func() bool { return f.version() == last }, f.cfg.CatchUpWithin.D(), 5*time.Millisecond)
 }
 
@@ -108,12 +108,12 @@
 	s := standin.NewStore(time.Now)
 	putLargeConfig(t, s, 1, maxConfigRoutes)
 	proxy := newProxy(t, serveStore(t, s))
-	proxy.Narrow(narrowLink)
+	proxy.LimitRate(narrowLink)
 	f := startFront(t, 75, proxy.Addr())
 	require.Eventually(t, func() bool { return f.version() == 1 }, maxConfigDelay, 5*time.Millisecond)
 	time.Sleep(50 * time.Millisecond)
 
-	proxy.Silence()
+	proxy.Blackhole()
 	putLargeConfig(t, s, 2, maxConfigRoutes)
 	require.Eventually(t, func() bool { return f.version() == 2 }, f.cfg.CatchUpWithin.D(), 5*time.Millisecond)
 }
--- a/balancer/packetfront/operator_test.go
+++ b/balancer/packetfront/operator_test.go
@@ -20,11 +20,11 @@
 
 // evacuateZone writes the key that evacuates a zone; its value does not matter.
 func evacuateZone(s *standin.Store, zone string) {
-	s.Operator(store.Put{Key: platform.EvacuateKey(zone), Value: []byte("{}")})
+	s.PutAsOperator(store.Put{Key: platform.EvacuateKey(zone), Value: []byte("{}")})
 }
 
 // endEvacuation removes the key that evacuates a zone.
-func endEvacuation(s *standin.Store, zone string) { s.OperatorRemoves(platform.EvacuateKey(zone)) }
+func endEvacuation(s *standin.Store, zone string) { s.DeleteAsOperator(platform.EvacuateKey(zone)) }
 
 // evacuatedZones returns the zones that are evacuated in the view of a front.
 func (f *Front) evacuatedZones() (zones []string) {
@@ -122,18 +122,18 @@
 	putVersion(t, s, 1)
 	long := strings.Repeat("z", flow.MaxZoneName+1)
 	for _, key := range []string{"op/", "op/evacuate", "op/evacuate/", "op/evacuate/" + long, "op/config/old", "op/configs", "op/zone/z1", "opposite"} {
-		s.Operator(store.Put{Key: key, Value: []byte("\xff\x00")})
+		s.PutAsOperator(store.Put{Key: key, Value: []byte("\xff\x00")})
 	}
 	for i := range 1200 {
-		s.Operator(store.Put{Key: fmt.Sprintf("op/drain/%04d", i)})
+		s.PutAsOperator(store.Put{Key: fmt.Sprintf("op/drain/%04d", i)})
 	}
-	s.Operator(store.Put{Key: platform.EvacuateKey("z9"), Value: []byte("no JSON")})
-	s.Operator(store.Put{Key: "op/zzz"})
+	s.PutAsOperator(store.Put{Key: platform.EvacuateKey("z9"), Value: []byte("no JSON")})
+	s.PutAsOperator(store.Put{Key: "op/zzz"})
 	f := startFront(t, 93, serveStore(t, s))
 	waitForEvacuated(t, f, "z9")
 	require.Eventually(t, func() bool { return f.version() == 1 }, 3*time.Second, time.Millisecond)
-	s.Operator(store.Put{Key: "op/evacuate/" + long})
-	s.OperatorRemoves("op/evacuate/", "op/evacuate", "op/drain/0001")
+	s.PutAsOperator(store.Put{Key: "op/evacuate/" + long})
+	s.DeleteAsOperator("op/evacuate/", "op/evacuate", "op/drain/0001")
 	evacuateZone(s, "z1")
 	waitForEvacuated(t, f, "z1", "z9")
 }
--- a/binaries/poppywall-soak/main.go
+++ b/binaries/poppywall-soak/main.go
@@ -31,7 +31,7 @@
 	p.Int(&cfg.Agents, "", "agents", "Agents, each with a host.")
 	p.Int(&cfg.Clients, "", "clients", "Client machines.")
 	p.Int(&cfg.Faults, "", "faults", "Faults of a run.")
-	p.Int(&cfg.Slot, "", "slot", "Keeps the addresses of runs at the same time apart, 0 to 100.")
+	p.Int(&cfg.AddressSlot, "", "slot", "Keeps the addresses of runs at the same time apart, 0 to 100.")
 	p.Bool(&quic, "q", "quic", "Run the QUIC front; the packet front by default.")
 	p.String(&dir, "d", "dir", "Where settings and logs go; a temporary folder by default.")
 	p.String(&bin, "b", "bin", "Folder of the binaries.")
@@ -67,7 +67,7 @@
 			process.Fail(process.ExitFailure, err)
 		}
 		fmt.Printf("seed %d: %d requests, %d refused, %d resets, %d silent, %d violations\n",
-			report.Seed, report.Requests, report.Refused, report.Resets, report.Silent, len(report.Violations))
+			report.Seed, report.Requests, report.Refused, report.Resets, report.Unanswered, len(report.Violations))
 		if len(report.Violations) == 0 {
 			_ = os.RemoveAll(cfg.Dir)
 			continue
@@ -76,7 +76,7 @@
 		for _, v := range report.Violations {
 			fmt.Println("  ", v)
 		}
-		for _, line := range report.Journal {
+		for _, line := range report.Events {
 			fmt.Println("      ", line)
 		}
 		fmt.Printf("   reproduce with: poppywall-soak --seed %d and the same flags; logs in %s\n", cfg.Seed, cfg.Dir)
--- a/binaries/poppywall-standin/main.go
+++ b/binaries/poppywall-standin/main.go
@@ -80,12 +80,12 @@
 
 func runTarget(ctx context.Context, f targetFlags) error {
 	t, err := standin.NewTarget(standin.TargetOptions{
-		Name:      f.name,
-		Slots:     f.slots,
-		Labels:    map[string]string{"service": f.service},
-		Agent:     f.agent,
-		Heartbeat: 500 * time.Millisecond,
-		Work:      time.Duration(f.workMillis) * time.Millisecond,
+		Name:        f.name,
+		Slots:       f.slots,
+		Labels:      map[string]string{"service": f.service},
+		Agent:       f.agent,
+		Heartbeat:   500 * time.Millisecond,
+		ServiceTime: time.Duration(f.workMillis) * time.Millisecond,
 	})
 	if err != nil {
 		return err
--- a/change/change_test.go
+++ b/change/change_test.go
@@ -126,10 +126,10 @@
 			"": func(*rapid.T) { check() },
 			"faults": func(t *rapid.T) {
 				env.store.SetFaults(standin.Faults{
-					Down:         rapid.Bool().Draw(t, "down"),
-					LoseAnswers:  rapid.IntRange(0, 3).Draw(t, "answers"),
-					LoseRequests: rapid.IntRange(0, 2).Draw(t, "requests"),
-					StaleBy:      int64(rapid.IntRange(0, 3).Draw(t, "stale")),
+					Down:          rapid.Bool().Draw(t, "down"),
+					LoseResponses: rapid.IntRange(0, 3).Draw(t, "answers"),
+					LoseRequests:  rapid.IntRange(0, 2).Draw(t, "requests"),
+					StaleBy:       int64(rapid.IntRange(0, 3).Draw(t, "stale")),
 				})
 			},
 			"heal":  func(*rapid.T) { env.store.SetFaults(standin.Faults{}) },
@@ -152,7 +152,7 @@
 		faults standin.Faults
 		want   Outcome
 	}{
-		{"answer lost after the write", standin.Faults{LoseAnswers: 1}, Accepted},
+		{"answer lost after the write", standin.Faults{LoseResponses: 1}, Accepted},
 		{"request lost", standin.Faults{LoseRequests: 1}, Rejected},
 		{"down before", standin.Faults{Down: true}, Rejected},
 	} {
@@ -161,7 +161,7 @@
 		require.Equal(t, c.want, env.apply(env.store, Document{Items: []Item{targetItem(1, true)}}).Outcome, c.name)
 	}
 	env := newTestEnv()
-	env.store.SetFaults(standin.Faults{LoseAnswers: 1})
+	env.store.SetFaults(standin.Faults{LoseResponses: 1})
 	r := &racingStore{Store: env.store}
 	env.onSleep = func() {}
 	down := &outageAfterTxn{r}
@@ -183,7 +183,7 @@
 		names, addresses := []string{"a", "b", "c"}, []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}
 		t.Repeat(map[string]func(*rapid.T){
 			"set": func(t *rapid.T) {
-				env.store.SetFaults(standin.Faults{LoseAnswers: rapid.IntRange(0, 1).Draw(t, "lose")})
+				env.store.SetFaults(standin.Faults{LoseResponses: rapid.IntRange(0, 1).Draw(t, "lose")})
 				env.apply(env.store, Document{Items: []Item{serviceItem(
 					rapid.SampledFrom(names).Draw(t, "name"), rapid.SampledFrom(addresses).Draw(t, "address"))}})
 			},
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -149,7 +149,7 @@
 	defer c.Close()
 	callEcho := func() error { return c.Call(t.Context(), proxy.Addr(), "echo", echo{"hello"}, &echo{}) }
 	require.NoError(t, callEcho())
-	proxy.Silence()
+	proxy.Blackhole()
 	require.Error(t, callEcho())
 	require.NoError(t, callEcho())
 }
--- a/e2e/packets/blackout_test.go
+++ b/e2e/packets/blackout_test.go
@@ -145,7 +145,7 @@
 	w.Run(4 * time.Second)
 	c := w.addClient("z1", frontA)
 	w.Run(time.Second)
-	w.StoreBack = w.Now.Add(500 * time.Millisecond)
+	w.StoreDownUntil = w.Now.Add(500 * time.Millisecond)
 	w.Run(100 * time.Millisecond)
 	for _, ip := range w.BalancerIPs() {
 		w.Balancers[ip].Restart(time.Second)
@@ -176,7 +176,7 @@
 			w.AddBalancer("z2")
 		}
 		w.Run(3 * time.Second)
-		w.StoreBack = w.Now.Add(2 * time.Second)
+		w.StoreDownUntil = w.Now.Add(2 * time.Second)
 		unregistered := w.addAgent("z3", serviceA)
 		w.Run(600 * time.Millisecond)
 		for _, a := range sortedAgents(w) {
--- a/e2e/packets/evacuation_test.go
+++ b/e2e/packets/evacuation_test.go
@@ -23,7 +23,7 @@
 
 // setEvacuated evacuates a zone or returns it to service.
 func (w *world) setEvacuated(zone string, evacuated bool) {
-	if !w.Empty(zone, evacuated) {
+	if !w.SetEvacuated(zone, evacuated) {
 		return
 	}
 	delete(w.evacuatedAt, zone)
@@ -150,7 +150,7 @@
 	w.Run(3 * time.Second)
 	w.setEvacuated("z2", true)
 	w.Run(3 * time.Second)
-	w.StoreBack = w.Now.Add(time.Minute)
+	w.StoreDownUntil = w.Now.Add(time.Minute)
 	for _, ip := range w.BalancerIPs() {
 		w.Balancers[ip].Restart(200 * time.Millisecond)
 	}
@@ -176,7 +176,7 @@
 	for seed := range uint64(20) {
 		w := newWorld(seed)
 		addSmallFleet(w)
-		w.Loss, w.Double, w.Late = 0.05, 0.1, 250*time.Millisecond
+		w.Loss, w.Duplication, w.MaxExtraDelay = 0.05, 0.1, 250*time.Millisecond
 		w.Run(3 * time.Second)
 		for range 7 {
 			w.setEvacuated("z1", !w.Evacuations.Has(flow.TagOf("z1")))
--- a/e2e/packets/membership_test.go
+++ b/e2e/packets/membership_test.go
@@ -72,10 +72,10 @@
 		w.addAgent("z2", serviceA)
 	}
 	w.Run(time.Second)
-	before := w.Messages
+	before := w.Datagrams
 	w.Run(10 * time.Second)
 	nodes := len(w.Balancers) + len(w.agents)
-	perNode := float64(w.Messages-before) / 10 / float64(nodes)
+	perNode := float64(w.Datagrams-before) / 10 / float64(nodes)
 	// Each agent announces to 7 balancers every second, each balancer sends beacons to
 	// 6 balancers every second and to 11 agents every two: some 10 messages/s per node.
 	require.Less(t, perNode, 15.0)
@@ -136,5 +136,5 @@
 	reaper := w.BalancerIPs()[0]
 	w.Cut = func(from, to flow.IPv4) bool { return from == reaper || to == reaper }
 	w.Run(2*fleet.ExpireAfter + 5*time.Second)
-	require.Zero(t, w.StruckAlive)
+	require.Zero(t, w.RemovedWhileAlive)
 }
--- a/e2e/packets/mesh_test.go
+++ b/e2e/packets/mesh_test.go
@@ -38,7 +38,7 @@
 // relays.
 func newRelayedFleet(seed uint64) *world {
 	w := newWorld(seed)
-	w.RelayFrom = alwaysRelay
+	w.RelayThreshold = alwaysRelay
 	addNodes(w, 60)
 	w.Run(6 * time.Second)
 	return w
@@ -47,7 +47,7 @@
 // crossZoneBytes returns the number of bytes that were sent between zones.
 func crossZoneBytes(w *world) int {
 	sum := 0
-	for _, t := range w.Across {
+	for _, t := range w.CrossZone {
 		sum += t.Bytes
 	}
 	return sum
@@ -58,10 +58,10 @@
 func crossZoneBytesPerNode(relayThreshold, nodes int) float64 {
 	const seconds = 10
 	w := newWorld(1)
-	w.RelayFrom = relayThreshold
+	w.RelayThreshold = relayThreshold
 	addNodes(w, nodes)
 	w.Run(6 * time.Second)
-	clear(w.Across)
+	clear(w.CrossZone)
 	w.Run(seconds * time.Second)
 	return float64(crossZoneBytes(w)) / seconds / float64(nodes)
 }
@@ -90,7 +90,7 @@
 	w.Run(6 * time.Second)
 	rates := map[envelope.Kind]float64{}
 	balancer := w.BalancerIPs()[1]
-	w.Heard = func(_, to flow.IPv4, kind envelope.Kind, _ []byte) {
+	w.OnReceive = func(_, to flow.IPv4, kind envelope.Kind, _ []byte) {
 		if to == balancer {
 			rates[kind] += 1.0 / seconds
 		}
@@ -121,7 +121,7 @@
 		w.Run(50 * time.Millisecond)
 		for _, ip := range w.BalancerIPs()[:6] {
 			for i := range 3 {
-				require.False(t, w.Balancers[ip].Core.View().IsZoneSilent(flow.TagOf(zoneName(i))), "%v after %v", ip, w.Since())
+				require.False(t, w.Balancers[ip].Core.View().IsZoneSilent(flow.TagOf(zoneName(i))), "%v after %v", ip, w.Elapsed())
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 	mean := map[int]time.Duration{}
 	for _, relayThreshold := range []int{0, neverRelay} {
 		w := newWorld(1)
-		w.RelayFrom = relayThreshold
+		w.RelayThreshold = relayThreshold
 		addNodes(w, 300)
 		w.Run(6 * time.Second)
 		var sum, oldest time.Duration
@@ -223,7 +223,7 @@
 					w.Run(100 * time.Millisecond)
 					w.forEachCrossZoneTarget(func(b *sim.Balancer, target *fleet.Target) {
 						if b.Core.View().HasTarget(target.IP) && w.Agents[target.IP].Up && target.Overdue(w.Now) {
-							t.Fatalf("seed %d, %v: balancer %v considers running target %v overdue, last seen %v ago", seed, w.Since(), b.IP, target.IP, w.Now.Sub(target.LastSeen))
+							t.Fatalf("seed %d, %v: balancer %v considers running target %v overdue, last seen %v ago", seed, w.Elapsed(), b.IP, target.IP, w.Now.Sub(target.LastSeen))
 						}
 					})
 				}
@@ -272,13 +272,13 @@
 	agent := sortedAgents(w)[1]
 	require.NotEqual(t, "z1", agent.Zone)
 	var delayed [][]byte
-	w.Heard = func(from, _ flow.IPv4, kind envelope.Kind, datagram []byte) {
+	w.OnReceive = func(from, _ flow.IPv4, kind envelope.Kind, datagram []byte) {
 		if kind == envelope.Batch {
 			delayed = append(delayed, append([]byte(nil), datagram...))
 		}
 	}
 	w.Run(3 * time.Second)
-	w.Heard = nil
+	w.OnReceive = nil
 	require.NotEmpty(t, delayed)
 	agent.Restart(200 * time.Millisecond)
 	w.Run(time.Second)
@@ -335,7 +335,7 @@
 func TestFlowsKeepTheirTargetsThroughRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"))
-		w.RelayFrom = rapid.IntRange(alwaysRelay, 3).Draw(t, "relays from")
+		w.RelayThreshold = rapid.IntRange(alwaysRelay, 3).Draw(t, "relays from")
 		addSmallFleet(w)
 		for range rapid.IntRange(0, 6).Draw(t, "more balancers") {
 			w.AddBalancer(rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone"))
--- a/e2e/packets/packets_test.go
+++ b/e2e/packets/packets_test.go
@@ -149,7 +149,7 @@
 		}
 		w.Run(3 * time.Second)
 		checkFlowsKeepTargets(t, w)
-		for _, reads := range w.Asked {
+		for _, reads := range w.SnapshotRequests {
 			sharedReads += reads
 		}
 	})
@@ -160,8 +160,8 @@
 // faults and checks that open flows are served and evacuations are known everywhere.
 func checkFlowsKeepTargets(t *rapid.T, w *world) {
 	w.Loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
-	w.Double = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "double")
-	w.Late = rapid.SampledFrom([]time.Duration{time.Millisecond, 250 * time.Millisecond}).Draw(t, "late")
+	w.Duplication = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "double")
+	w.MaxExtraDelay = rapid.SampledFrom([]time.Duration{time.Millisecond, 250 * time.Millisecond}).Draw(t, "late")
 	if rapid.Bool().Draw(t, "cold bound") {
 		w.Config.ColdRates = map[flow.Tag]float64{flow.TagOf(serviceB): coldRate}
 	}
@@ -170,7 +170,7 @@
 		randomAction(t, w)
 		w.Run(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
 	}
-	w.Loss, w.Double, w.Late = 0, 0, time.Millisecond
+	w.Loss, w.Duplication, w.MaxExtraDelay = 0, 0, time.Millisecond
 	w.Run(max(5*time.Second, w.disturbedUntil.Add(maxEvacuationTime).Sub(w.Now)))
 	w.requireSameEvacuations(t)
 	checkOpenFlowsAnswered(t, w)
@@ -205,8 +205,8 @@
 	case 6:
 		replaceByOtherService(w, a)
 	case 14:
-		w.StoreBack = w.Now.Add(time.Duration(rapid.IntRange(100, 5000).Draw(t, "store away")) * time.Millisecond)
-		w.extendDisturbance(w.StoreBack)
+		w.StoreDownUntil = w.Now.Add(time.Duration(rapid.IntRange(100, 5000).Draw(t, "store away")) * time.Millisecond)
+		w.extendDisturbance(w.StoreDownUntil)
 	case 12:
 		w.extendDisturbance(w.Now.Add(down + blackoutSpread))
 		blackout(w, down, down)
@@ -270,7 +270,7 @@
 // if its target has ended.
 func (a *agentNode) stop(planned bool) {
 	if planned {
-		if a.Core.RemovesEntry() && !a.w.Now.Before(a.w.StoreBack) {
+		if a.Core.MustRemoveEntry() && !a.w.Now.Before(a.w.StoreDownUntil) {
 			delete(a.w.Registry, a.IP)
 			a.Core.EntryStored(a.w.Now, fleet.EntryAbsent)
 		}
--- a/e2e/packets/registry_test.go
+++ b/e2e/packets/registry_test.go
@@ -55,7 +55,7 @@
 	for _, balancers := range []int{12, 30, 90} {
 		_, calls := returnWithMissingVMs(t, balancers, 678)
 		t.Logf("%d balancers: %v", balancers, calls)
-		require.LessOrEqual(t, calls[sim.CallSurvey], maxReads, "%d balancers", balancers)
+		require.LessOrEqual(t, calls[sim.CallSnapshot], maxReads, "%d balancers", balancers)
 		require.LessOrEqual(t, calls[sim.CallTargets], 2*balancers, "%d balancers", balancers)
 	}
 }
--- a/e2e/packets/target_test.go
+++ b/e2e/packets/target_test.go
@@ -80,8 +80,8 @@
 	}
 	acknowledged := a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: t.incarnation(), Service: t.service, Slots: t.slots, Draining: t.draining, Sequence: t.lastSequence, WarmupLeft: max(t.coldUntil.Sub(a.w.Now), 0)})
 	t.unseenRestart = t.unseenRestart && !acknowledged
-	if acknowledged && t.draining && t.drainAckedBy != a.Life {
-		t.drainAckedBy, t.drainAckedAt = a.Life, a.w.Now
+	if acknowledged && t.draining && t.drainAckedBy != a.Generation {
+		t.drainAckedBy, t.drainAckedAt = a.Generation, a.w.Now
 	}
 }
 
@@ -120,8 +120,8 @@
 	a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: t.incarnation(), Service: t.service, Slots: t.slots, Draining: true, Sequence: t.lastSequence})
 }
 
-// Take handles a packet that the agent delivered; it implements sim.Target.
-func (a *agentNode) Take(packet []byte) {
+// HandlePacket handles a packet that the agent delivered; it implements sim.Target.
+func (a *agentNode) HandlePacket(packet []byte) {
 	t := a.target
 	if t == nil {
 		return
@@ -158,7 +158,7 @@
 		a.w.addViolation("a SYN for %s reached a target of %s", want, t.service)
 	}
 	// A SYN may have been in transit inside the VM when the draining was acknowledged.
-	if t.drainAckedBy == a.Life && a.w.Now.Sub(t.drainAckedAt) > time.Millisecond {
+	if t.drainAckedBy == a.Generation && a.w.Now.Sub(t.drainAckedAt) > time.Millisecond {
 		a.w.addViolation("a SYN reached a target whose draining was acknowledged")
 	}
 	if !a.w.allowsNewFlows(a.Zone) {
--- a/e2e/packets/world_test.go
+++ b/e2e/packets/world_test.go
@@ -48,7 +48,7 @@
 
 func newWorld(seed uint64) *world {
 	w := &world{World: sim.NewWorld(seed), agents: map[flow.IPv4]*agentNode{}, evacuatedAt: map[string]time.Time{}, sentTimes: map[messageKey]time.Time{}}
-	w.Sent = w.recordAnnouncement
+	w.OnSend = w.recordAnnouncement
 	w.Client = w.deliverToClient
 	w.Config = &flow.Config{Version: 1, IdleTimeout: 15 * time.Second, Routes: map[flow.Front]*flow.Route{
 		frontA: newRoute("a", serviceA),
@@ -78,7 +78,7 @@
 
 func (w *world) addViolation(format string, args ...any) {
 	if len(w.violations) < 10 {
-		w.violations = append(w.violations, fmt.Sprintf("%.3fs: ", w.Since().Seconds())+fmt.Sprintf(format, args...))
+		w.violations = append(w.violations, fmt.Sprintf("%.3fs: ", w.Elapsed().Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -85,7 +85,7 @@
 	ca, err := standin.NewAuthority()
 	require.NoError(t, err)
 	s.roots = ca.Pool()
-	cert, key, err := ca.WritePair(s.dir, "tables.example")
+	cert, key, err := ca.WriteKeyPair(s.dir, "tables.example")
 	require.NoError(t, err)
 
 	ports := freeAddresses(t, 2+2*balancers+3*hosts)
--- a/fleet/registry/registry_test.go
+++ b/fleet/registry/registry_test.go
@@ -198,7 +198,7 @@
 	} {
 		s := standin.NewStore(time.Now)
 		require.NoError(t, New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.EntryState) {}).writeEntry(ctx))
-		s.Operator(foreign)
+		s.PutAsOperator(foreign)
 		got, err := List(ctx, s, fleet.RoleAgent)
 		require.NoError(t, err, name)
 		require.Equal(t, 1, got.Skipped, name)
@@ -228,6 +228,6 @@
 	r := New(s, fleet.RoleAgent, self, 7, zap.NewNop(), func(fleet.EntryState) {})
 	r.SetEntryState(fleet.EntryPresent)
 	require.NoError(t, r.writeEntry(ctx))
-	s.Operator(store.Put{Key: entryKey(fleet.RoleAgent, self), Value: []byte("no epoch")})
+	s.PutAsOperator(store.Put{Key: entryKey(fleet.RoleAgent, self), Value: []byte("no epoch")})
 	require.True(t, r.entryMissing(ctx))
 }
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -116,7 +116,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	f := &fleet{ctx: ctx, cancel: cancel}
 	site := trial.Site{Zones: []string{"zone-0", "zone-1", "zone-2"}, Balancers: balancers, Services: nil}
-	cluster, err := trial.StartBare(ctx, site, zap.NewNop(), settings.Duration(time.Second))
+	cluster, err := trial.StartBalancers(ctx, site, zap.NewNop(), settings.Duration(time.Second))
 	if err != nil {
 		cancel()
 		return nil, err
--- a/measure/relaybench.go
+++ b/measure/relaybench.go
@@ -121,7 +121,7 @@
 // startRelayBalancer starts a real balancer with one service. It returns the
 // service's address and a datagram that the balancer forwards to host.
 func startRelayBalancer(ctx context.Context, host netip.AddrPort) (netip.AddrPort, []byte, func(), error) {
-	c, err := trial.StartBare(ctx, trial.Site{Zones: []string{"a"}, Balancers: 1}, zap.NewNop(), settings.Duration(time.Second))
+	c, err := trial.StartBalancers(ctx, trial.Site{Zones: []string{"a"}, Balancers: 1}, zap.NewNop(), settings.Duration(time.Second))
 	if err != nil {
 		return netip.AddrPort{}, nil, nil, err
 	}
--- a/model/mesh.go
+++ b/model/mesh.go
@@ -27,8 +27,8 @@
 // sinkTarget discards all packets.
 type sinkTarget struct{}
 
-// Take implements sim.Target.
-func (sinkTarget) Take([]byte) {}
+// HandlePacket implements sim.Target.
+func (sinkTarget) HandlePacket([]byte) {}
 
 // MeshCost is the control traffic of a balancer per second in steady state, without clients.
 type MeshCost struct {
@@ -55,7 +55,7 @@
 	w.Run(meshWarmup)
 	c := MeshCost{Datagrams: map[envelope.Kind]float64{}, Bytes: map[envelope.Kind]float64{}, Calls: w.Calls}
 	rate := 1 / meshMeasurement.Seconds() / float64(balancers)
-	w.Heard = func(from, to flow.IPv4, kind envelope.Kind, datagram []byte) {
+	w.OnReceive = func(from, to flow.IPv4, kind envelope.Kind, datagram []byte) {
 		bytes := float64(len(datagram) + datagramHeaderLen)
 		if _, receives := w.Balancers[to]; receives {
 			c.Datagrams[kind] += rate
--- a/model/model_test.go
+++ b/model/model_test.go
@@ -108,6 +108,6 @@
 		t.Logf("%d nodes: %v", nodes, c.Calls)
 		require.Equal(t, nodes-balancers, c.Calls[sim.CallRegister])
 		require.LessOrEqual(t, c.Calls[sim.CallTargets], 2*balancers)
-		require.LessOrEqual(t, c.Calls[sim.CallSurvey], 4*meshZones)
+		require.LessOrEqual(t, c.Calls[sim.CallSnapshot], 4*meshZones)
 	}
 }
--- a/model/overload.go
+++ b/model/overload.go
@@ -141,10 +141,10 @@
 func (r *run) overloadNoise() {
 	r.overloadAll()
 	w := r.world
-	w.Double = noiseDuplication
+	w.Duplication = noiseDuplication
 	w.DisturbAnnouncement = func() (bool, time.Duration) { return w.Rnd.Float64() < noiseLoss, w.Jitter(maxNoiseDelay) }
 	w.After(overloadTime, func() {
-		w.Double = 0
+		w.Duplication = 0
 		w.DisturbAnnouncement = func() (bool, time.Duration) { return false, 0 }
 	})
 }
--- a/model/pattern.go
+++ b/model/pattern.go
@@ -248,6 +248,6 @@
 
 func (r *run) evacuate() {
 	zone := zoneName(0)
-	r.world.Empty(zone, true)
-	r.world.After(evacuationTime, func() { r.world.Empty(zone, false) })
+	r.world.SetEvacuated(zone, true)
+	r.world.After(evacuationTime, func() { r.world.SetEvacuated(zone, false) })
 }
--- a/model/sim/loop.go
+++ b/model/sim/loop.go
@@ -55,8 +55,8 @@
 	return x
 }
 
-// Since returns the time since Start.
-func (l *Loop) Since() time.Duration { return l.Now.Sub(Start) }
+// Elapsed returns the time since Start.
+func (l *Loop) Elapsed() time.Duration { return l.Now.Sub(Start) }
 
 // After schedules do to run after d.
 func (l *Loop) After(d time.Duration, do func()) {
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -70,7 +70,7 @@
 func (b *Balancer) Start() {
 	w := b.w
 	opts := balancerfront.Options{
-		Self: b.IP, Zone: flow.TagOf(b.Zone), Seeds: w.Seeds, Incarnation: w.Rnd.Uint64() | 1, Weights: Weights, RelayThreshold: w.RelayFrom, FollowTime: storeFollowTime,
+		Self: b.IP, Zone: flow.TagOf(b.Zone), Seeds: w.Seeds, Incarnation: w.Rnd.Uint64() | 1, Weights: Weights, RelayThreshold: w.RelayThreshold, FollowTime: storeFollowTime,
 	}
 	b.Core = balancerfront.New(w.Now, opts, b, platform.Codec{}, NoopBalancerEvents{}, w.Rnd)
 	b.Core.SetConfig(w.Now, w.Config)
@@ -104,7 +104,7 @@
 // the store is available.
 func (b *Balancer) syncEvacuations() {
 	w := b.w
-	if !w.Now.Before(w.StoreBack) && b.Core.Feeds(w.Now) {
+	if !w.Now.Before(w.StoreDownUntil) && b.Core.Feeds(w.Now) {
 		b.Core.Operator().StoreAnswered(w.Now)
 		b.Core.SetEvacuations(w.Now, w.Evacuations)
 	}
@@ -113,7 +113,7 @@
 // reapRegistry removes dead agents from the registry if this balancer is the registry reaper.
 func (b *Balancer) reapRegistry() {
 	w := b.w
-	if w.Now.Before(w.StoreBack) {
+	if w.Now.Before(w.StoreDownUntil) {
 		return
 	}
 	for _, d := range b.Core.DeadNodes(w.Now) {
@@ -123,7 +123,7 @@
 		delete(w.Registry, d.IP)
 		w.Calls[CallRemove]++
 		if a, known := w.Agents[d.IP]; known && a.Up {
-			w.StruckAlive++
+			w.RemovedWhileAlive++
 		}
 	}
 }
@@ -142,8 +142,8 @@
 
 // Target is the target process that an agent serves.
 type Target interface {
-	// Take is called with each packet that the agent delivers to the target.
-	Take(packet []byte)
+	// HandlePacket is called with each packet that the agent delivers to the target.
+	HandlePacket(packet []byte)
 }
 
 // Agent is an agent process and the target that it serves.
@@ -154,9 +154,9 @@
 	Up            bool
 	// Target is the target on the agent's VM, nil when none runs.
 	Target Target
-	// Life changes whenever the process starts or stops, so that scheduled functions of an
+	// Generation changes whenever the process starts or stops, so that scheduled functions of an
 	// earlier process can detect that it has ended.
-	Life int
+	Generation int
 	// Resets counts the flows that it reset.
 	Resets int
 
@@ -174,7 +174,7 @@
 	data := append([]byte(nil), packet...)
 	a.w.After(localDelay, func() {
 		if a.Target != nil {
-			a.Target.Take(data)
+			a.Target.HandlePacket(data)
 		}
 	})
 }
@@ -201,19 +201,19 @@
 	w := a.w
 	opts := agentfront.Options{
 		Self: a.IP, Zone: flow.TagOf(a.Zone), Service: flow.TagOf(a.Service), Seeds: w.Seeds,
-		Incarnation: w.Rnd.Uint64() | 1, HeartbeatPeriod: HeartbeatPeriod, FlowTTL: flowTTL, RelayThreshold: w.RelayFrom,
+		Incarnation: w.Rnd.Uint64() | 1, HeartbeatPeriod: HeartbeatPeriod, FlowTTL: flowTTL, RelayThreshold: w.RelayThreshold,
 	}
 	a.Core = agentfront.New(w.Now, opts, a, platform.Codec{}, agentEvents{w: w})
 	a.Up = true
-	a.Life++
-	generation := a.Life
+	a.Generation++
+	generation := a.Generation
 	a.maintainRegistration(opts.Incarnation)
 	w.Every(AgentTick, func() bool {
-		if a.Up && a.Life == generation {
+		if a.Up && a.Generation == generation {
 			a.Core.Tick(w.Now)
 			a.probe()
 		}
-		return a.Life == generation
+		return a.Generation == generation
 	})
 }
 
@@ -232,15 +232,15 @@
 // maintainRegistration keeps the agent's registry entry in the state that the core wants. Each
 // ExpireAfter it checks whether the entry is still there and restores it if not.
 func (a *Agent) maintainRegistration(incarnation uint64) {
-	w, generation := a.w, a.Life
+	w, generation := a.w, a.Generation
 	stored := fleet.EntryUnchanged
 	w.Every(registryTick, func() bool {
 		wanted := fleet.EntryUnchanged
-		if a.Life == generation {
+		if a.Generation == generation {
 			wanted = a.Core.WantedEntryState(w.Now)
 		}
-		if wanted == fleet.EntryUnchanged || wanted == stored || w.Now.Before(w.StoreBack) {
-			return a.Life == generation
+		if wanted == fleet.EntryUnchanged || wanted == stored || w.Now.Before(w.StoreDownUntil) {
+			return a.Generation == generation
 		}
 		stored = wanted
 		delete(w.Registry, a.IP)
@@ -255,14 +255,14 @@
 		if _, listed := w.Registry[a.IP]; !listed {
 			stored = fleet.EntryUnchanged
 		}
-		return a.Life == generation
+		return a.Generation == generation
 	})
 }
 
 // Stop ends the process abruptly: other nodes get no message.
 func (a *Agent) Stop() {
 	a.Up = false
-	a.Life++
+	a.Generation++
 }
 
 // Restart stops the process and starts a new one after the given downtime.
--- a/model/sim/quiet.go
+++ b/model/sim/quiet.go
@@ -41,26 +41,26 @@
 var _ agentfront.Events = NoopAgentEvents{}
 
 // Delivered implements agentfront.Events, as do the methods below.
-func (NoopAgentEvents) Delivered()                                          {}
-func (NoopAgentEvents) Request(flow.Key, []byte, int, int)                  {}
-func (NoopAgentEvents) Queued(flow.Key, []byte, int, time.Duration)         {}
-func (NoopAgentEvents) Postponed(flow.Key, time.Duration)                   {}
-func (NoopAgentEvents) AbandonedInQueue(flow.Key, time.Duration)            {}
-func (NoopAgentEvents) Withheld(flow.Key, []byte, agentfront.AbandonReason) {}
-func (NoopAgentEvents) AbandonedAtTarget(flow.Key, time.Duration)           {}
-func (NoopAgentEvents) PassedOn(flow.Key, string, int)                      {}
-func (NoopAgentEvents) Bounced(flow.Key, bool)                              {}
-func (NoopAgentEvents) Reset(flow.Key, string)                              {}
-func (NoopAgentEvents) Dropped(agentfront.DropReason)                       {}
-func (NoopAgentEvents) TargetReport(string, fleet.Heartbeat)                {}
-func (NoopAgentEvents) RequestFailed()                                      {}
-func (NoopAgentEvents) Ejected(bool, int, int)                              {}
-func (NoopAgentEvents) OnProbation(int, time.Duration)                      {}
-func (NoopAgentEvents) Overloaded(bool, backlog.Load, int, time.Duration)   {}
-func (NoopAgentEvents) PeerChanged(flow.IPv4, string)                       {}
-func (NoopAgentEvents) ZoneRelayed(flow.Tag, int, bool)                     {}
-func (NoopAgentEvents) BalancerProbed(flow.IPv4, time.Duration)             {}
-func (NoopAgentEvents) EvacuationsChanged(_, _ flow.Evacuations, _ string)  {}
+func (NoopAgentEvents) Delivered()                                             {}
+func (NoopAgentEvents) RequestDelivered(flow.Key, []byte, int, int)            {}
+func (NoopAgentEvents) Queued(flow.Key, []byte, int, time.Duration)            {}
+func (NoopAgentEvents) Postponed(flow.Key, time.Duration)                      {}
+func (NoopAgentEvents) AbandonedInQueue(flow.Key, time.Duration)               {}
+func (NoopAgentEvents) Withheld(flow.Key, []byte, agentfront.AbandonReason)    {}
+func (NoopAgentEvents) AbandonedAtTarget(flow.Key, time.Duration)              {}
+func (NoopAgentEvents) PassedOn(flow.Key, string, int)                         {}
+func (NoopAgentEvents) Bounced(flow.Key, bool)                                 {}
+func (NoopAgentEvents) Reset(flow.Key, string)                                 {}
+func (NoopAgentEvents) Dropped(agentfront.DropReason)                          {}
+func (NoopAgentEvents) TargetReport(string, fleet.Heartbeat)                   {}
+func (NoopAgentEvents) RequestFailed()                                         {}
+func (NoopAgentEvents) Ejected(bool, int, int)                                 {}
+func (NoopAgentEvents) OnProbation(int, time.Duration)                         {}
+func (NoopAgentEvents) OverloadChanged(bool, backlog.Load, int, time.Duration) {}
+func (NoopAgentEvents) PeerChanged(flow.IPv4, string)                          {}
+func (NoopAgentEvents) ZoneRelayed(flow.Tag, int, bool)                        {}
+func (NoopAgentEvents) Probed(flow.IPv4, time.Duration)                        {}
+func (NoopAgentEvents) EvacuationsChanged(_, _ flow.Evacuations, _ string)     {}
 
 // agentEvents calls World.PassedOn for each new flow that an agent does not take; it ignores all
 // other events.
--- a/model/sim/survey.go
+++ b/model/sim/survey.go
@@ -14,7 +14,7 @@
 const (
 	CallRegister Call = "register"
 	CallRemove   Call = "remove"
-	CallSurvey   Call = "survey"
+	CallSnapshot Call = "survey"
 	CallTargets  Call = "targets"
 )
 
@@ -66,7 +66,7 @@
 	w := b.w
 	if b.snapshotPacer.TryBegin(w.Now) {
 		b.snapshot = fleet.SnapshotAt(w.Now, w.registered())
-		w.Calls[CallSurvey] += pageCount(len(b.snapshot.Agents))
+		w.Calls[CallSnapshot] += pageCount(len(b.snapshot.Agents))
 	}
 	return b.snapshot
 }
@@ -74,14 +74,14 @@
 // requestSnapshot fetches a snapshot of the registry from another balancer.
 func (b *Balancer) requestSnapshot(from *Balancer) {
 	w, generation, requestedAt := b.w, b.generation, b.w.Now
-	w.Asked[from.IP]++
-	w.After(w.Delay(b.IP, from.IP)+w.Jitter(w.Late+1), func() {
+	w.SnapshotRequests[from.IP]++
+	w.After(w.Delay(b.IP, from.IP)+w.Jitter(w.MaxExtraDelay+1), func() {
 		if !from.Up {
 			return
 		}
 		s := from.readRegistry()
 		earliestAge, latestAge := w.Now.Sub(s.Earliest), w.Now.Sub(s.Latest)
-		w.After(w.Delay(from.IP, b.IP)+w.Jitter(w.Late+1), func() {
+		w.After(w.Delay(from.IP, b.IP)+w.Jitter(w.MaxExtraDelay+1), func() {
 			if b.Up && b.generation == generation {
 				s.Earliest, s.Latest = requestedAt.Add(-earliestAge), w.Now.Add(-latestAge)
 				b.Core.TakeSnapshot(w.Now, s)
--- a/model/sim/world.go
+++ b/model/sim/world.go
@@ -29,23 +29,23 @@
 	// Evacuations are the evacuated zones in the operator's store.
 	Evacuations flow.Evacuations
 	Seeds       []flow.IPv4
-	// RelayFrom is the option RelayThreshold of all nodes, zero for the product's default.
-	RelayFrom int
+	// RelayThreshold is the option RelayThreshold of all nodes, zero for the product's default.
+	RelayThreshold int
 
-	// Loss and Double are the probabilities that a datagram is lost and that it is duplicated.
-	// Late is the maximum random delay that is added to Delay.
-	Loss, Double float64
-	Late         time.Duration
+	// Loss and Duplication are the probabilities that a datagram is lost and that it is duplicated.
+	// MaxExtraDelay is the maximum random delay that is added to Delay.
+	Loss, Duplication float64
+	MaxExtraDelay     time.Duration
 	// Delay returns the one-way delay between two nodes.
 	Delay func(from, to flow.IPv4) time.Duration
 	// Cut reports whether all datagrams from one node to another are lost.
 	Cut func(from, to flow.IPv4) bool
 	// Drop, where set, reports whether datagrams of a kind that a node sends are lost.
 	Drop func(from flow.IPv4, kind envelope.Kind) bool
-	// Sent and Heard, where set, are called for each datagram between nodes: Sent with its
-	// header when it is sent, also if it is then lost, Heard when it arrives.
-	Sent  func(from flow.IPv4, head []byte)
-	Heard func(from, to flow.IPv4, kind envelope.Kind, datagram []byte)
+	// OnSend and OnReceive, where set, are called for each datagram between nodes: OnSend with its
+	// header when it is sent, also if it is then lost, OnReceive when it arrives.
+	OnSend    func(from flow.IPv4, head []byte)
+	OnReceive func(from, to flow.IPv4, kind envelope.Kind, datagram []byte)
 	// DisturbAnnouncement is called for each announcement of an agent. It returns whether the
 	// announcement is lost, and otherwise by how much it is delayed.
 	DisturbAnnouncement func() (lost bool, late time.Duration)
@@ -55,20 +55,20 @@
 	// PassedOn is called each time an agent does not take a new flow.
 	PassedOn func(key flow.Key)
 
-	// Registry holds the agents' entries in the store. The store is unavailable until StoreBack.
-	Registry  map[flow.IPv4]fleet.Entry
-	StoreBack time.Time
-	// StruckAlive counts agents whose registry entry was removed while they ran.
-	StruckAlive int
-	// Messages counts the datagrams between nodes.
-	Messages int
-	// Across counts the cross-zone datagrams between nodes, by kind.
-	Across map[envelope.Kind]Traffic
-
-	// Calls counts the calls to the store, Asked the snapshots that were requested from each
+	// Registry holds the agents' entries in the store. The store is unavailable until StoreDownUntil.
+	Registry       map[flow.IPv4]fleet.Entry
+	StoreDownUntil time.Time
+	// RemovedWhileAlive counts agents whose registry entry was removed while they ran.
+	RemovedWhileAlive int
+	// Datagrams counts the datagrams between nodes.
+	Datagrams int
+	// CrossZone counts the cross-zone datagrams between nodes, by kind.
+	CrossZone map[envelope.Kind]Traffic
+
+	// Calls counts the calls to the store, SnapshotRequests the snapshots that were requested from each
 	// balancer.
-	Calls map[Call]int
-	Asked map[flow.IPv4]int
+	Calls            map[Call]int
+	SnapshotRequests map[flow.IPv4]int
 
 	lastIP flow.IPv4
 }
@@ -81,8 +81,8 @@
 	return &World{
 		Loop:      NewLoop(seed),
 		Balancers: map[flow.IPv4]*Balancer{}, Agents: map[flow.IPv4]*Agent{}, Registry: map[flow.IPv4]fleet.Entry{},
-		Across: map[envelope.Kind]Traffic{},
-		Calls:  map[Call]int{}, Asked: map[flow.IPv4]int{},
+		CrossZone: map[envelope.Kind]Traffic{},
+		Calls:     map[Call]int{}, SnapshotRequests: map[flow.IPv4]int{},
 		lastIP:              firstIP - 1,
 		Delay:               func(_, _ flow.IPv4) time.Duration { return defaultDelay },
 		Cut:                 func(_, _ flow.IPv4) bool { return false },
@@ -92,8 +92,8 @@
 	}
 }
 
-// Send sends the datagram made of parts: it may be lost, duplicated or delayed as Loss, Double
-// and Late define.
+// Send sends the datagram made of parts: it may be lost, duplicated or delayed as Loss, Duplication
+// and MaxExtraDelay define.
 func (w *World) Send(delay time.Duration, deliver func([]byte), parts ...[]byte) {
 	size := 0
 	for _, p := range parts {
@@ -104,7 +104,7 @@
 		data = append(data, p...)
 	}
 	copies := 1
-	if w.Double > 0 && w.Rnd.Float64() < w.Double {
+	if w.Duplication > 0 && w.Rnd.Float64() < w.Duplication {
 		copies = 2
 	}
 	for i := range copies {
@@ -115,7 +115,7 @@
 		if i > 0 {
 			payload = append([]byte(nil), data...)
 		}
-		w.After(delay+w.Jitter(w.Late+1), func() { deliver(payload) })
+		w.After(delay+w.Jitter(w.MaxExtraDelay+1), func() { deliver(payload) })
 	}
 }
 
@@ -123,8 +123,8 @@
 func (w *World) sendToNode(from, to flow.IPv4, head, packet []byte) {
 	kind, _ := envelope.KindOf(head)
 	w.countDatagram(kind, from, to, len(head)+len(packet))
-	if w.Sent != nil {
-		w.Sent(from, head)
+	if w.OnSend != nil {
+		w.OnSend(from, head)
 	}
 	if w.Cut(from, to) || (w.Drop != nil && w.Drop(from, kind)) {
 		return
@@ -138,8 +138,8 @@
 		delay += late
 	}
 	w.Send(delay, func(data []byte) {
-		if w.Heard != nil {
-			w.Heard(from, to, kind, data)
+		if w.OnReceive != nil {
+			w.OnReceive(from, to, kind, data)
 		}
 		if b, ok := w.Balancers[to]; ok && b.Up {
 			b.Core.HandleNode(w.Now, from, data)
@@ -152,14 +152,14 @@
 
 // countDatagram counts a datagram between nodes.
 func (w *World) countDatagram(kind envelope.Kind, from, to flow.IPv4, bytes int) {
-	w.Messages++
+	w.Datagrams++
 	if w.zoneOf(from) == w.zoneOf(to) {
 		return
 	}
-	t := w.Across[kind]
+	t := w.CrossZone[kind]
 	t.Datagrams++
 	t.Bytes += bytes
-	w.Across[kind] = t
+	w.CrossZone[kind] = t
 }
 
 func (w *World) zoneOf(ip flow.IPv4) string {
@@ -177,10 +177,10 @@
 	w.Send(defaultDelay, func(data []byte) { w.Client(ip, data) }, packet)
 }
 
-// Empty evacuates a zone, or ends its evacuation, by a write to the store. It reports whether
+// SetEvacuated evacuates a zone, or ends its evacuation, by a write to the store. It reports whether
 // the store was available and the write changed anything.
-func (w *World) Empty(zone string, empty bool) bool {
-	if w.Now.Before(w.StoreBack) || w.Evacuations.Has(flow.TagOf(zone)) == empty {
+func (w *World) SetEvacuated(zone string, empty bool) bool {
+	if w.Now.Before(w.StoreDownUntil) || w.Evacuations.Has(flow.TagOf(zone)) == empty {
 		return false
 	}
 	zones := slices.DeleteFunc(slices.Clone(w.Evacuations.Zones()), func(z string) bool { return z == zone })
--- a/model/target.go
+++ b/model/target.go
@@ -107,8 +107,8 @@
 	})
 }
 
-// Take implements sim.Target.
-func (t *target) Take(packet []byte) {
+// HandlePacket implements sim.Target.
+func (t *target) HandlePacket(packet []byte) {
 	head, err := platform.DecodePacket(packet)
 	if err != nil {
 		return
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -48,26 +48,26 @@
 		{"settings reloaded", reloadSettings[S]},
 		{"store down", storeFault[S](standin.Faults{Down: true})},
 		{"store slow", storeFault[S](standin.Faults{DelayMillis: 700})},
-		{"store answers lost", storeFault[S](standin.Faults{LoseAnswers: 4})},
-		{"a way to the store goes silent", storeProxyFault[S](func(p *standin.Proxy) func() { p.Silence(); return nil })},
-		{"a way to the store is cut in one direction", storeProxyFault[S](func(p *standin.Proxy) func() { p.Cut(standin.FromTarget); return nil })},
+		{"store answers lost", storeFault[S](standin.Faults{LoseResponses: 4})},
+		{"a way to the store goes silent", storeProxyFault[S](func(p *standin.Proxy) func() { p.Blackhole(); return nil })},
+		{"a way to the store is cut in one direction", storeProxyFault[S](func(p *standin.Proxy) func() { p.BlackholeDirection(standin.FromTarget); return nil })},
 		{"a way to the store is reset", storeProxyFault[S](func(p *standin.Proxy) func() { p.Reset(); return nil })},
 		{"a way to the store is closed", storeProxyFault[S](func(p *standin.Proxy) func() {
-			p.Refuse(true)
+			p.RefuseConnections(true)
 			p.Reset()
-			return func() { p.Refuse(false) }
+			return func() { p.RefuseConnections(false) }
 		})},
 		{"a way to the store is slow", storeProxyFault[S](func(p *standin.Proxy) func() {
-			p.Delay(storeDelay)
-			return func() { p.Delay(0) }
+			p.SetDelay(storeDelay)
+			return func() { p.SetDelay(0) }
 		})},
 		{"a way to the store is narrow", storeProxyFault[S](func(p *standin.Proxy) func() {
-			p.Narrow(storeBytesPerSecond)
-			return func() { p.Narrow(0) }
+			p.LimitRate(storeBytesPerSecond)
+			return func() { p.LimitRate(0) }
 		})},
 		{"all connections to the store go silent", func(s S, _ *rand.Rand, _ *recorder) func() {
 			for _, n := range nodesWithStoreProxy(s) {
-				n.storeProxy.Silence()
+				n.storeProxy.Blackhole()
 			}
 			return nil
 		}},
@@ -304,11 +304,11 @@
 func evacuateZone(s *site, rnd *rand.Rand, rec *recorder) func() {
 	zone := zones[rnd.IntN(len(zones))]
 	rec.logEvent("zone %s evacuated", zone)
-	s.store.Operator(store.Put{Key: platform.EvacuateKey(zone), Value: []byte("{}")})
+	s.store.PutAsOperator(store.Put{Key: platform.EvacuateKey(zone), Value: []byte("{}")})
 	if rnd.IntN(2) == 0 {
 		return func() {
 			rec.logEvent("zone %s no longer evacuated", zone)
-			s.store.OperatorRemoves(platform.EvacuateKey(zone))
+			s.store.DeleteAsOperator(platform.EvacuateKey(zone))
 		}
 	}
 	return nil
@@ -327,7 +327,7 @@
 			}
 		}
 		rec.logEvent("zone %s no longer evacuated", zone)
-		s.store.OperatorRemoves(platform.EvacuateKey(zone))
+		s.store.DeleteAsOperator(platform.EvacuateKey(zone))
 	}
 }
 
--- a/soak/quic.go
+++ b/soak/quic.go
@@ -63,8 +63,8 @@
 	fault[*quicSite]{"target crashes", crashTarget},
 	fault[*quicSite]{"target freezes", targetFault(func(t *standin.Target, on bool) { t.Frozen.Store(on) })},
 	fault[*quicSite]{"target fails", targetFault(func(t *standin.Target, on bool) { t.FailAll.Store(on) })},
-	fault[*quicSite]{"target dies in the middle of answers", targetFault(func(t *standin.Target, on bool) { t.DieMidAnswer.Store(on) })},
-	fault[*quicSite]{"target stops announcing itself", targetFault(func(t *standin.Target, on bool) { t.Silent.Store(on) })},
+	fault[*quicSite]{"target dies in the middle of answers", targetFault(func(t *standin.Target, on bool) { t.AbortMidResponse.Store(on) })},
+	fault[*quicSite]{"target stops announcing itself", targetFault(func(t *standin.Target, on bool) { t.StopAnnouncing.Store(on) })},
 	fault[*quicSite]{"host drains", drainTarget},
 	fault[*quicSite]{"configuration changes", func(s *quicSite, rnd *rand.Rand, rec *recorder) func() {
 		s.relabel(pick(s.agents, rnd), rec)
--- a/soak/quiccaller.go
+++ b/soak/quiccaller.go
@@ -162,7 +162,7 @@
 // ends, and a connection only if its agent is interrupted.
 func (c *caller) handleFailure(ctx context.Context, id string, startedAt time.Time, err error) bool {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		c.rec.increment(&c.rec.report.Silent)
+		c.rec.increment(&c.rec.report.Unanswered)
 		return false
 	}
 	c.rec.increment(&c.rec.report.Resets)
--- a/soak/quicsite.go
+++ b/soak/quicsite.go
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	s.roots = ca.Pool()
-	cert, key, err := ca.WritePair(cfg.Dir, authority(0), authority(1))
+	cert, key, err := ca.WriteKeyPair(cfg.Dir, authority(0), authority(1))
 	if err != nil {
 		return nil, err
 	}
@@ -178,7 +178,7 @@
 	t, err := standin.NewTarget(standin.TargetOptions{
 		Name: fmt.Sprintf("%s %s %d", services[n.service], n.host, n.targetStarts), Slots: targetSlots,
 		Labels: catalog.Labels{labelService: services[n.service]},
-		Agent:  "http://" + hostPort(n.addr, portApp), Heartbeat: heartbeatEvery, Work: targetWork,
+		Agent:  "http://" + hostPort(n.addr, portApp), Heartbeat: heartbeatEvery, ServiceTime: targetWork,
 	})
 	if err != nil {
 		return errors.Wrapf(err, "target beside %s", n.name)
@@ -200,7 +200,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.startedTargets {
-		n += t.Runs(id)
+		n += t.Executions(id)
 	}
 	return n
 }
--- a/soak/site.go
+++ b/soak/site.go
@@ -72,7 +72,7 @@
 // address returns the loopback address of a node. Runs with different slots have
 // different addresses.
 func (c *Config) address(kind, i int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, byte(100 + c.Slot), byte(kind), byte(1 + i)})
+	return netip.AddrFrom4([4]byte{127, byte(100 + c.AddressSlot), byte(kind), byte(1 + i)})
 }
 
 // Kinds of node in an address.
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -19,9 +19,9 @@
 	// Bin is the directory of the binaries, Dir the one for settings and logs.
 	Bin, Dir string
 	Seed     uint64
-	// Slot selects the loopback addresses, 0 to 100. Concurrent runs need different
+	// AddressSlot selects the loopback addresses, 0 to 100. Concurrent runs need different
 	// slots.
-	Slot              int
+	AddressSlot       int
 	Balancers, Agents int
 	Clients           int
 	// Faults is the number of faults to inject. They start one after the other, and
@@ -32,13 +32,13 @@
 // Report is the outcome of a run.
 type Report struct {
 	Seed uint64
-	// Journal lists the injected faults with their times.
-	Journal []string
+	// Events lists the injected faults with their times.
+	Events []string
 	// Requests is the number of answered requests and Refused of those answered with
-	// an error. Resets and Silent are flows or requests that ended with a reset or
+	// an error. Resets and Unanswered are flows or requests that ended with a reset or
 	// without an answer; where the guarantees do not allow that, there is a violation
 	// as well.
-	Requests, Refused, Resets, Silent int
+	Requests, Refused, Resets, Unanswered int
 	// Violations are the violated guarantees.
 	Violations []string
 }
@@ -56,7 +56,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := time.Since(r.startedAt).Seconds()
-	r.report.Journal = append(r.report.Journal, fmt.Sprintf("%7.3f  ", at)+fmt.Sprintf(format, args...))
+	r.report.Events = append(r.report.Events, fmt.Sprintf("%7.3f  ", at)+fmt.Sprintf(format, args...))
 }
 
 func (r *recorder) addViolation(format string, args ...any) {
@@ -195,7 +195,7 @@
 func (c *client) openFlow() {
 	f, err := c.machine.Open(frontOf(c.service))
 	if err != nil {
-		c.rec.increment(&c.rec.report.Silent)
+		c.rec.increment(&c.rec.report.Unanswered)
 		return
 	}
 	if c.request(f, requestTimeout) {
@@ -217,7 +217,7 @@
 		}
 		return false
 	case err != nil:
-		c.rec.increment(&c.rec.report.Silent)
+		c.rec.increment(&c.rec.report.Unanswered)
 		return false
 	}
 	c.rec.increment(&c.rec.report.Requests)
--- a/standin/certs.go
+++ b/standin/certs.go
@@ -57,9 +57,9 @@
 	return p
 }
 
-// WritePair issues a server certificate for the DNS names and 127.0.0.1, writes it
+// WriteKeyPair issues a server certificate for the DNS names and 127.0.0.1, writes it
 // and its key to dir and returns the paths of both files.
-func (a *Authority) WritePair(dir string, names ...string) (cert, key string, err error) {
+func (a *Authority) WriteKeyPair(dir string, names ...string) (cert, key string, err error) {
 	priv, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", err
--- a/standin/pace_test.go
+++ b/standin/pace_test.go
@@ -39,7 +39,7 @@
 	proxy, err := NewProxy(ln.Addr().String())
 	require.NoError(t, err)
 	defer proxy.Close()
-	proxy.Narrow(rate)
+	proxy.LimitRate(rate)
 	overLink := func() (net.Conn, error) { return link.DialContext(t.Context(), "tcp4", ln.Addr().String()) }
 	overProxy := func() (net.Conn, error) { return net.Dial("tcp4", proxy.Addr()) }
 	for name, dial := range map[string]func() (net.Conn, error){"link": overLink, "proxy": overProxy} {
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -75,16 +75,16 @@
 // Addr returns the address of the proxy's listener.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Silence drops all further bytes of the open connections in both directions,
+// Blackhole drops all further bytes of the open connections in both directions,
 // without a reset.
-func (p *Proxy) Silence() {
-	p.Cut(ToTarget)
-	p.Cut(FromTarget)
+func (p *Proxy) Blackhole() {
+	p.BlackholeDirection(ToTarget)
+	p.BlackholeDirection(FromTarget)
 }
 
-// Cut drops all further bytes of the open connections in one direction, without a
+// BlackholeDirection drops all further bytes of the open connections in one direction, without a
 // reset.
-func (p *Proxy) Cut(dir Direction) {
+func (p *Proxy) BlackholeDirection(dir Direction) {
 	for _, conn := range p.openConns() {
 		conn.mu.Lock()
 		conn.blackholed[dir] = true
@@ -99,23 +99,23 @@
 	}
 }
 
-// Refuse sets whether new connections are reset at once.
-func (p *Proxy) Refuse(refuse bool) {
+// RefuseConnections sets whether new connections are reset at once.
+func (p *Proxy) RefuseConnections(refuse bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refuse = refuse
 }
 
-// Delay sets the delay that each chunk of bytes gets, in both directions.
-func (p *Proxy) Delay(d time.Duration) {
+// SetDelay sets the delay that each chunk of bytes gets, in both directions.
+func (p *Proxy) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Narrow limits the rate at which the target's bytes are forwarded on all connections
+// LimitRate limits the rate at which the target's bytes are forwarded on all connections
 // together, in bytes per second; zero is unlimited.
-func (p *Proxy) Narrow(bytesPerSecond int) {
+func (p *Proxy) LimitRate(bytesPerSecond int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fromTarget = NewLink(bytesPerSecond)
--- a/standin/store.go
+++ b/standin/store.go
@@ -17,9 +17,9 @@
 type Faults struct {
 	// Down fails every call before it has an effect.
 	Down bool `json:"down"`
-	// LoseAnswers is the number of coming writes whose response is lost after they
+	// LoseResponses is the number of coming writes whose response is lost after they
 	// were applied.
-	LoseAnswers int `json:"loseAnswers"`
+	LoseResponses int `json:"loseAnswers"`
 	// LoseRequests is the number of coming writes that are lost before they are
 	// applied. The error is that of a lost response, so the caller cannot tell the
 	// two apart.
@@ -207,8 +207,8 @@
 		s.remove(txn.Removes)
 	}
 	resp.Revision = s.revision
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.LoseResponses > 0 {
+		s.faults.LoseResponses--
 		return store.TxnResponse{}, answerLost
 	}
 	return resp, nil
@@ -282,7 +282,7 @@
 func (s *Store) LoseAnswer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.LoseAnswers++
+	s.faults.LoseResponses++
 }
 
 // Down sets whether every call fails without an effect.
@@ -292,9 +292,9 @@
 	s.faults.Down = down
 }
 
-// Operator writes pairs as an operator does. Injected faults do not apply: they are
+// PutAsOperator writes pairs as an operator does. Injected faults do not apply: they are
 // faults of the calls of the system under test.
-func (s *Store) Operator(puts ...store.Put) {
+func (s *Store) PutAsOperator(puts ...store.Put) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(puts)
@@ -308,8 +308,8 @@
 	return ok
 }
 
-// OperatorRemoves deletes keys as an operator does, regardless of injected faults.
-func (s *Store) OperatorRemoves(keys ...string) {
+// DeleteAsOperator deletes keys as an operator does, regardless of injected faults.
+func (s *Store) DeleteAsOperator(keys ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(keys)
--- a/standin/target.go
+++ b/standin/target.go
@@ -36,8 +36,8 @@
 	Agent string
 	// Heartbeat is the period of announcements.
 	Heartbeat time.Duration
-	// Work is the service time of a move, hold or catalogue request.
-	Work time.Duration
+	// ServiceTime is the service time of a move, hold or catalogue request.
+	ServiceTime time.Duration
 }
 
 // Announcement is the JSON body with which a target announces itself to its agent.
@@ -52,12 +52,12 @@
 type TargetFaults struct {
 	// FailAll responds to every request with status 500.
 	FailAll atomic.Bool
-	// DieMidAnswer closes the connection in the middle of a response to a move or hold.
-	DieMidAnswer atomic.Bool
+	// AbortMidResponse closes the connection in the middle of a response to a move or hold.
+	AbortMidResponse atomic.Bool
 	// Frozen suspends announcements and the execution of requests until it is unset.
 	Frozen atomic.Bool
-	// Silent stops announcements without announcing a drain first.
-	Silent atomic.Bool
+	// StopAnnouncing stops announcements without announcing a drain first.
+	StopAnnouncing atomic.Bool
 }
 
 // Target is a small HTTP/1.1 server with board streams, moves, holds, uploads and a
@@ -101,9 +101,9 @@
 // Address returns the listener's address.
 func (t *Target) Address() string { return t.listener.Addr().String() }
 
-// Runs returns how often the request with this ID was executed. An execution counts
+// Executions returns how often the request with this ID was executed. An execution counts
 // from its start, before injected faults apply.
-func (t *Target) Runs(id string) int {
+func (t *Target) Executions(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.executions[id]
@@ -138,7 +138,7 @@
 	tick := time.NewTicker(t.opts.Heartbeat)
 	defer tick.Stop()
 	for {
-		if !t.Silent.Load() && !t.Frozen.Load() {
+		if !t.StopAnnouncing.Load() && !t.Frozen.Load() {
 			_ = t.announce(ctx)
 		}
 		select {
@@ -245,7 +245,7 @@
 		return
 	}
 	t.simulateWork(r)
-	if t.DieMidAnswer.Load() {
+	if t.AbortMidResponse.Load() {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)+1000))
 		_, _ = w.Write(body)
 		_ = http.NewResponseController(w).Flush()
@@ -264,7 +264,7 @@
 func (t *Target) simulateWork(r *http.Request) {
 	select {
 	case <-r.Context().Done():
-	case <-time.After(t.opts.Work):
+	case <-time.After(t.opts.ServiceTime):
 	}
 }
 
--- a/store/gateway/contract_test.go
+++ b/store/gateway/contract_test.go
@@ -31,7 +31,7 @@
 	proxy, err := standin.NewProxy(strings.TrimPrefix(server.URL, "http://"))
 	require.NoError(t, err)
 	defer proxy.Close()
-	storetest.CheckStalledConnections(t, gateway.NewClient("http://"+proxy.Addr(), 400*time.Millisecond), proxy.Silence)
+	storetest.CheckStalledConnections(t, gateway.NewClient("http://"+proxy.Addr(), 400*time.Millisecond), proxy.Blackhole)
 }
 
 // TestResponseOverSlowLink: a response that arrives slowly, but without a stall, is
@@ -42,5 +42,5 @@
 	proxy, err := standin.NewProxy(strings.TrimPrefix(server.URL, "http://"))
 	require.NoError(t, err)
 	defer proxy.Close()
-	storetest.CheckSlowLink(t, gateway.NewClient("http://"+proxy.Addr(), storetest.SlowLinkTimeout), proxy.Narrow)
+	storetest.CheckSlowLink(t, gateway.NewClient("http://"+proxy.Addr(), storetest.SlowLinkTimeout), proxy.LimitRate)
 }
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -141,9 +141,9 @@
 	return c, nil
 }
 
-// StartBare starts only the platform stand-in and the balancers, with the given gossip
+// StartBalancers starts only the platform stand-in and the balancers, with the given gossip
 // and pull interval. Measurements add simulated hosts to it.
-func StartBare(ctx context.Context, site Site, log *zap.Logger, interval settings.Duration) (*Cluster, error) {
+func StartBalancers(ctx context.Context, site Site, log *zap.Logger, interval settings.Duration) (*Cluster, error) {
 	c, err := newCluster(ctx, site, log, interval)
 	if err != nil {
 		return nil, err
@@ -181,7 +181,7 @@
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	c.gateway = httptest.NewServer(standin.Gateway(c.Store))
 	c.Platform = c.gateway.URL
-	c.cert, c.key, err = ca.WritePair(dir, c.authorities()...)
+	c.cert, c.key, err = ca.WriteKeyPair(dir, c.authorities()...)
 	return c, err
 }
 
@@ -307,12 +307,12 @@
 		return err
 	}
 	t, err := standin.NewTarget(standin.TargetOptions{
-		Name:      cfg.Host + "-target",
-		Slots:     s.Slots,
-		Labels:    catalog.Labels{LabelService: s.Name},
-		Agent:     a.AnnounceURL(),
-		Heartbeat: targetHeartbeat,
-		Work:      time.Duration(s.WorkMillis) * time.Millisecond,
+		Name:        cfg.Host + "-target",
+		Slots:       s.Slots,
+		Labels:      catalog.Labels{LabelService: s.Name},
+		Agent:       a.AnnounceURL(),
+		Heartbeat:   targetHeartbeat,
+		ServiceTime: time.Duration(s.WorkMillis) * time.Millisecond,
 	})
 	if err != nil {
 		return err
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -33,7 +33,7 @@
 func (c *Cluster) executions(id string) int {
 	n := 0
 	for _, h := range c.hosts() {
-		n += h.Target.Runs(id)
+		n += h.Target.Executions(id)
 	}
 	return n
 }
@@ -129,7 +129,7 @@
 // the caller and does not look complete.
 func TestAbortedResponseIsReset(t *testing.T) {
 	c := startCluster(t, Site{Zones: []string{"a"}, Balancers: 2, Services: []ServiceSpec{{Name: "tables", Hosts: 1, Slots: 5}}})
-	c.Hosts[0].Target.DieMidAnswer.Store(true)
+	c.Hosts[0].Target.AbortMidResponse.Store(true)
 	caller, err := c.NewCaller("tables", "")
 	require.NoError(t, err)
 	defer caller.Close()
@@ -204,7 +204,7 @@
 		}
 	}
 	drain("nobody", true)
-	c.Store.SetFaults(standin.Faults{LoseAnswers: 1})
+	c.Store.SetFaults(standin.Faults{LoseResponses: 1})
 	drain("nobody", false)
 	c.Store.SetFaults(standin.Faults{StaleBy: 2})
 	time.Sleep(500 * time.Millisecond)
