--- a/balancer/packetfront/followregistry.go
+++ b/balancer/packetfront/followregistry.go
@@ -11,7 +11,7 @@
 	"github.com/poppywall/poppywall/balancer/search"
 	"github.com/poppywall/poppywall/fleet"
 	"github.com/poppywall/poppywall/fleet/registry"
-	"github.com/poppywall/poppywall/fleet/surveycopy"
+	"github.com/poppywall/poppywall/fleet/snapshotcopy"
 	"github.com/poppywall/poppywall/flow"
 	"github.com/poppywall/poppywall/telemetry"
 	"github.com/poppywall/poppywall/worker"
@@ -107,7 +107,7 @@
 		case err == nil:
 			f.recordSnapshot(snapshot, ip.String())
 			return
-		case errors.Is(err, surveycopy.ErrPending):
+		case errors.Is(err, snapshotcopy.ErrPending):
 			// That read will have ended when the next snapshot is due.
 			f.log.Debug("balancer is still reading the registry", zap.Stringer(telemetry.FieldPeer, ip))
 			f.locked(func(time.Time) { f.core.SnapshotPending() })
@@ -129,7 +129,7 @@
 	})
 }
 
-// readAgents implements surveycopy.Read.
+// readAgents implements snapshotcopy.Read.
 func (f *Front) readAgents(ctx context.Context) ([]fleet.Entry, int64, error) {
 	agents, err := f.list(ctx, fleet.RoleAgent)
 	return agents.Entries, agents.Revision, err
--- a/balancer/packetfront/front.go
+++ b/balancer/packetfront/front.go
@@ -17,7 +17,7 @@
 	"github.com/poppywall/poppywall/fleet"
 	"github.com/poppywall/poppywall/fleet/configcopy"
 	"github.com/poppywall/poppywall/fleet/registry"
-	"github.com/poppywall/poppywall/fleet/surveycopy"
+	"github.com/poppywall/poppywall/fleet/snapshotcopy"
 	"github.com/poppywall/poppywall/flow"
 	"github.com/poppywall/poppywall/flow/envelope"
 	"github.com/poppywall/poppywall/platform"
@@ -58,8 +58,8 @@
 	isolation fleet.IsolationTimer
 	// snapshotReader reads the agents' registry for this balancer and others of its zone,
 	// snapshotClient fetches the snapshots of other balancers.
-	snapshotReader *surveycopy.Reader
-	snapshotClient *surveycopy.Client
+	snapshotReader *snapshotcopy.Reader
+	snapshotClient *snapshotcopy.Client
 }
 
 // NewFront returns a front with open sockets.
@@ -88,7 +88,7 @@
 	}
 	calls := telemetry.NewStoreCalls(counters)
 	f.registry = calls.For(telemetry.PurposeRegistry, stored)
-	f.snapshotReader, f.snapshotClient = surveycopy.NewReader(f.readAgents), surveycopy.NewClient()
+	f.snapshotReader, f.snapshotClient = snapshotcopy.NewReader(f.readAgents), snapshotcopy.NewClient()
 	f.entry = registry.New(calls.For(telemetry.PurposeEntry, stored), fleet.RoleBalancer, f.self, opts.Incarnation, log, func(fleet.EntryState) {})
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	f.core = New(time.Now(), opts, f, platform.Codec{}, newObserver(log, f.reg), rnd)
@@ -147,7 +147,7 @@
 func (f *Front) internalHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(configcopy.Path, configcopy.Handler(f.source.Copy, f.log))
-	mux.Handle(surveycopy.Path, surveycopy.Handler(f.snapshotReader, f.log))
+	mux.Handle(snapshotcopy.Path, snapshotcopy.Handler(f.snapshotReader, f.log))
 	return mux
 }
 
--- a/fleet/surveycopy/doc.go
+++ b/fleet/snapshotcopy/doc.go
@@ -1,4 +1,4 @@
-// Package surveycopy shares snapshots of the agents' registry between the balancers of a
+// Package snapshotcopy shares snapshots of the agents' registry between the balancers of a
 // zone, so that the number of store calls grows with the zones and not with the balancers.
 //
 // A snapshot is the list of entries in the store at one moment. The sender states its age; the
@@ -9,4 +9,4 @@
 // A Reader reads the store once for all concurrent callers, at most as often as
 // fleet.SnapshotPacer allows, and returns its last snapshot in between. Cost: 12 bytes per
 // entry; a receiver that already has the same entries gets none.
-package surveycopy
+package snapshotcopy
--- a/fleet/surveycopy/wire.go
+++ b/fleet/snapshotcopy/wire.go
@@ -1,4 +1,4 @@
-package surveycopy
+package snapshotcopy
 
 import (
 	"encoding/binary"
