--- a/backlog/coldstart/coldstart.go
+++ b/backlog/coldstart/coldstart.go
@@ -58,7 +58,8 @@
 	return max(MaxPerWindow(rate)-len(w.times), 0)
 }
 
-// MaxPerWindow returns the number of requests per second that a rate allows, at least one.
+// MaxPerWindow returns the number of requests per window that a rate in requests per second
+// allows, from 1 to maxRemembered.
 func MaxPerWindow(rate float64) int { return int(min(max(math.Floor(rate), 1), maxRemembered)) }
 
 // prune removes times older than the window.
--- a/backlog/coldstart/coldstart_test.go
+++ b/backlog/coldstart/coldstart_test.go
@@ -63,15 +63,15 @@
 // TestWindowReachesRate: the window not only keeps the limit, it also allows the full rate.
 func TestWindowReachesRate(t *testing.T) {
 	var w Window
-	given := 0
+	delivered := 0
 	for ms := range 10_000 {
 		now := t0.Add(time.Duration(ms) * time.Millisecond)
 		if w.Headroom(now, 20) > 0 {
 			w.Add(now)
-			given++
+			delivered++
 		}
 	}
-	require.Equal(t, 200, given)
+	require.Equal(t, 200, delivered)
 }
 
 func TestWindowCountsAsFullAfterAgentStart(t *testing.T) {
--- a/backlog/outage.go
+++ b/backlog/outage.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Client timing, from which the age of a request is inferred; fixed by the platform's protocol.
+// Timing of callers, from which the age of a request is inferred; fixed by the platform's
+// protocol.
 const (
 	// ConnectTimeout is how long a caller tries to open a flow.
 	ConnectTimeout = 1400 * time.Millisecond
@@ -16,11 +17,12 @@
 // 0 is the first packet itself.
 var retransmissionAge = [maxRetransmissions + 1]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
-// RetransmissionAge returns how long after the first opening packet the n-th retransmission is sent.
+// RetransmissionAge returns how long after the first opening packet the n-th retransmission is
+// sent.
 func RetransmissionAge(n uint32) time.Duration { return retransmissionAge[min(n, maxRetransmissions)] }
 
-// NextRetransmission returns the delay from the given retransmission to the next opening packet of the
-// same flow, and false after the last one.
+// NextRetransmission returns the delay from the given retransmission, 0 for the first opening
+// packet, to the next one of the same flow, and false after the last one.
 func NextRetransmission(retransmission uint32) (time.Duration, bool) {
 	if retransmission >= maxRetransmissions {
 		return 0, false
--- a/backlog/outage_test.go
+++ b/backlog/outage_test.go
@@ -23,8 +23,8 @@
 }
 
 func TestNextRetransmission(t *testing.T) {
-	for copies, want := range []time.Duration{200 * time.Millisecond, 400 * time.Millisecond} {
-		next, more := NextRetransmission(uint32(copies))
+	for retransmission, want := range []time.Duration{200 * time.Millisecond, 400 * time.Millisecond} {
+		next, more := NextRetransmission(uint32(retransmission))
 		require.True(t, more)
 		require.Equal(t, want, next)
 	}
--- a/backlog/overload.go
+++ b/backlog/overload.go
@@ -51,14 +51,14 @@
 	// of flows, of flows whose first opening packet was lost, and of answers. fullShare is the
 	// share of time without a free slot, with the same decay.
 	arrived, opened, lost, answered, fullShare float64
-	// slotsFull reports whether there is no free slot now, slotsFullSince since when.
+	// slotsFull is true while no slot is free; slotsFullSince is when the last slot was taken.
 	slotsFull      bool
 	slotsFullSince time.Time
 	// backlogSince is when the backlog began, zero without one. unanswered counts the requests
 	// that arrived since the slots filled and were not answered.
 	backlogSince time.Time
 	unanswered   float64
-	// longWaitsSince is when requests last waited for less than persistentWait.
+	// longWaitsSince is when the wait was last shorter than persistentWait.
 	longWaitsSince time.Time
 	// outageAt is when the last sign of an outage was seen.
 	outageAt time.Time
@@ -116,9 +116,9 @@
 // target or its agent has just started, or opening packets of callers were lost.
 func (o *Overload) NoteOutage(now time.Time) { o.outageAt = now }
 
-// Active reports whether an overload is active: the target has more to do than it can
-// answer, and the backlog does not pass. wait is how long a request that arrives now would
-// wait for a slot.
+// Active reports whether the backlog counts as an overload: the target answers fewer requests
+// than arrive, or requests have had to wait for too long without a break. wait is how long a
+// request that arrives now would wait for a slot.
 func (o *Overload) Active(now time.Time, wait time.Duration) bool {
 	o.advance(now)
 	outage := now.Sub(o.outageAt) <= outageRetryTime
--- a/backlog/queue.go
+++ b/backlog/queue.go
@@ -11,7 +11,8 @@
 	Priority uint8
 	// Began is when the caller sent the first packet of its present try.
 	Began time.Time
-	// UnseenTry is how much earlier the caller may have begun, by a try whose packets were all lost.
+	// UnseenTry is how much earlier the caller may have begun, by a try whose packets were all
+	// lost; zero if there was none.
 	UnseenTry time.Duration
 	// Objective is the route's latency objective, Deadline the time after which callers give up;
 	// zero where the route states none.
@@ -46,7 +47,7 @@
 func (r Request) meetsObjective(t time.Time) bool { return r.Objective > 0 && !t.After(r.softDue()) }
 
 // inTime reports whether a request is served before the others during an overload: the time
-// left until the end of its objective exceeds the mean response time by overloadMargin.
+// left until the end of its objective is at least overloadMargin times the mean response time.
 func (r Request) inTime(now time.Time, est ServiceEstimate) bool {
 	return r.meetsObjective(now.Add(scale(est.ResponseTime(), overloadMargin)))
 }
--- a/backlog/serviceestimate_test.go
+++ b/backlog/serviceestimate_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestObservedNeedsMinimumAnswers: at first and after Doubt the estimate is not reliable until
+// TestObservedNeedsMinimumAnswers: at first and after MarkStale the estimate is not reliable until
 // minObservations answers; meanwhile it keeps its value.
 func TestObservedNeedsMinimumAnswers(t *testing.T) {
 	p := NewServiceEstimate(50*time.Millisecond, 4)
@@ -72,5 +72,5 @@
 	require.False(t, p.Observed())
 	require.Equal(t, 200*time.Millisecond, p.ResponseTime())
 	done(20 * time.Millisecond)
-	require.Equal(t, 20*time.Millisecond, p.ResponseTime(), "observations before Doubt have no weight")
+	require.Equal(t, 20*time.Millisecond, p.ResponseTime(), "observations before MarkStale have no weight")
 }
