--- a/admission/admission.go
+++ b/admission/admission.go
@@ -26,18 +26,19 @@
 	weight    int
 	class     Class
 	since     time.Time
-	charged   float64
+	// charged is the cost, in seconds, that the workspace was charged at the start.
+	charged float64
 }
 
-// Controller is the admission state of one host. It is not safe for concurrent use; its owner
+// Controller decides on the requests of one host. It is not safe for concurrent use; its owner
 // holds a lock.
 type Controller struct {
-	opts     Options
-	rnd      *rand.Rand
-	targets  map[string]*target
-	services map[route.ServiceID]*service
-	running  map[Ticket]*running
-	next     Ticket
+	opts       Options
+	rnd        *rand.Rand
+	targets    map[string]*target
+	services   map[route.ServiceID]*service
+	running    map[Ticket]*running
+	lastTicket Ticket
 }
 
 // New returns a controller without targets.
@@ -64,7 +65,8 @@
 	return c.dispatchAll(now)
 }
 
-// RemoveTarget removes a target; requests in progress there are counted until they end.
+// RemoveTarget removes a target and returns the decisions that follow; requests in progress
+// there are counted until they end.
 func (c *Controller) RemoveTarget(now time.Time, name string) []Decision {
 	t, ok := c.targets[name]
 	if !ok {
@@ -125,8 +127,8 @@
 // Offer submits a request. It may cause other waiting requests to be refused, so several
 // decisions can be returned; the first is that on the offer itself.
 func (c *Controller) Offer(now time.Time, o Offer) []Decision {
-	c.next++
-	ticket := c.next
+	c.lastTicket++
+	ticket := c.lastTicket
 	s, ok := c.services[o.Service]
 	if !ok || len(c.ready(s)) == 0 {
 		return []Decision{c.refusal(ticket, NoTarget, 0)}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -25,7 +25,8 @@
 
 // TestEveryTicketIsDecidedOnce drives a controller by random offers, completions,
 // cancellations, drains and time. Every ticket runs at most once and waits no longer than
-// MaxWait, and no new request reaches a target that drains. Points 4, 6 and 9.
+// MaxWait, and no new request reaches a target that drains. Guards points 4, 6 and 9 of
+// docs/GUARANTEES.md.
 func TestEveryTicketIsDecidedOnce(t *testing.T) {
 	opts := Defaults()
 	opts.MaxQueue = 6
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -54,15 +54,18 @@
 	min, max float64
 	current  float64
 
+	// baseLatency was measured at baseAt; it is zero before the first window.
 	baseLatency time.Duration
 	baseAt      time.Time
 	probe       probeState
 	// restore is the limit to return to after a probe.
 	restore float64
 
-	sum         time.Duration
-	count       int
-	windowAt    time.Time
+	// sum and count are of the latencies in the window that began at windowAt.
+	sum      time.Duration
+	count    int
+	windowAt time.Time
+	// decreasedAt is when a refusal by the target last lowered the limit.
 	decreasedAt time.Time
 }
 
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -89,8 +89,8 @@
 	return ws
 }
 
-// evictIdle deletes workspaces without requests whose virtual time is in the past: on their
-// return they would start at the present in any case.
+// evictIdle deletes workspaces without requests whose virtual finish time has passed: with their
+// next request they would start at the current virtual time in any case.
 func (s *service) evictIdle() {
 	for name, ws := range s.workspaces {
 		if len(ws.queue) == 0 && ws.inProgress == 0 && ws.virtualFinish <= s.virtualTime {
--- a/admission/types.go
+++ b/admission/types.go
@@ -31,10 +31,10 @@
 	Cancelled
 )
 
-// Result is an Outcome and whether its latency is that of the target.
+// Result is the outcome of a request and whether its latency counts for the limit.
 type Result struct {
 	Outcome Outcome
-	// Comparable reports that the latency is the target's own: there was no long body in either
+	// Comparable means that the latency is the target's own: there was no long body in either
 	// direction, whose transfer time depends on the caller.
 	Comparable bool
 }
@@ -44,9 +44,13 @@
 
 // The reasons of a refusal.
 const (
-	NoTarget   Reason = "no-target"
+	// NoTarget means that the service has no ready target.
+	NoTarget Reason = "no-target"
+	// Overloaded means that the queue is full, that the request waited for MaxWait or, for a
+	// stream, that every target is at its limit.
 	Overloaded Reason = "overloaded"
-	Deadline   Reason = "deadline"
+	// Deadline means that the caller has given up.
+	Deadline Reason = "deadline"
 )
 
 // Options are the limits of a controller.
@@ -87,7 +91,7 @@
 // Ticket identifies a request in a controller.
 type Ticket uint64
 
-// Action is the action that a Decision asks for.
+// Action is what happens to a request.
 type Action uint8
 
 const (
@@ -101,9 +105,11 @@
 
 // Decision is the decision of a controller on one ticket.
 type Decision struct {
-	Ticket     Ticket
-	Action     Action
-	Target     string
+	Ticket Ticket
+	Action Action
+	// Target is set for Run.
+	Target string
+	// Reason and RetryAfter are set for Refuse.
 	Reason     Reason
 	RetryAfter time.Duration
 }
