--- a/choose/choose.go
+++ b/choose/choose.go
@@ -39,13 +39,15 @@
 
 // Host is a candidate of one service as the directory describes it.
 type Host struct {
-	Addr     netip.AddrPort
-	Zone     string
+	Addr netip.AddrPort
+	Zone string
+	// Capacity is the number of the service's ready slots; a host without any gets no new flows.
 	Capacity int
 }
 
-// LoadReport is the load report of a host, possibly late and misleading.
+// LoadReport is the load that a host reports for a service. It may be out of date.
 type LoadReport struct {
+	// Open is the number of the service's open flows at the host.
 	Open int
 	// Busy is the load in thousandths of the host's limit; over BusyFull the host is beyond its
 	// limit.
@@ -148,7 +150,7 @@
 	if best == nil {
 		best = s.fallback(now, rnd)
 	}
-	s.sent(now, best)
+	s.recordSent(now, best)
 	return best.Addr, true
 }
 
@@ -187,6 +189,8 @@
 	return s.scan[rnd.IntN(len(s.scan))]
 }
 
+// usable reports whether a host may get new flows: it has capacity, has not refused one lately
+// and is not frozen.
 func (s *Set) usable(now time.Time, st *hostState) bool {
 	if now.Before(st.skipUntil) || st.Capacity <= 0 {
 		return false
@@ -194,7 +198,8 @@
 	return st.unansweredSince.IsZero() || now.Sub(st.unansweredSince) < s.opts.AnswerTimeout
 }
 
-func (s *Set) sent(now time.Time, st *hostState) {
+// recordSent counts a flow as sent to a host.
+func (s *Set) recordSent(now time.Time, st *hostState) {
 	st.sentSince++
 	if st.unansweredSince.IsZero() {
 		st.unansweredSince = now
@@ -220,7 +225,8 @@
 	return cost
 }
 
-// flowsPerSlot returns the flows per ready slot that this balancer knows of, with one more.
+// flowsPerSlot returns the flows per ready slot, from the last load report and the flows that
+// this balancer has sent since, with one more flow.
 func (st *hostState) flowsPerSlot() float64 {
 	return float64(st.report.Open+st.sentSince+1) / float64(max(st.Capacity, 1))
 }
--- a/choose/doc.go
+++ b/choose/doc.go
@@ -11,7 +11,7 @@
 // Offers are for the packet front, where balancers receive the load and the service time of
 // single targets: of two random targets of the local zone and two of other zones the one with
 // the shortest expected delay is chosen, by load, observed service time and a cost for
-// crossing zones. If all targets are equal, that is the order of requests per slot.
+// crossing zones. If all targets are equal, they are ordered by requests per slot.
 //
 // All functions are pure: time and randomness are arguments.
 //
--- a/choose/offer.go
+++ b/choose/offer.go
@@ -14,14 +14,14 @@
 	Busy, Sent int
 	// Slots is the number of requests that the target works on at once.
 	Slots int
-	// AnswerInterval is the mean time between two answers of the target when it is fully used, as observed
-	// by its agent; zero before the first observation.
+	// AnswerInterval is the mean time between two answers of the target when it is fully used, as
+	// observed by its agent; zero before the first observation.
 	AnswerInterval time.Duration
 	// CrossZone marks targets in another zone: traffic between zones has a cost.
 	CrossZone bool
 	// Warming marks targets that are still slow after their start.
 	Warming bool
-	// Avoid marks targets that are overdue or refused a flow lately: the last resort.
+	// Avoid marks targets that are overdue or refused a flow lately; they are the last resort.
 	Avoid bool
 }
 
@@ -31,14 +31,14 @@
 	// idle target in another zone equals an equally fast one in the local zone whose slots are all
 	// taken.
 	CrossZoneCost float64
-	// CrossZonePrice replaces OtherZone as the cost of crossing zones unless it is zero.
+	// CrossZonePrice replaces CrossZoneCost as the cost of crossing zones unless it is zero.
 	CrossZonePrice time.Duration
 	// Warming multiplies the expected delay at a warming target.
 	Warming float64
 }
 
 // defaultServiceTime is the service time of the typical target where none was observed. It
-// matters only in comparison with OtherZonePrice.
+// matters only in comparison with CrossZonePrice.
 const defaultServiceTime = 50 * time.Millisecond
 
 // TypicalServiceTime returns the median of the observed service times, which is assumed for
@@ -110,21 +110,21 @@
 		return -1
 	}
 	best := w.sampleZone(offers, typical, false, rnd)
-	other := w.sampleZone(offers, typical, true, rnd)
-	if best < 0 || (other >= 0 && w.Delay(offers[other], typical) < w.Delay(offers[best], typical)) {
-		best = other
+	crossZone := w.sampleZone(offers, typical, true, rnd)
+	if best < 0 || (crossZone >= 0 && w.Delay(offers[crossZone], typical) < w.Delay(offers[best], typical)) {
+		best = crossZone
 	}
 	return best
 }
 
 // sampleZone returns the better of two distinct random offers of the local or of other zones.
 // Offers with Avoid are considered only if there are no others.
-func (w Weights) sampleZone(offers []Offer, typical time.Duration, otherZone bool, rnd *rand.Rand) int {
+func (w Weights) sampleZone(offers []Offer, typical time.Duration, crossZone bool, rnd *rand.Rand) int {
 	first, second := -1, -1
 	seen := 0
 	for pass := range 2 {
 		for i, o := range offers {
-			if o.CrossZone != otherZone || o.Avoid != (pass == 1) {
+			if o.CrossZone != crossZone || o.Avoid != (pass == 1) {
 				continue
 			}
 			seen++
--- a/choose/offer_test.go
+++ b/choose/offer_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestAlikeTargetsAreChosenByLoad: if all targets are equally fast, or none was observed, the
-// order is that of requests per slot, whatever the service time.
+// TestAlikeTargetsAreChosenByLoad: if all targets are equally fast, or none was observed, they
+// are ordered by requests per slot, whatever the service time.
 func TestAlikeTargetsAreChosenByLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		each := time.Duration(rapid.IntRange(0, 1000).Draw(t, "each")) * 100 * time.Microsecond
--- a/choose/zones_test.go
+++ b/choose/zones_test.go
@@ -16,7 +16,8 @@
 	credit         time.Duration
 }
 
-// simReport is what a balancer knows of a target.
+// simReport is a balancer's last load report of a target, the flows that it has sent since, and
+// when the next report is due.
 type simReport struct {
 	busy, sent int
 	next       time.Time
