--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Counts holds the outcomes over a window.
+// Counts holds the numbers of requests and of failed requests over a window.
 type Counts struct {
 	Trials, Failures float64
 }
@@ -35,7 +35,7 @@
 	Rate      float64
 }
 
-// Eject implements Judge.
+// Eject implements Policy.
 func (t Threshold) Eject(own, _ Counts) bool {
 	return own.Trials >= t.MinTrials && own.Rate() >= t.Rate
 }
@@ -52,7 +52,7 @@
 	MinRate float64
 }
 
-// Eject implements Judge.
+// Eject implements Policy.
 func (b Binomial) Eject(own, peers Counts) bool {
 	rest := peers.Add(b.prior(peers))
 	if own.Failures == 0 || own.Rate() < b.MinRate || own.Rate() <= rest.Rate() {
@@ -97,13 +97,16 @@
 	return Binomial{Alpha: 1e-5, Prior: Counts{Trials: 200, Failures: 4}, MinRate: 0.2}
 }
 
+// window holds the recent outcomes and the ejections of one target.
 type window struct {
+	// counts are those of each bucket, newest first.
 	counts []Counts
 	// newest is the index of the bucket in counts[0].
 	newest int64
 
 	ejectedUntil time.Time
-	streak       int
+	// streak is the number of ejections in a row.
+	streak int
 }
 
 // Detector holds the windows of the targets of one host. It is not safe for concurrent use; its
@@ -115,8 +118,8 @@
 }
 
 // New returns a detector without targets.
-func New(opts Options, judge Policy) *Detector {
-	return &Detector{opts: opts, policy: judge, targets: map[string]*window{}}
+func New(opts Options, policy Policy) *Detector {
+	return &Detector{opts: opts, policy: policy, targets: map[string]*window{}}
 }
 
 // Remove removes a target.
@@ -173,6 +176,7 @@
 func (d *Detector) eject(now time.Time, w *window) {
 	length := min(d.opts.BaseEjection<<w.streak, d.opts.MaxEjection)
 	w.ejectedUntil = now.Add(length)
+	// The cap keeps the shift above from overflowing.
 	w.streak = min(w.streak+1, 8)
 	// The window starts empty: old failures must not cause another ejection at once.
 	w.counts = nil
