--- a/flow/envelope/envelope.go
+++ b/flow/envelope/envelope.go
@@ -32,7 +32,6 @@
 	// Owner informs a balancer which target holds a flow. The flow's key takes the place
 	// of the packet.
 	Owner
-	// These are the messages of package fleet.
 	Announce
 	Beacon
 	Peers
@@ -105,8 +104,8 @@
 	// Objective and Deadline are those of the route's requests, zero if not configured;
 	// for new flows only.
 	Objective, Deadline time.Duration
-	// ShortestWaitTarget is the target with the shortest wait among those that have declined a new flow,
-	// ShortestWaitTime its wait; both are zero before the first has declined.
+	// ShortestWaitTarget is the target with the shortest wait among those that have declined a
+	// new flow, ShortestWaitTime its wait; both are zero before the first has declined.
 	ShortestWaitTarget flow.IPv4
 	ShortestWaitTime   time.Duration
 	// ColdRate is the request rate, in requests per second, that a cold target of the
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -115,7 +115,7 @@
 	Bounced
 )
 
-// Has reports whether all bits of want are set in f.
+// Has reports whether all bits of f are set in fl.
 func (fl Flags) Has(f Flags) bool { return fl&f == f }
 
 // Header is the decoded header of a packet.
@@ -150,9 +150,9 @@
 // wire protocol accepts a reset within the same distance.
 const sequenceWindow = 64 * 1200
 
-// WithinSequenceWindow reports whether an acknowledgement number is within sequenceWindow of a
-// target's sequence number. It distinguishes a flow from a later one between the same
-// ports.
+// WithinSequenceWindow reports whether a sequence or acknowledgement number is within
+// sequenceWindow of a target's sequence number. It distinguishes a flow from a later one between
+// the same ports.
 func WithinSequenceWindow(ack, targetSeq uint32) bool {
 	diff := int32(ack - targetSeq)
 	return diff >= -sequenceWindow && diff <= sequenceWindow
@@ -172,7 +172,7 @@
 	Answer(packet []byte) Answer
 }
 
-// Answer is the outcome that a target reports for a request.
+// Answer is the outcome that a target reports for a request in the answer itself.
 type Answer uint8
 
 // The answers.
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -60,7 +60,7 @@
 	Operation Operation
 	Reason    Reason
 	Peer      netip.AddrPort
-	// Header precedes the payload when Verb is ToHost.
+	// Header precedes the payload if Operation is ToHost.
 	Header encap.Header
 	// NewFlow reports whether the host was selected for a new flow rather than
 	// decoded from a route.
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -77,7 +77,8 @@
 // restarts hosts in random order, while packets arrive at random balancers whose
 // host lists differ. A packet of a flow must always go to the host of its route
 // and to no other, and must be dropped at another service's address. Guards
-// points 1 (streams survive planned changes) and 2 (never another service).
+// points 1 (streams survive planned changes) and 2 (never another service) of
+// docs/GUARANTEES.md.
 func TestFlowsReachTheirAgentThroughAnyBalancer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := agentModel{serves: map[int]int{}, incarnations: map[int]route.Incarnation{}}
@@ -165,7 +166,7 @@
 // TestForgedInternalDatagramsDoNothing sends a balancer datagrams on its internal
 // socket that were tagged with another cluster's secret, name a service that it
 // does not have, or are of an unexpected kind. All must be dropped. Guards point
-// 2 (never another service).
+// 2 (never another service) of docs/GUARANTEES.md.
 func TestForgedInternalDatagramsDoNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTable(t, secrets)
--- a/relay/socket.go
+++ b/relay/socket.go
@@ -57,7 +57,7 @@
 	_ = conn.SetWriteBuffer(socketBufferSize)
 	if err := attachSpray(conn, spray); err != nil {
 		_ = conn.Close()
-		return nil, errors.Wrapf(err, "spray on %s", address)
+		return nil, errors.Wrapf(err, "attach spray program to socket on %s", address)
 	}
 	local := conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	return &Socket{conn: conn, batch: ipv4.NewPacketConn(conn), addr: local}, nil
--- a/returnpath/returnpath_test.go
+++ b/returnpath/returnpath_test.go
@@ -19,8 +19,8 @@
 // TestAnswersFindALiveBalancer kills, stops and starts balancers while callers send
 // through random live ones. An agent that retransmits as QUIC does, to a caller
 // that answers whatever arrives, must get a datagram through a live balancer
-// within 60 attempts. Guards point 1 (streams survive planned changes) for the
-// path from agent to caller.
+// within 60 attempts. Guards point 1 of docs/GUARANTEES.md (streams survive
+// planned changes) for the path from agent to caller.
 func TestAnswersFindALiveBalancer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New(Defaults())
--- a/route/route.go
+++ b/route/route.go
@@ -184,25 +184,25 @@
 	nonce atomic.Uint32
 }
 
-// NewIDGenerator returns a Minter whose routes equal base except for the nonce, which
+// NewIDGenerator returns a generator whose routes equal base except for the nonce, which
 // counts up from start and repeats after 2^24 IDs.
 func NewIDGenerator(codec *Codec, base Route, start uint32) (*IDGenerator, error) {
 	var scratch [Len]byte
 	if err := codec.Encode(base, &scratch); err != nil {
 		return nil, err
 	}
-	m := &IDGenerator{codec: codec, base: base}
-	m.nonce.Store(start)
-	return m, nil
+	g := &IDGenerator{codec: codec, base: base}
+	g.nonce.Store(start)
+	return g, nil
 }
 
 // Next returns a new connection ID.
-func (m *IDGenerator) Next() [Len]byte {
-	r := m.base
-	r.Nonce = m.nonce.Add(1)
+func (g *IDGenerator) Next() [Len]byte {
+	r := g.base
+	r.Nonce = g.nonce.Add(1)
 	var id [Len]byte
 	// NewIDGenerator verified that base can be encoded, and Encode fails for no
 	// reason other than the host address.
-	_ = m.codec.Encode(r, &id)
+	_ = g.codec.Encode(r, &id)
 	return id
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -90,11 +90,11 @@
 
 // IDs stay distinct while the nonce wraps around, here after 50 of them.
 func TestNextReturnsDistinctIDs(t *testing.T) {
-	minter, err := NewIDGenerator(newCodec(t, testSecrets...), Route{Host: netip.MustParseAddrPort("10.0.0.1:1")}, 1<<24-50)
+	generator, err := NewIDGenerator(newCodec(t, testSecrets...), Route{Host: netip.MustParseAddrPort("10.0.0.1:1")}, 1<<24-50)
 	require.NoError(t, err)
 	seen := map[[Len]byte]bool{}
 	for range 10000 {
-		id := minter.Next()
+		id := generator.Next()
 		require.False(t, seen[id])
 		seen[id] = true
 	}
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -72,7 +72,7 @@
 	Status int
 	// Reason is a short machine-readable cause such as "overloaded".
 	Reason string
-	// RetryAfter is how long the client should wait before it retries; zero
+	// RetryAfter is how long the caller should wait before it retries; zero
 	// means unspecified.
 	RetryAfter time.Duration
 	// Err is the underlying error. It may be nil.
@@ -111,8 +111,8 @@
 	return Unknown
 }
 
-// WriteResponse writes the failure as an HTTP response. The client is told when to retry
-// instead of being kept waiting.
+// WriteResponse writes the failure as an HTTP response. It states when to retry, so that the
+// caller need not be kept waiting.
 func (e *Error) WriteResponse(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set(HeaderVerdict, e.Verdict.String())
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -21,7 +21,7 @@
 	require.Equal(t, Unknown, Parse("NOT-RUN?"))
 }
 
-// Retry-After is rounded up to whole seconds, so that a client does not retry too
+// Retry-After is rounded up to whole seconds, so that a caller does not retry too
 // early.
 func TestErrorResponseCarriesVerdictAndRetryAfter(t *testing.T) {
 	w := httptest.NewRecorder()
