--- a/choose/choose.go
+++ b/choose/choose.go
@@ -189,7 +189,7 @@
 	return s.scan[rnd.IntN(len(s.scan))]
 }
 
-// usable reports whether a host may get new flows: it has capacity, has not refused one lately
+// usable reports whether a host may get new flows: it has capacity, has not refused one recently
 // and is not frozen.
 func (s *Set) usable(now time.Time, st *hostState) bool {
 	if now.Before(st.skipUntil) || st.Capacity <= 0 {
--- a/choose/offer.go
+++ b/choose/offer.go
@@ -21,7 +21,7 @@
 	CrossZone bool
 	// Warming marks targets that are still slow after their start.
 	Warming bool
-	// Avoid marks targets that are overdue or refused a flow lately; they are the last resort.
+	// Avoid marks targets that are overdue or have refused a flow recently; they are the last resort.
 	Avoid bool
 }
 
--- a/flow/evacuations_test.go
+++ b/flow/evacuations_test.go
@@ -45,9 +45,9 @@
 	require.True(t, restored.SameZones(Evacuations{}), "a node that has received no evacuations acts on the same zones")
 }
 
-// TestTakeOverIgnoresOlderOrEqualRevisions also checks that a newer revision with the same
-// zones is taken over, so that older revisions are rejected from then on.
-func TestTakeOverIgnoresOlderOrEqualRevisions(t *testing.T) {
+// TestReplaceIfNewerIgnoresOlderOrEqualRevisions also checks that a newer revision with the same
+// zones replaces the older one, so that older revisions are rejected from then on.
+func TestReplaceIfNewerIgnoresOlderOrEqualRevisions(t *testing.T) {
 	evacuations := func(revision int64, zones ...string) Evacuations {
 		e, _ := NewEvacuations(revision, zones)
 		return e
