--- a/standin/link_test.go
+++ b/standin/link_test.go
@@ -30,8 +30,8 @@
 	return ln
 }
 
-// TestLinkAndProxyLimitTheRateOfAllConnectionsTogether:
-// a link and a rate-limited proxy must not grant the rate to each connection.
+// TestLinkAndProxyLimitTheRateOfAllConnectionsTogether checks that connections share the rate
+// of a link and of a rate-limited proxy, and do not get the whole rate each.
 func TestLinkAndProxyLimitTheRateOfAllConnectionsTogether(t *testing.T) {
 	const size, rate = 50_000, 500_000
 	ln := serveBytes(t, size)
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -8,7 +8,7 @@
 )
 
 // Proxy forwards TCP connections to one address and injects network faults. Faults
-// of open connections (Silence, Cut, Reset) do not affect later ones.
+// of open connections (Blackhole, BlackholeDirection, Reset) do not affect later ones.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -82,8 +82,8 @@
 	p.BlackholeDirection(FromTarget)
 }
 
-// BlackholeDirection drops all further bytes of the open connections in one direction, without a
-// reset.
+// BlackholeDirection drops all further bytes of the open connections in one direction,
+// without a reset.
 func (p *Proxy) BlackholeDirection(dir Direction) {
 	for _, conn := range p.openConns() {
 		conn.mu.Lock()
@@ -106,7 +106,7 @@
 	p.refuse = refuse
 }
 
-// SetDelay sets the delay that each chunk of bytes gets, in both directions.
+// SetDelay delays each forwarded chunk of bytes by d, in both directions.
 func (p *Proxy) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/store.go
+++ b/standin/store.go
@@ -21,8 +21,8 @@
 	// were applied.
 	LoseResponses int `json:"loseAnswers"`
 	// LoseRequests is the number of coming writes that are lost before they are
-	// applied. The error is that of a lost response, so the caller cannot tell the
-	// two apart.
+	// applied. The error is the same as for a lost response, so the caller cannot
+	// distinguish the two.
 	LoseRequests int `json:"loseRequests"`
 	// StaleBy is how many revisions reads of the latest revision lag behind.
 	StaleBy int64 `json:"staleBy"`
@@ -191,10 +191,10 @@
 	if err := s.beginCall(); err != nil {
 		return store.TxnResponse{}, err
 	}
-	answerLost := &verdict.Error{Verdict: verdict.Unknown, Reason: "platform-answer-lost", Err: errInjected}
+	responseLost := &verdict.Error{Verdict: verdict.Unknown, Reason: "platform-answer-lost", Err: errInjected}
 	if s.faults.LoseRequests > 0 {
 		s.faults.LoseRequests--
-		return store.TxnResponse{}, answerLost
+		return store.TxnResponse{}, responseLost
 	}
 	for _, p := range txn.Puts {
 		if _, ok := s.leases[p.Lease]; p.Lease != 0 && !ok {
@@ -209,7 +209,7 @@
 	resp.Revision = s.revision
 	if s.faults.LoseResponses > 0 {
 		s.faults.LoseResponses--
-		return store.TxnResponse{}, answerLost
+		return store.TxnResponse{}, responseLost
 	}
 	return resp, nil
 }
@@ -271,15 +271,15 @@
 	return s.lastLease, nil
 }
 
-// Faults returns the injected faults; its counts are those that are left.
+// Faults returns the injected faults; its counts are what remains of them.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// LoseAnswer drops the response to one more coming write after it was applied.
-func (s *Store) LoseAnswer() {
+// LoseResponse drops the response to one more coming write after it was applied.
+func (s *Store) LoseResponse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.LoseResponses++
--- a/standin/target.go
+++ b/standin/target.go
@@ -73,13 +73,14 @@
 	// mu guards executions, the number of executions by request ID.
 	mu         sync.Mutex
 	executions map[string]int
-	// streams is the number of open board streams, inFlight that of requests in
-	// progress, requests that of requests received so far.
+	// streams counts the open board streams, inFlight the requests in progress, requests
+	// the requests received so far.
 	streams  atomic.Int64
 	inFlight atomic.Int64
 	requests atomic.Int64
 }
 
+// pollInterval is how often a waiting call checks its condition.
 const pollInterval = 50 * time.Millisecond
 
 // NewTarget opens the target's listener on a loopback port.
--- a/store/gateway/contract_test.go
+++ b/store/gateway/contract_test.go
@@ -13,7 +13,7 @@
 	"github.com/poppywall/poppywall/store/storetest"
 )
 
-// TestContract runs the contract over the etcd version 3 JSON protocol.
+// TestContract runs the contract tests of package store over the etcd version 3 JSON protocol.
 func TestContract(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	server := httptest.NewServer(standin.Gateway(s))
@@ -21,8 +21,9 @@
 	storetest.Run(t, gateway.NewClient(server.URL, time.Second), s)
 }
 
-// TestClientReplacesStalledConnections delays responses by 20 ms, so that concurrent
-// calls open a connection each.
+// TestClientReplacesStalledConnections checks that one failed call replaces all stalled
+// connections. Responses are delayed by 20 ms so that concurrent calls open a connection
+// each.
 func TestClientReplacesStalledConnections(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	s.SetFaults(standin.Faults{DelayMillis: 20})
@@ -34,8 +35,8 @@
 	storetest.CheckStalledConnections(t, gateway.NewClient("http://"+proxy.Addr(), 400*time.Millisecond), proxy.Blackhole)
 }
 
-// TestResponseOverSlowLink: a response that arrives slowly, but without a stall, is
-// read to its end.
+// TestResponseOverSlowLink checks that a response that arrives slowly, but without a
+// stall, is read to its end.
 func TestResponseOverSlowLink(t *testing.T) {
 	server := httptest.NewServer(standin.Gateway(standin.NewStore(time.Now)))
 	defer server.Close()
--- a/store/gateway/http.go
+++ b/store/gateway/http.go
@@ -105,6 +105,6 @@
 }
 
 func statusError(status int, _ []byte) error {
-	err := errors.Errorf("platform returned status %d", status)
+	err := errors.Errorf("store answered status %d", status)
 	return &verdict.Error{Verdict: verdict.Unknown, Reason: "platform-status", Err: err}
 }
--- a/store/jsoncall/jsoncall.go
+++ b/store/jsoncall/jsoncall.go
@@ -90,7 +90,7 @@
 
 // transportError returns the error of a call without a complete response.
 func (c *Caller) transportError(err error) error {
-	// What stalled this connection may have stalled the idle ones too.
+	// The cause of the failure may have stalled the idle connections too.
 	c.Client.CloseIdleConnections()
 	var transferErr *transfer.Error
 	switch {
--- a/store/store.go
+++ b/store/store.go
@@ -89,7 +89,7 @@
 type LeaseID int64
 
 // Store is the part of a key-value service that the project uses. Errors carry
-// a verdict.Verdict: that of a Txn whose response was lost is verdict.Unknown.
+// a verdict.Verdict; a Txn whose response was lost fails with verdict.Unknown.
 type Store interface {
 	Range(ctx context.Context, req RangeRequest) (RangeResponse, error)
 	Txn(ctx context.Context, txn Txn) (TxnResponse, error)
--- a/store/storetest/contract.go
+++ b/store/storetest/contract.go
@@ -19,8 +19,8 @@
 
 // FaultInjector injects faults into the service behind the client.
 type FaultInjector interface {
-	// LoseAnswer drops the response to the next write after the write was applied.
-	LoseAnswer()
+	// LoseResponse drops the response to the next write after the write was applied.
+	LoseResponse()
 	// Down(true) makes every call fail without an effect; Down(false) ends that.
 	Down(down bool)
 	// LapseLeases expires all leases at once.
@@ -74,7 +74,7 @@
 	checkRemoves(t, s)
 }
 
-// checkRemoves removes a key conditionally.
+// checkRemoves checks that a key is removed only if the condition holds.
 func checkRemoves(t *testing.T, s store.Store) {
 	ctx := context.Background()
 	first, err := s.Txn(ctx, store.Txn{Puts: []store.Put{put("txn/gone", "1")}})
@@ -94,7 +94,8 @@
 	require.Len(t, resp.KVs, 1, "stale reads of this service return the latest revision")
 }
 
-// checkPaging writes more keys than one page holds and reads them all.
+// checkPaging checks that ReadAll returns more keys than one page holds, in order, and
+// none outside the prefix.
 func checkPaging(t *testing.T, s store.Store) {
 	const keys = 1203
 	ctx := context.Background()
@@ -136,7 +137,7 @@
 
 func checkVerdicts(t *testing.T, s store.Store, faults FaultInjector) {
 	ctx := context.Background()
-	faults.LoseAnswer()
+	faults.LoseResponse()
 	_, err := s.Txn(ctx, store.Txn{Puts: []store.Put{put("verdict/a", "1")}})
 	require.Error(t, err)
 	require.Equal(t, verdict.Unknown, verdict.FromError(err), "the response was lost")
@@ -150,9 +151,10 @@
 	require.False(t, ok)
 }
 
-// CheckStalledConnections checks that after all open connections of a client have stalled without a
-// reset, one failed call is enough for the client to replace all of them.
-func CheckStalledConnections(t *testing.T, s store.Store, silence func()) {
+// CheckStalledConnections checks that after all open connections of a client have stalled
+// without a reset, one failed call is enough for the client to replace all of them.
+// blackhole makes the open connections stall.
+func CheckStalledConnections(t *testing.T, s store.Store, blackhole func()) {
 	t.Helper()
 	ctx := context.Background()
 	call := func() error {
@@ -164,7 +166,7 @@
 		calls.Go(func() { assert.NoError(t, call()) })
 	}
 	calls.Wait()
-	silence()
+	blackhole()
 	require.Error(t, call(), "the connection is stalled")
 	require.NoError(t, call(), "a new connection works")
 }
@@ -177,19 +179,19 @@
 	slowLinkRate      = 640_000 // bytes per second
 )
 
-// SlowLinkTimeout is the timeout of Narrowed's client.
+// SlowLinkTimeout is the timeout of the client that CheckSlowLink checks.
 const SlowLinkTimeout = 400 * time.Millisecond
 
 // CheckSlowLink checks that a client reads a response whose transfer takes longer than the
-// client's timeout, as long as it does not stall. narrow limits the link's bandwidth.
-func CheckSlowLink(t *testing.T, s store.Store, narrow func(bytesPerSecond int)) {
+// client's timeout, as long as it does not stall. limitRate limits the link's rate.
+func CheckSlowLink(t *testing.T, s store.Store, limitRate func(bytesPerSecond int)) {
 	t.Helper()
 	ctx := context.Background()
 	for i := range slowLinkPairs {
 		_, err := s.Txn(ctx, store.Txn{Puts: []store.Put{{Key: "n/" + strconv.Itoa(i), Value: make([]byte, slowLinkValueSize)}}})
 		require.NoError(t, err)
 	}
-	narrow(slowLinkRate)
+	limitRate(slowLinkRate)
 	began := time.Now()
 	resp, err := s.Range(ctx, store.RangeRequest{Key: "n/", End: store.PrefixEnd("n/")})
 	require.NoError(t, err)
--- a/telemetry/asyncwriter.go
+++ b/telemetry/asyncwriter.go
@@ -18,8 +18,8 @@
 )
 
 // AsyncWriter buffers log lines so that a slow output never blocks the code
-// that logs. Lines that do not fit into the buffer are dropped, and a line
-// reports how many. It implements zapcore.WriteSyncer.
+// that logs. Lines that do not fit into the buffer are dropped, and their
+// number is logged. It implements zapcore.WriteSyncer.
 type AsyncWriter struct {
 	out io.Writer
 	// mu guards pending and dropped; it is never held during output.
--- a/telemetry/budget.go
+++ b/telemetry/budget.go
@@ -13,8 +13,8 @@
 	dropped       int
 }
 
-// Allow reports whether a line may be written now, and how many were dropped
-// since the last one.
+// Allow reports whether a line may be written now, and how many lines were dropped
+// since the last one written.
 func (b *RateLimit) Allow(now time.Time) (dropped int, ok bool) {
 	if s := now.Unix(); s != b.currentSecond {
 		b.currentSecond, b.written = s, 0
--- a/telemetry/storecalls.go
+++ b/telemetry/storecalls.go
@@ -14,8 +14,7 @@
 
 // The purposes of calls.
 const (
-	// PurposeOperator is reading what operators have written, such as the
-	// configuration.
+	// PurposeOperator is reading the operators' keys, such as the configuration.
 	PurposeOperator Purpose = "operator"
 	// PurposeEntry is maintaining the process's own entry in the registry.
 	PurposeEntry Purpose = "entry"
@@ -34,7 +33,7 @@
 
 // For returns a store that counts the calls to s under a purpose.
 func (c *StoreCalls) For(p Purpose, s store.Watcher) store.Watcher {
-	count := func(how string) prometheus.Counter { return c.calls.WithLabelValues(string(p) + "-" + how) }
+	count := func(kind string) prometheus.Counter { return c.calls.WithLabelValues(string(p) + "-" + kind) }
 	return &countedStore{store: s, reads: count("read"), stale: count("stale-read"), writes: count("write"), watches: count("watch")}
 }
 
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestServerClosesStalledConnections: a peer that disappears without a reset does not
-// hold a file descriptor for ever, whether between requests, within a request header or
+// TestServerClosesStalledConnections checks that a peer that disappears without a reset does
+// not hold a file descriptor forever, whether between requests, within a request header or
 // while it reads nothing of the response.
 func TestServerClosesStalledConnections(t *testing.T) {
 	body := make([]byte, 16<<20)
--- a/telemetry/zones.go
+++ b/telemetry/zones.go
@@ -5,8 +5,8 @@
 	"go.uber.org/zap"
 )
 
-// ZoneGauges show the zones that a node regards as evacuated, and the store revision
-// that they come from: once all nodes show the same, an evacuation is in force everywhere.
+// ZoneGauges show the zones that are evacuated according to a node, and the store revision
+// of that set: once all nodes show the same revision, an evacuation is in force everywhere.
 type ZoneGauges struct {
 	evacuated *prometheus.GaugeVec
 	revision  prometheus.Gauge
--- a/telemetry/zones_test.go
+++ b/telemetry/zones_test.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// TestEvacuatedZonesInMetricsAndLog: the metrics show only the zones evacuated now, the
-// log line also those before.
+// TestEvacuatedZonesInMetricsAndLog checks that the metrics show only the zones evacuated
+// now, and the log line also those evacuated before.
 func TestEvacuatedZonesInMetricsAndLog(t *testing.T) {
 	reg := prometheus.NewRegistry()
 	g := NewZoneGauges(Metrics{Registry: reg, Subsystem: "front"})
--- a/transfer/transfer_test.go
+++ b/transfer/transfer_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestDoReportsRefusedConnection: the error reveals that dialing failed, so that a
-// request that was never sent may be retried.
+// TestDoReportsRefusedConnection checks that the error reveals that dialing failed, so that
+// a request that was never sent may be retried.
 func TestDoReportsRefusedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -106,8 +106,9 @@
 	return got
 }
 
-// TestWriteContinuesWhileClientReads: a response to a slow client is written completely,
-// beyond the server's WriteTimeout; one that the client stops reading is given up.
+// TestWriteContinuesWhileClientReads checks that a response to a slow client is written
+// completely, beyond the server's WriteTimeout, and that writing fails once the client stops
+// reading.
 func TestWriteContinuesWhileClientReads(t *testing.T) {
 	// The kernel sometimes reopens a closed TCP window only after 200 ms.
 	const size, stallTimeout = 16 << 20, time.Second
