--- a/model/caller.go
+++ b/model/caller.go
@@ -37,36 +37,36 @@
 	// InTime requests were answered within their latency objective, Late ones after it.
 	InTime
 	Late
-	// Refused requests have not run, and each of their tries was refused.
+	// Refused requests have not run, and each of their attempts was refused.
 	Refused
 	// Lost requests were abandoned at their deadline or failed without a further retry.
 	Lost
 )
 
-// request is a caller's request, which takes one or several tries.
+// request is a caller's request, which takes one or several attempts.
 type request struct {
-	run       *run
-	number    int
-	class     *Class
-	zone      int
-	ip        flow.IPv4
-	startedAt time.Time
-	tries     int
-	runs      int
-	outcome   Outcome
+	run          *run
+	number       int
+	class        *Class
+	zone         int
+	ip           flow.IPv4
+	startedAt    time.Time
+	attemptCount int
+	executions   int
+	outcome      Outcome
 	// crossZone is set if its last run was in another zone than its caller's.
 	crossZone   bool
 	lastAttempt *attempt
-	// allRefused is set while each failed try was refused with the statement that the request
-	// has not run.
+	// allRefused is set while each failed attempt was refused with the statement that the
+	// request has not run.
 	allRefused bool
 	// work is the slot time that targets have spent on it, endedAt the time of its outcome.
 	work    time.Duration
 	endedAt time.Time
 }
 
-// attempt is one try of a request, on a flow of its own. A flow of several requests goes on with
-// the next request once the present one is answered.
+// attempt is one attempt at a request, on a flow of its own. A flow of several requests goes
+// on with the next request once the current one is answered.
 type attempt struct {
 	*request
 	key    flow.Key
@@ -111,7 +111,7 @@
 			return
 		}
 		next := a.run.newRequest(c, a.zone, a.ip)
-		next.tries, next.lastAttempt = 1, a
+		next.attemptCount, next.lastAttempt = 1, a
 		a.request = next
 		a.sendRequest(next, firstRetransmitInterval, 0)
 	})
@@ -144,10 +144,10 @@
 	q.finish(Lost)
 }
 
-// openFlow starts a try by opening a flow from a new port. The SYN is retransmitted until the
-// flow is open, and the try fails after backlog.ConnectTimeout.
+// openFlow starts an attempt by opening a flow from a new port. The SYN is retransmitted until
+// the flow is open, and the attempt fails after backlog.ConnectTimeout.
 func (q *request) openFlow() {
-	q.tries++
+	q.attemptCount++
 	r := q.run
 	r.lastPorts[q.ip]++
 	front := r.fronts[q.class]
@@ -170,8 +170,9 @@
 // pending reports whether the caller still waits for an answer on this flow.
 func (a *attempt) pending() bool { return !a.ended && a.outcome == Pending }
 
-// fail ends a try. The caller retries if that is safe and it has retries left. notRun reports
-// whether the request has certainly not run, refused whether the caller was told so by a refusal.
+// fail ends an attempt. The caller retries if that is safe and it has retries left. notRun
+// reports whether the request has certainly not run, refused whether the caller received a
+// refusal that states so.
 func (a *attempt) fail(notRun, refused bool) {
 	if !a.pending() {
 		return
@@ -186,7 +187,7 @@
 		a.finish(Lost)
 		return
 	}
-	if retries, pause := a.retries(refused && !a.opened); a.tries <= retries {
+	if retries, pause := a.retries(refused && !a.opened); a.attemptCount <= retries {
 		a.run.world.After(pause, func() {
 			if a.outcome == Pending {
 				a.openFlow()
@@ -288,7 +289,8 @@
 	a.sendNextRequest()
 }
 
-// failAnswered closes the flow of a try that was answered with an error, and ends the try.
+// failAnswered closes the flow of an attempt that was answered with an error, and ends the
+// attempt.
 func (a *attempt) failAnswered(notRun bool) {
 	a.send(flow.ACK|flow.FIN, 2, a.lastTargetSeq, nil)
 	a.fail(notRun, notRun)
--- a/model/doc.go
+++ b/model/doc.go
@@ -1,4 +1,4 @@
-// Package model simulates a deployment under load and faults and reports what became of
+// Package model simulates a deployment under load and faults and reports the outcomes of
 // the callers' requests. It is a discrete-event simulation of the real cores of balancers
 // and agents (package sim), of targets with slots, queues, cold starts, crashes and partial
 // failures, and of callers that open flows, retransmit packets, retry and give up as the
--- a/model/experiment.go
+++ b/model/experiment.go
@@ -137,7 +137,7 @@
 }
 
 // Print writes a table of the rows, and unless brief is set of each class: shares of all requests
-// by outcome, the share in time in the worst window of two seconds, tries per request, unsafe
+// by outcome, the share in time in the worst window of two seconds, attempts per request, unsafe
 // requests that ran more than once, the busiest target's load over the mean, and the share of
 // cross-zone requests.
 func Print(w io.Writer, rows []Row, brief bool) error {
@@ -146,7 +146,7 @@
 	for i := range rows {
 		r := &rows[i]
 		printCount(tw, r, "all", &r.All)
-		fmt.Fprintf(tw, "\t%.1f\t%.3f\t%d\t%.2f\t%.1f\n", 100*r.WorstWindow(), float64(r.Tries)/float64(max(r.All.Total, 1)), r.DuplicateRuns, r.MaxOverMean/float64(max(r.Runs, 1)), 100*r.All.Share(r.All.CrossZone))
+		fmt.Fprintf(tw, "\t%.1f\t%.3f\t%d\t%.2f\t%.1f\n", 100*r.WorstWindow(), float64(r.Attempts)/float64(max(r.All.Total, 1)), r.DuplicateExecutions, r.MaxOverMean/float64(max(r.Runs, 1)), 100*r.All.Share(r.All.CrossZone))
 		if brief {
 			continue
 		}
--- a/model/model_test.go
+++ b/model/model_test.go
@@ -25,14 +25,14 @@
 	require.Less(t, r.Unserved(), 0.015, "%+v", r.All)
 	require.Greater(t, r.Unserved(), 0.0, "flows that were open at the power loss end with it")
 	require.Greater(t, r.All.Share(r.All.Late), 0.1)
-	require.Zero(t, r.DuplicateRuns)
+	require.Zero(t, r.DuplicateExecutions)
 }
 
 func TestOtherPatternsServeNearlyAllRequests(t *testing.T) {
 	for pattern, most := range map[string]float64{"quiet": 0, "burst": 0, "release": 0.0005, "slow": 0, "roll": 0, "flap": 0.002, "partial": 0.008, "kill": 0.01, "evacuate": 0} {
 		r := simulate(pattern, 2)
 		require.LessOrEqual(t, r.Unserved(), most, "%s %+v", pattern, r.All)
-		require.Zero(t, r.DuplicateRuns, pattern)
+		require.Zero(t, r.DuplicateExecutions, pattern)
 		require.Equal(t, r.All.Total, r.All.InTime+r.All.Late+r.All.Refused+r.All.Lost, pattern)
 	}
 }
@@ -66,8 +66,9 @@
 // TestBadTargetsLoseFewWrites checks the share of writes lost by the patterns "flap" and
 // "partial", in which three of 25 targets go down and up each 0.8 s, or fail 31% of their
 // requests, for 6 of 13 s. Reasons for the bounds: at 23 requests per second a target's failure
-// rate of a third shows within some 30 requests, of which 2 writes are lost. A target that goes down the first time loses the requests in its 2 slots, a fifth of
-// them writes; when it goes down again it has none.
+// rate of a third shows within some 30 requests, of which 2 writes are lost. A target that goes
+// down the first time loses the requests in its 2 slots, a fifth of them writes; when it goes
+// down again it has none.
 func TestBadTargetsLoseFewWrites(t *testing.T) {
 	for pattern, most := range map[string]float64{"flap": 0.0012, "partial": 0.006} {
 		var sum Result
@@ -77,14 +78,14 @@
 		write := sum.Classes[1].Count
 		require.Greater(t, write.Total, 5000, pattern)
 		require.Less(t, write.Share(write.Lost+write.Refused), most, "%s %+v", pattern, write)
-		require.Zero(t, sum.DuplicateRuns, pattern)
+		require.Zero(t, sum.DuplicateExecutions, pattern)
 	}
 }
 
-// TestAbandonedRequestsAreNotDelivered: under a burst of four times the load, more than the
-// targets can answer, many callers give up while their requests are queued, and their clients
-// retransmit these for seconds. An agent must not deliver such a request once the caller's FIN
-// has arrived. Requests that are already in the target's own queue by then still run.
+// TestAbandonedRequestsAreNotDelivered checks that an agent does not deliver a request once the
+// FIN of the caller that abandoned it has arrived. Under a burst of four times the load, more
+// than the targets can answer, many callers give up while their requests are queued, and their
+// clients retransmit these for seconds. Requests that are already in the target's own queue by then still run.
 func TestAbandonedRequestsAreNotDelivered(t *testing.T) {
 	d := DefaultDeployment()
 	for i := range d.Classes {
--- a/model/overload.go
+++ b/model/overload.go
@@ -11,8 +11,8 @@
 const (
 	// overloadTime is how long an overload lasts: several deadlines of the classes in use.
 	overloadTime = 8 * time.Second
-	// overloadFactor multiplies the load of all callers, classFactor that of one class alone,
-	// zoneFactor that of one zone.
+	// overloadFactor multiplies the load of all callers, classFactor the load of one class,
+	// zoneFactor the load of one zone.
 	overloadFactor = 2.4
 	classFactor    = 2.6
 	zoneFactor     = 4.5
@@ -44,8 +44,8 @@
 	active  bool
 	// passOns counts for each flow how often an agent did not take it.
 	passOns map[flow.Key]int
-	// refusals counts the tries that were refused while the overload was active, refusedPassOns
-	// the passOns of their flows.
+	// refusals counts the attempts that were refused while the overload was active,
+	// refusedPassOns the passOns of their flows.
 	refusals, refusedPassOns int
 }
 
@@ -72,7 +72,7 @@
 	return 1 + rnd.IntN(zones-1)
 }
 
-// recordRefusal counts a try that was refused.
+// recordRefusal counts an attempt that was refused.
 func (p *overload) recordRefusal(key flow.Key) {
 	if p.active {
 		p.refusals++
--- a/model/overload_test.go
+++ b/model/overload_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// activeOverloadPatterns are the overload patterns in which the capacity is that of all targets:
-// all except the one that loses a zone.
+// activeOverloadPatterns are the overload patterns in which all targets stay up: all except the
+// one that loses a zone.
 var activeOverloadPatterns = []string{"overload", "overload-kind", "overload-zone", "overload-fresh", "overload-cut", "overload-noise"}
 
 // overloadedTargets returns a deployment at 65% of its capacity without the overload.
@@ -63,7 +63,7 @@
 		r := simulateOverload(t, pattern)
 		require.Greater(t, r.Overload.Refusals, 1000, pattern)
 		require.LessOrEqual(t, r.Overload.MeanOffers(), float64(2), pattern)
-		require.Zero(t, r.DuplicateRuns, pattern)
+		require.Zero(t, r.DuplicateExecutions, pattern)
 	}
 }
 
--- a/model/overloadresult.go
+++ b/model/overloadresult.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// OverloadResult summarizes what became of requests during and after an overload.
+// OverloadResult summarizes the outcomes of requests during and after an overload.
 type OverloadResult struct {
 	// Capacity is the total slot time of the targets while the overload was active, from
 	// reactionTime after its start on. Worked is the part of it that was spent on requests,
 	// InTime the part of that which was spent on requests answered in time.
 	Capacity, InTime, Worked time.Duration
-	// Refusals counts the tries that were refused with the statement that the request has not
+	// Refusals counts the attempts that were refused with the statement that the request has not
 	// run, Offers how many agents these were offered to in all.
 	Refusals, Offers int
 	// Zones and Classes count the requests that began in the time that Capacity covers.
@@ -23,7 +23,7 @@
 // Goodput returns the share of the targets' slot time that was spent on requests answered in time.
 func (p *OverloadResult) Goodput() float64 { return float64(p.InTime) / float64(max(p.Capacity, 1)) }
 
-// MeanOffers returns the mean number of agents that a refused try was offered to.
+// MeanOffers returns the mean number of agents that a refused attempt was offered to.
 func (p *OverloadResult) MeanOffers() float64 { return float64(p.Offers) / float64(max(p.Refusals, 1)) }
 
 // Add adds the figures of another run of the same deployment.
--- a/model/plot.go
+++ b/model/plot.go
@@ -14,12 +14,12 @@
 	page := components.NewPage()
 	page.SetPageTitle("what callers got")
 	for i := range rows {
-		page.AddCharts(overTime(&rows[i]))
+		page.AddCharts(outcomeChart(&rows[i]))
 	}
 	return page.Render(w)
 }
 
-func overTime(r *Row) *charts.Bar {
+func outcomeChart(r *Row) *charts.Bar {
 	bar := charts.NewBar()
 	p, _ := patternOf(r.Pattern)
 	bar.SetGlobalOptions(
--- a/model/result.go
+++ b/model/result.go
@@ -58,15 +58,15 @@
 	Classes []ClassCount
 	// Windows are the counts of each window of two seconds, by when requests began.
 	Windows []Count
-	// DuplicateRuns counts unsafe requests that ran more than once, which must not happen.
-	DuplicateRuns int
-	// DeliveredAbandoned counts requests that were delivered to targets although the agent must
-	// already have received that the caller had abandoned them.
+	// DuplicateExecutions counts unsafe requests that ran more than once, which must not happen.
+	DuplicateExecutions int
+	// DeliveredAbandoned counts requests that were delivered to targets although the FIN of
+	// the caller that abandoned them must already have reached the agent.
 	DeliveredAbandoned int
-	// Overload summarizes what became of requests during and after an overload.
+	// Overload summarizes the outcomes of requests during and after an overload.
 	Overload OverloadResult
-	// Tries is the number of flows that callers opened or tried to open for the requests.
-	Tries int
+	// Attempts counts the flows that callers opened or tried to open for the requests.
+	Attempts int
 	// Runs is the number of runs that were added up. MaxOverMean is the sum over them of the
 	// busiest target's time of slots in use divided by the mean over the first service's targets.
 	Runs        int
@@ -76,9 +76,9 @@
 // Add adds the result of another run of the same deployment.
 func (r *Result) Add(o Result) {
 	r.All.Add(o.All)
-	r.DuplicateRuns += o.DuplicateRuns
+	r.DuplicateExecutions += o.DuplicateExecutions
 	r.DeliveredAbandoned += o.DeliveredAbandoned
-	r.Tries += o.Tries
+	r.Attempts += o.Attempts
 	r.Runs += o.Runs
 	r.MaxOverMean += o.MaxOverMean
 	r.Overload.Add(&o.Overload)
@@ -138,14 +138,14 @@
 	for _, q := range r.requests {
 		out.All.add(q)
 		out.Classes[byClass[q.class]].add(q)
-		out.Tries += q.tries
+		out.Attempts += q.attemptCount
 		w := int(q.startedAt.Sub(loadStart) / windowLength)
 		for len(out.Windows) <= w {
 			out.Windows = append(out.Windows, Count{})
 		}
 		out.Windows[w].add(q)
-		if q.class.Unsafe && q.runs > 1 {
-			out.DuplicateRuns++
+		if q.class.Unsafe && q.executions > 1 {
+			out.DuplicateExecutions++
 		}
 	}
 	out.Overload = r.overloadResult()
--- a/model/routers.go
+++ b/model/routers.go
@@ -15,7 +15,7 @@
 	candidates []*sim.Balancer
 }
 
-// member is a balancer and the routers' health state of it.
+// member is a balancer with its health state at the routers.
 type member struct {
 	*sim.Balancer
 	inRotation   bool
--- a/model/run.go
+++ b/model/run.go
@@ -44,15 +44,15 @@
 	loadEnds time.Time
 	// loadFactor multiplies the rate of all classes.
 	loadFactor float64
-	// deliveredAbandoned counts requests that were delivered to targets although the agent must
-	// already have received that the caller had abandoned them.
+	// deliveredAbandoned counts requests that were delivered to targets although the FIN of
+	// the caller that abandoned them must already have reached the agent.
 	deliveredAbandoned int
 	// movedShare is the share of the first zone's requests that are sent from the second zone.
 	movedShare float64
 	overload   overload
 }
 
-// Simulate runs a pattern on a deployment and returns what became of the requests.
+// Simulate runs a pattern on a deployment and returns the outcome of the requests.
 func Simulate(o Options) Result {
 	r := newRun(o)
 	loadStart := r.startLoad(o)
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -18,7 +18,8 @@
 	AgentTick    = 50 * time.Millisecond
 	registryTick = 20 * time.Millisecond
 	flowTTL      = time.Minute
-	// storeFollowTime is how long after an answer of the store a balancer counts as following it.
+	// storeFollowTime is how long after a response of the store a balancer counts as following
+	// it.
 	storeFollowTime = 5 * time.Second
 	// maxSeeds is the number of balancers that other nodes are given as seeds.
 	maxSeeds = 3
@@ -229,8 +230,8 @@
 	a.Core.Probed(a.w.Now, outcome)
 }
 
-// maintainRegistration keeps the agent's registry entry in the state that the core wants. Each
-// ExpireAfter it checks whether the entry is still there and restores it if not.
+// maintainRegistration keeps the agent's registry entry in the state that the core wants. Every
+// fleet.ExpireAfter it checks whether the entry is still there and restores it if not.
 func (a *Agent) maintainRegistration(incarnation uint64) {
 	w, generation := a.w, a.Generation
 	stored := fleet.EntryUnchanged
@@ -252,7 +253,7 @@
 		return true
 	})
 	w.Every(fleet.ExpireAfter, func() bool {
-		if _, listed := w.Registry[a.IP]; !listed {
+		if _, registered := w.Registry[a.IP]; !registered {
 			stored = fleet.EntryUnchanged
 		}
 		return a.Generation == generation
--- a/model/sim/world.go
+++ b/model/sim/world.go
@@ -48,14 +48,15 @@
 	OnReceive func(from, to flow.IPv4, kind envelope.Kind, datagram []byte)
 	// DisturbAnnouncement is called for each announcement of an agent. It returns whether the
 	// announcement is lost, and otherwise by how much it is delayed.
-	DisturbAnnouncement func() (lost bool, late time.Duration)
+	DisturbAnnouncement func() (lost bool, extraDelay time.Duration)
 	// Client is called with each packet that arrives at a client.
 	Client func(ip flow.IPv4, packet []byte)
 
 	// PassedOn is called each time an agent does not take a new flow.
 	PassedOn func(key flow.Key)
 
-	// Registry holds the agents' entries in the store. The store is unavailable until StoreDownUntil.
+	// Registry holds the agents' entries in the store. The store is unavailable until
+	// StoreDownUntil.
 	Registry       map[flow.IPv4]fleet.Entry
 	StoreDownUntil time.Time
 	// RemovedWhileAlive counts agents whose registry entry was removed while they ran.
@@ -65,8 +66,8 @@
 	// CrossZone counts the cross-zone datagrams between nodes, by kind.
 	CrossZone map[envelope.Kind]Traffic
 
-	// Calls counts the calls to the store, SnapshotRequests the snapshots that were requested from each
-	// balancer.
+	// Calls counts the calls to the store, SnapshotRequests the snapshots that were requested
+	// from each balancer.
 	Calls            map[Call]int
 	SnapshotRequests map[flow.IPv4]int
 
@@ -92,8 +93,8 @@
 	}
 }
 
-// Send sends the datagram made of parts: it may be lost, duplicated or delayed as Loss, Duplication
-// and MaxExtraDelay define.
+// Send sends the datagram made of parts: it may be lost, duplicated or delayed as Loss,
+// Duplication and MaxExtraDelay define.
 func (w *World) Send(delay time.Duration, deliver func([]byte), parts ...[]byte) {
 	size := 0
 	for _, p := range parts {
@@ -131,11 +132,11 @@
 	}
 	delay := w.Delay(from, to)
 	if kind == envelope.Announce {
-		lost, late := w.DisturbAnnouncement()
+		lost, extraDelay := w.DisturbAnnouncement()
 		if lost {
 			return
 		}
-		delay += late
+		delay += extraDelay
 	}
 	w.Send(delay, func(data []byte) {
 		if w.OnReceive != nil {
@@ -179,12 +180,12 @@
 
 // SetEvacuated evacuates a zone, or ends its evacuation, by a write to the store. It reports whether
 // the store was available and the write changed anything.
-func (w *World) SetEvacuated(zone string, empty bool) bool {
-	if w.Now.Before(w.StoreDownUntil) || w.Evacuations.Has(flow.TagOf(zone)) == empty {
+func (w *World) SetEvacuated(zone string, evacuated bool) bool {
+	if w.Now.Before(w.StoreDownUntil) || w.Evacuations.Has(flow.TagOf(zone)) == evacuated {
 		return false
 	}
 	zones := slices.DeleteFunc(slices.Clone(w.Evacuations.Zones()), func(z string) bool { return z == zone })
-	if empty {
+	if evacuated {
 		zones = append(zones, zone)
 	}
 	w.Evacuations, _ = flow.NewEvacuations(w.Evacuations.Revision+1, zones)
--- a/model/target.go
+++ b/model/target.go
@@ -173,7 +173,7 @@
 // startWork starts a request in a free slot. At its end the next queued one starts.
 func (t *target) startWork(j job) {
 	t.busySlots++
-	j.request.runs++
+	j.request.executions++
 	j.request.crossZone = zoneName(j.request.zone) != t.agent.Zone
 	serviceTime := t.drawServiceTime(j.request.class)
 	t.run.world.After(serviceTime, func() {
--- a/model/uneven_test.go
+++ b/model/uneven_test.go
@@ -39,7 +39,7 @@
 func TestUnequalTargetsAreUsedEvenly(t *testing.T) {
 	r := simulateUneven("quiet", unevenLoad, 2)
 	require.LessOrEqual(t, r.MaxOverMean/float64(r.Runs), 1.1)
-	require.Zero(t, r.DuplicateRuns)
+	require.Zero(t, r.DuplicateExecutions)
 	require.Zero(t, r.Unserved())
 	requireSteadyCrossZoneShare(t, &r)
 }
@@ -56,9 +56,9 @@
 	require.Less(t, crossed(12), crossed(10))
 }
 
-// TestSlowTargetsAreAvoided: at 70% of the capacity one of seven targets takes four times as long
-// for 6 s. Within half a second it must get hardly any new requests, so a seventh of the requests
-// of half a second out of 9 s may be late: 0.5 s / 9 s / 7 = 0.008.
+// TestSlowTargetsAreAvoided checks that a target that becomes slow gets hardly any new requests
+// after half a second: at 70% of the capacity one of seven targets takes four times as long for
+// 6 s. A seventh of the requests of half a second out of 9 s may be late: 0.5 s / 9 s / 7 = 0.008.
 func TestSlowTargetsAreAvoided(t *testing.T) {
 	r := simulate("slow", 4)
 	require.Less(t, r.All.Share(r.All.Late), 0.008)
@@ -102,8 +102,8 @@
 }
 
 // TestFastFailingTargetsAttractNoWork checks that targets that fail all requests at once do not draw
-// load by their short service time: the bound on lost writes is that of targets that fail a third
-// of their requests in the usual service time.
+// load by their short service time: the bound on lost writes is the same as for targets that fail a
+// third of their requests in the usual service time.
 func TestFastFailingTargetsAttractNoWork(t *testing.T) {
 	var sum Result
 	for seed := range uint64(8) {
@@ -111,5 +111,5 @@
 	}
 	write := sum.Classes[1].Count
 	require.Less(t, write.Share(write.Lost+write.Refused), 0.006, "%+v", write)
-	require.Zero(t, sum.DuplicateRuns)
+	require.Zero(t, sum.DuplicateExecutions)
 }
