--- a/binaries/internal/process/process.go
+++ b/binaries/internal/process/process.go
@@ -1,4 +1,4 @@
-// Package process holds what all binaries share: the command line, settings and their
+// Package process contains the code that all binaries share: the command line, settings and their
 // reload, the logger and the stop on a signal.
 package process
 
--- a/binaries/poppywall-soak/main.go
+++ b/binaries/poppywall-soak/main.go
@@ -1,5 +1,5 @@
 // Command poppywall-soak runs the packet front or the QUIC front under random faults, once
-// for each seed, and checks what it guarantees.
+// for each seed, and checks its guarantees.
 package main
 
 import (
@@ -66,7 +66,7 @@
 		if err != nil {
 			process.Fail(process.ExitFailure, err)
 		}
-		fmt.Printf("seed %d: %d requests, %d refused, %d resets, %d silent, %d violations\n",
+		fmt.Printf("seed %d: %d requests, %d refused, %d resets, %d unanswered, %d violations\n",
 			report.Seed, report.Requests, report.Refused, report.Resets, report.Unanswered, len(report.Violations))
 		if len(report.Violations) == 0 {
 			_ = os.RemoveAll(cfg.Dir)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// minSignalAge is the age from which a process is sent SIGHUP. A process that has not
-// yet installed its handler would be ended by the signal.
+// minSignalAge is the minimum age of a process that is sent SIGHUP. The signal would end a
+// process that has not yet installed its handler.
 const minSignalAge = 200 * time.Millisecond
 
 // restartTarget starts a target beside an agent that has none.
--- a/soak/quicsite.go
+++ b/soak/quicsite.go
@@ -186,7 +186,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	n.target, n.stopTarget = t, stop
 	go func() {
-		// Serve returns when stop is called. It opened its listener itself.
+		// Serve returns when stop is called; NewTarget has already opened the listener.
 		_ = t.Serve(ctx)
 	}()
 	s.mu.Lock()
--- a/soak/site.go
+++ b/soak/site.go
@@ -165,7 +165,7 @@
 const heartbeatEvery = 600 * time.Millisecond
 
 // drainGrace is how long after the acknowledgement a new flow may still reach a
-// draining target. A restarted agent learns of the drain with the next heartbeat.
+// draining target. A restarted agent receives the drain with the next heartbeat.
 const drainGrace = 3 * time.Second
 
 // incarnationsPerID is how many successive targets beside an agent start under the
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -51,7 +51,7 @@
 	startedAt time.Time
 }
 
-// logEvent adds a line to the journal.
+// logEvent adds an event with its time to the report.
 func (r *recorder) logEvent(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,6 +59,7 @@
 	r.report.Events = append(r.report.Events, fmt.Sprintf("%7.3f  ", at)+fmt.Sprintf(format, args...))
 }
 
+// addViolation adds a violated guarantee with its time to the report.
 func (r *recorder) addViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,10 +80,10 @@
 	// settleTime is the time after the last fault within which the system has to
 	// recover.
 	settleTime = 6 * time.Second
-	// evacuationWatch is how long zones that stay evacuated are observed after that.
+	// evacuationWatch is how long zones that stay evacuated are observed after settleTime.
 	evacuationWatch = 1500 * time.Millisecond
-	// requestTimeout is the timeout of a request under faults, settledTimeout that of
-	// the requests after settleTime.
+	// requestTimeout is the timeout of a request under faults, settledTimeout the timeout
+	// of a request after settleTime.
 	requestTimeout = 8 * time.Second
 	settledTimeout = 3 * time.Second
 	// configTimeout is how long an accepted configuration may take to be in force.
