--- a/binaries/poppywall-measure/model.go
+++ b/binaries/poppywall-measure/model.go
@@ -15,9 +15,9 @@
 
 // modelFlags are the flags of the subcommand model.
 type modelFlags struct {
-	settings, plot, pattern string
-	seeds, drawn            int
-	brief                   bool
+	settings, plot, pattern  string
+	seeds, randomDeployments int
+	brief                    bool
 }
 
 func (f *modelFlags) attach(sub *flaggy.Subcommand) {
@@ -26,7 +26,7 @@
 	sub.String(&f.plot, "o", "plot", "Path of an HTML page with charts to write.")
 	sub.Bool(&f.brief, "b", "brief", "Leave the classes out.")
 	sub.Int(&f.seeds, "n", "seeds", "Number of seeds.")
-	sub.Int(&f.drawn, "d", "drawn", "Number of deployments drawn at random besides.")
+	sub.Int(&f.randomDeployments, "d", "drawn", "Number of deployments drawn at random besides.")
 }
 
 // run runs the model. It writes the table of results to w and its progress to standard
@@ -68,8 +68,8 @@
 	if f.seeds > 0 {
 		s.Seeds = f.seeds
 	}
-	if f.drawn > 0 {
-		s.Drawn = f.drawn
+	if f.randomDeployments > 0 {
+		s.RandomDeployments = f.randomDeployments
 	}
 	return s, nil
 }
--- a/model/experiment.go
+++ b/model/experiment.go
@@ -20,8 +20,8 @@
 	Deployment Deployment `json:"deployment"`
 	// Patterns are the names of the patterns to run, all when empty.
 	Patterns []string `json:"patterns"`
-	// Drawn is the number of random deployments that are run in addition to the given one.
-	Drawn int `json:"drawn" validate:"gte=0,lte=1000"`
+	// RandomDeployments is the number of random deployments to run besides Deployment.
+	RandomDeployments int `json:"drawn" validate:"gte=0,lte=1000"`
 	// At is when the pattern begins, counted from the start of the load. Length is the duration
 	// of the load.
 	At     settings.Duration `json:"at" validate:"gt=0"`
@@ -68,7 +68,7 @@
 }
 
 // Run runs an experiment with valid settings. It calls progress after each run, never
-// concurrently, with the number of runs that are done and of all runs.
+// concurrently, with the number of completed runs and the number of all runs.
 func Run(s Settings, progress func(done, of int)) []Row {
 	patterns := s.Patterns
 	if len(patterns) == 0 {
@@ -81,7 +81,7 @@
 func (s *Settings) deployments() []Deployment {
 	out := []Deployment{s.Deployment}
 	rnd := rand.New(rand.NewPCG(s.FirstSeed, 11))
-	for i := range s.Drawn {
+	for i := range s.RandomDeployments {
 		d := RandomDeployment(rnd)
 		d.Name = fmt.Sprintf("drawn %d: %s", i, d.summary())
 		out = append(out, d)
--- a/telemetry/budget.go
+++ b/telemetry/budget.go
@@ -15,15 +15,15 @@
 
 // Allow reports whether a line may be written now, and how many lines were dropped
 // since the last one written.
-func (b *RateLimit) Allow(now time.Time) (dropped int, ok bool) {
-	if s := now.Unix(); s != b.currentSecond {
-		b.currentSecond, b.written = s, 0
+func (l *RateLimit) Allow(now time.Time) (dropped int, ok bool) {
+	if s := now.Unix(); s != l.currentSecond {
+		l.currentSecond, l.written = s, 0
 	}
-	if b.written >= b.PerSecond {
-		b.dropped++
+	if l.written >= l.PerSecond {
+		l.dropped++
 		return 0, false
 	}
-	b.written++
-	dropped, b.dropped = b.dropped, 0
+	l.written++
+	dropped, l.dropped = l.dropped, 0
 	return dropped, true
 }
--- a/telemetry/lines.go
+++ b/telemetry/lines.go
@@ -18,9 +18,9 @@
 	Now func() time.Time
 }
 
-// Write logs a line at info level if b allows it.
-func (l *RateLimitedLog) Write(b *RateLimit, msg string, fields ...zap.Field) {
-	dropped, ok := b.Allow(l.Now())
+// Write logs a line at info level if limit allows it.
+func (l *RateLimitedLog) Write(limit *RateLimit, msg string, fields ...zap.Field) {
+	dropped, ok := limit.Allow(l.Now())
 	if !ok {
 		return
 	}
