--- a/model/model_test.go
+++ b/model/model_test.go
@@ -85,7 +85,8 @@
 // TestAbandonedRequestsAreNotDelivered checks that an agent does not deliver a request once the
 // FIN of the caller that abandoned it has arrived. Under a burst of four times the load, more
 // than the targets can answer, many callers give up while their requests are queued, and their
-// clients retransmit these for seconds. Requests that are already in the target's own queue by then still run.
+// clients retransmit these for seconds. Requests that are already in the target's own queue by
+// then still run.
 func TestAbandonedRequestsAreNotDelivered(t *testing.T) {
 	d := DefaultDeployment()
 	for i := range d.Classes {
--- a/store/gateway/contract_test.go
+++ b/store/gateway/contract_test.go
@@ -13,7 +13,8 @@
 	"github.com/poppywall/poppywall/store/storetest"
 )
 
-// TestContract runs the contract tests of package store over the etcd version 3 JSON protocol.
+// TestContract runs the contract tests of package store over the etcd version 3 JSON
+// protocol.
 func TestContract(t *testing.T) {
 	s := standin.NewStore(time.Now)
 	server := httptest.NewServer(standin.Gateway(s))
