--- a/model/experiment.go
+++ b/model/experiment.go
@@ -20,8 +20,8 @@
 	Deployment Deployment `json:"deployment"`
 	// Patterns are the names of the patterns to run, all when empty.
 	Patterns []string `json:"patterns"`
-	// Drawn is the number of random deployments that are run in addition to the given one.
-	Drawn int `json:"drawn" validate:"gte=0,lte=1000"`
+	// RandomDeployments is the number of random deployments to run besides Deployment.
+	RandomDeployments int `json:"drawn" validate:"gte=0,lte=1000"`
 	// At is when the pattern begins, counted from the start of the load. Length is the duration
 	// of the load.
 	At     settings.Duration `json:"at" validate:"gt=0"`
@@ -68,7 +68,7 @@
 }
 
 // Run runs an experiment with valid settings. It calls progress after each run, never
-// concurrently, with the number of runs that are done and of all runs.
+// concurrently, with the number of completed runs and the number of all runs.
 func Run(s Settings, progress func(done, of int)) []Row {
 	patterns := s.Patterns
 	if len(patterns) == 0 {
@@ -81,7 +81,7 @@
 func (s *Settings) deployments() []Deployment {
 	out := []Deployment{s.Deployment}
 	rnd := rand.New(rand.NewPCG(s.FirstSeed, 11))
-	for i := range s.Drawn {
+	for i := range s.RandomDeployments {
 		d := RandomDeployment(rnd)
 		d.Name = fmt.Sprintf("drawn %d: %s", i, d.summary())
 		out = append(out, d)
@@ -137,7 +137,7 @@
 }
 
 // Print writes a table of the rows, and unless brief is set of each class: shares of all requests
-// by outcome, the share in time in the worst window of two seconds, tries per request, unsafe
+// by outcome, the share in time in the worst window of two seconds, attempts per request, unsafe
 // requests that ran more than once, the busiest target's load over the mean, and the share of
 // cross-zone requests.
 func Print(w io.Writer, rows []Row, brief bool) error {
@@ -146,7 +146,7 @@
 	for i := range rows {
 		r := &rows[i]
 		printCount(tw, r, "all", &r.All)
-		fmt.Fprintf(tw, "\t%.1f\t%.3f\t%d\t%.2f\t%.1f\n", 100*r.WorstWindow(), float64(r.Tries)/float64(max(r.All.Total, 1)), r.DuplicateRuns, r.MaxOverMean/float64(max(r.Runs, 1)), 100*r.All.Share(r.All.CrossZone))
+		fmt.Fprintf(tw, "\t%.1f\t%.3f\t%d\t%.2f\t%.1f\n", 100*r.WorstWindow(), float64(r.Attempts)/float64(max(r.All.Total, 1)), r.DuplicateExecutions, r.MaxOverMean/float64(max(r.Runs, 1)), 100*r.All.Share(r.All.CrossZone))
 		if brief {
 			continue
 		}
