--- a/agent/agent.go
+++ b/agent/agent.go
@@ -29,11 +29,15 @@
 )
 
 const (
-	callTimeout       = 2 * time.Second
-	platformTimeout   = 5 * time.Second
+	// callTimeout bounds a control call to a balancer.
+	callTimeout = 2 * time.Second
+	// platformTimeout bounds a call to the platform's store.
+	platformTimeout = 5 * time.Second
+	// idleConnTimeout is how long an unused control connection may stay open.
 	idleConnTimeout   = time.Minute
 	readHeaderTimeout = 5 * time.Second
-	sweepInterval     = time.Second
+	// sweepInterval is how often expired targets and return paths are removed.
+	sweepInterval = time.Second
 	// finalHeartbeatRounds is how many heartbeat rounds a leaving agent sends
 	// with status Left.
 	finalHeartbeatRounds = 2
--- a/agent/dispatcher.go
+++ b/agent/dispatcher.go
@@ -85,16 +85,16 @@
 
 // roundTrip sends a request to a target and returns the response. Its errors
 // are of type *verdict.Error.
-func (h *dispatcher) roundTrip(req *http.Request) (*http.Response, error) {
+func (d *dispatcher) roundTrip(req *http.Request) (*http.Response, error) {
 	a := &attempt{}
 	trace := &httptrace.ClientTrace{GotConn: a.gotConn}
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 	preventReplay(req)
-	resp, err := h.transport.RoundTrip(req)
+	resp, err := d.transport.RoundTrip(req)
 	if err != nil {
 		// The cause of this failure may also affect the pooled connections.
-		h.transport.CloseIdleConnections()
-		return nil, h.failure(req, a.verdict(), err)
+		d.transport.CloseIdleConnections()
+		return nil, d.failure(req, a.verdict(), err)
 	}
 	if !framed(resp) {
 		_ = resp.Body.Close()
@@ -103,7 +103,7 @@
 	return resp, nil
 }
 
-func (h *dispatcher) failure(req *http.Request, v verdict.Verdict, err error) error {
+func (d *dispatcher) failure(req *http.Request, v verdict.Verdict, err error) error {
 	e := &verdict.Error{Verdict: v, Status: http.StatusBadGateway, Reason: "target-unreachable", Err: err}
 	if v == verdict.Unknown {
 		e.Reason = "target-lost"
--- a/agent/dispatcher_test.go
+++ b/agent/dispatcher_test.go
@@ -165,10 +165,10 @@
 	return req
 }
 
-// TestVerdictsMatchTheTargetsLog lets a target close its connection at
-// any byte of the request or response, on new and on kept-alive connections. No
-// request that ran may get the verdict NotRun, no request may run twice, and a
-// response must be complete or the stream reset. Points 3, 4 and 5.
+// TestVerdictsMatchTheTargetsLog lets a target close its connection at any byte of
+// the request or response, on new and on kept-alive connections. No request that
+// ran may get the verdict NotRun, no request may run twice, and a response must be
+// complete or the stream reset. Points 3, 4 and 5 of docs/GUARANTEES.md.
 func TestVerdictsMatchTheTargetsLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rt := newRawTarget(t)
--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -55,7 +55,7 @@
 // heartbeatLoop sends heartbeats once per period, and immediately when the
 // entry changes.
 func (a *Agent) heartbeatLoop(ctx context.Context) error {
-	an := &heartbeatState{
+	hs := &heartbeatState{
 		acknowledged:     map[netip.AddrPort]uint32{},
 		requestedPeriods: map[netip.AddrPort]time.Duration{},
 		period:           a.cfg.Heartbeat.D(),
@@ -64,8 +64,8 @@
 		// A longer period that a registrar requests in this round applies from
 		// the next round on, which announces it. Until then registrars expect a
 		// heartbeat within the period announced last.
-		announcedPeriod := an.period
-		a.heartbeatRound(ctx, an)
+		announcedPeriod := hs.period
+		a.heartbeatRound(ctx, hs)
 		a.waitForTrigger(ctx, worker.Jitter(announcedPeriod))
 	}
 	return nil
@@ -115,7 +115,8 @@
 	hs.failedRounds = 0
 }
 
-// bootstrap returns random balancers to ask for the list of registrars.
+// bootstrap returns random balancers to ask for the list of registrars. Of
+// their entries only the addresses are set, both to the control address.
 func (a *Agent) bootstrap(ctx context.Context, hs *heartbeatState) []directory.Entry {
 	addresses := slices.Clone(a.cfg.Balancers)
 	if hs.failedRounds >= platformFallbackRounds && a.store != nil {
@@ -131,6 +132,8 @@
 	return out
 }
 
+// platformSeeds returns the control addresses of balancers that are published on
+// the platform.
 func (a *Agent) platformSeeds(ctx context.Context) []string {
 	var seeds []string
 	req := store.RangeRequest{Key: feed.SeedPrefix, End: store.PrefixEnd(feed.SeedPrefix)}
@@ -139,7 +142,7 @@
 		return nil
 	})
 	if err != nil {
-		a.log.Warn("failed to read balancer addresses from the platform", zap.Error(err))
+		a.log.Warn("failed to read seeds from the platform", zap.Error(err))
 	}
 	return seeds
 }
--- a/agent/mux.go
+++ b/agent/mux.go
@@ -40,11 +40,12 @@
 	incarnation route.Incarnation
 	metrics     *metrics
 	resetter    *resetter
-	packets     sync.Pool
+	packetPool  sync.Pool
 
 	conns atomic.Pointer[map[route.ServiceID]*serviceConn]
 
-	// mu guards paths and rnd.
+	// mu guards paths and rnd. paths holds the balancers through which each caller
+	// can be reached.
 	mu    sync.Mutex
 	paths *returnpath.Table
 	rnd   *rand.Rand
@@ -65,7 +66,7 @@
 		resetter:    resets,
 		metrics:     met,
 		incarnation: route.Incarnation(rand.Uint32()),
-		packets:     sync.Pool{New: func() any { return &packet{} }},
+		packetPool:  sync.Pool{New: func() any { return &packet{} }},
 		paths:       returnpath.New(returnpath.Defaults()),
 		rnd:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
@@ -196,6 +197,7 @@
 	m.paths.SetFallback(balancers)
 }
 
+// sweep removes the balancers and callers from which nothing arrived for too long.
 func (m *mux) sweep(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/agent/mux_test.go
+++ b/agent/mux_test.go
@@ -76,7 +76,7 @@
 // forged tags, with routes of this host, another incarnation, another host or
 // another service, and without a route, for services that are serving, draining
 // or unknown. A datagram may be delivered only to the service that it names and
-// that its route belongs to. Points 2 and 6.
+// that its route belongs to. Points 2 and 6 of docs/GUARANTEES.md.
 func TestNothingReachesAnotherService(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		socket := &fakeSocket{}
--- a/agent/registry.go
+++ b/agent/registry.go
@@ -109,7 +109,8 @@
 }
 
 // plan is the state that the host should have under the current announcements
-// and configuration.
+// and configuration: the targets by name, and the services that they serve with
+// the names of their targets.
 type plan struct {
 	targets     map[string]gateTarget
 	targetNames map[route.ServiceID][]string
--- a/agent/registry_test.go
+++ b/agent/registry_test.go
@@ -21,8 +21,8 @@
 // TestLeavingTargetsGetNoNewRequests announces, removes, drains, relabels and
 // expires targets in random order. A request may run only at a target that serves
 // its service and is not draining, by the latest announcements and the operators'
-// configuration. Points 2 and 6, enforced by the agent whatever state the
-// balancers have.
+// configuration. Points 2 and 6 of docs/GUARANTEES.md, enforced by the agent
+// whatever state the balancers have.
 func TestLeavingTargetsGetNoNewRequests(t *testing.T) {
 	const ttl = 3 * time.Second
 	names := []string{"one", "two", "three"}
--- a/agent/serviceconn.go
+++ b/agent/serviceconn.go
@@ -98,13 +98,13 @@
 	if a := c.address.Load(); a == nil || *a != h.Service {
 		c.address.Store(&h.Service)
 	}
-	p := c.mux.packets.Get().(*packet)
+	p := c.mux.packetPool.Get().(*packet)
 	p.caller = net.UDPAddrFromAddrPort(h.Caller)
 	p.data = p.buf[:copy(p.buf[:], payload)]
 	select {
 	case c.packets <- p:
 	default:
-		c.mux.packets.Put(p)
+		c.mux.packetPool.Put(p)
 		c.mux.metrics.drop(dropQueueFull)
 	}
 }
@@ -115,7 +115,7 @@
 	case p := <-c.packets:
 		n := copy(b, p.data)
 		addr := p.caller
-		c.mux.packets.Put(p)
+		c.mux.packetPool.Put(p)
 		return n, addr, nil
 	case <-c.deadline.done():
 		return 0, nil, errTimeout
