--- a/balancer/api.go
+++ b/balancer/api.go
@@ -78,7 +78,7 @@
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
 	branches := b.view.dir.DiffBranches(req.Branches, maxRepairBranches)
-	return control.DigestReply{Of: branches, Leaves: b.view.dir.Leaves(branches)}, nil
+	return control.DigestReply{Branches: branches, Leaves: b.view.dir.Leaves(branches)}, nil
 }
 
 func (b *Balancer) handleEntries(_ context.Context, req control.EntriesRequest) (control.EntriesReply, error) {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -26,10 +26,14 @@
 )
 
 const (
-	callTimeout     = 2 * time.Second
+	// callTimeout bounds a control call to another balancer.
+	callTimeout = 2 * time.Second
+	// platformTimeout bounds a call to the platform's store.
 	platformTimeout = 5 * time.Second
+	// idleConnTimeout is how long an unused control connection may stay open.
 	idleConnTimeout = 5 * time.Second
-	tickInterval    = 500 * time.Millisecond
+	// tickInterval is the period of tickLoop.
+	tickInterval = 500 * time.Millisecond
 )
 
 // Balancer is one balancer process.
--- a/balancer/feedloop.go
+++ b/balancer/feedloop.go
@@ -127,8 +127,9 @@
 	return err
 }
 
-// seedIndex returns this feeder's rank among the feeders of its zone. It is part
-// of the seed key, so that the number of seed keys stays small.
+// seedIndex returns this balancer's rank among the feeders of its zone, or
+// feed.PerZone if it is not one of them. It is part of the seed key, so that the
+// number of seed keys stays small.
 func (b *Balancer) seedIndex() int {
 	b.view.mu.Lock()
 	defer b.view.mu.Unlock()
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -158,8 +158,9 @@
 }
 
 // immediateRepairThreshold is the number of entries a repair must change for the
-// next exchange to repair again without waiting for repairInterval. After a mass
-// event, gossip updates are too slow; ordinary changes in transit stay below it.
+// next exchange to repair again without waiting for repairInterval. Gossip updates
+// are too slow when many entries change at once; ordinary changes in transit stay
+// below the threshold.
 const immediateRepairThreshold = 24
 
 // makeRepairDue lets the next exchange compare digests regardless of
@@ -233,7 +234,7 @@
 		return 0, err
 	}
 	b.view.mu.Lock()
-	leaves := b.view.dir.DiffLeaves(digest.Of, digest.Leaves)
+	leaves := b.view.dir.DiffLeaves(digest.Branches, digest.Leaves)
 	localEntries := b.view.dir.EntriesInLeaves(leaves, control.MaxEntriesPerCall)
 	b.view.mu.Unlock()
 	if len(leaves) == 0 {
--- a/control/messages.go
+++ b/control/messages.go
@@ -12,7 +12,7 @@
 	"github.com/poppywall/poppywall/route"
 )
 
-// Methods of balancers and agents.
+// Methods that balancers serve.
 const (
 	MethodHeartbeat = "heartbeat"
 	MethodExchange  = "exchange"
@@ -23,7 +23,7 @@
 	MethodStatus    = "status"
 )
 
-// RegistrarsPerHost is how many balancers a host announces itself to.
+// RegistrarsPerHost is the number of balancers that a host sends heartbeats to.
 const RegistrarsPerHost = 3
 
 // Limits of messages; a longer list is rejected.
@@ -36,6 +36,7 @@
 
 // HeartbeatRequest is an agent's periodic heartbeat to a registrar.
 type HeartbeatRequest struct {
+	// Data is the host's data address, the key of its directory entry.
 	Data        netip.AddrPort        `json:"d"`
 	Incarnation directory.Incarnation `json:"i"`
 	Sequence    uint32                `json:"q"`
@@ -80,8 +81,8 @@
 	// Root is the digest of the replier's whole directory.
 	Root     uint64           `json:"x"`
 	Revision catalog.Revision `json:"r"`
-	// AcceptedIndexes lists the requester's gossip updates that were new to the replier,
-	// by index.
+	// AcceptedIndexes lists the requester's gossip updates that were new to the
+	// replier, by index.
 	AcceptedIndexes []int `json:"n,omitempty"`
 	// Update holds the configuration changes that the requester lacks.
 	Update *catalog.Update `json:"u,omitempty"`
@@ -102,10 +103,11 @@
 	Branches directory.Sums `json:"b"`
 }
 
-// DigestReply lists the branches that differ, with their leaf sums.
+// DigestReply lists branches that differ, with the sums of their leaves in the
+// same order.
 type DigestReply struct {
-	Of     []int          `json:"of"`
-	Leaves directory.Sums `json:"l"`
+	Branches []int          `json:"of"`
+	Leaves   directory.Sums `json:"l"`
 }
 
 // EntriesRequest exchanges the entries of differing leaves.
--- a/control/stream.go
+++ b/control/stream.go
@@ -22,8 +22,10 @@
 	// MaxFrame limits the body of one frame, in bytes.
 	MaxFrame = 2 << 20
 
-	nonceLen         = 16
-	tagLen           = 16
+	nonceLen = 16
+	tagLen   = 16
+	// frameHeaderLen is the length of the body's length and the tag, which precede
+	// the body in a frame.
 	frameHeaderLen   = 4 + tagLen
 	handshakeTimeout = 3 * time.Second
 	writeTimeout     = 5 * time.Second
@@ -57,8 +59,9 @@
 	sendSeq uint64
 }
 
-// newStream runs the handshake. The client's key number selects the secret, so
-// that a key rotation need not happen on all nodes at the same time.
+// newStream runs the handshake as client or server and returns the stream. Both
+// ends use the secret whose number the client sends, its first one, so that a key
+// rotation need not happen on all nodes at the same time.
 func newStream(conn net.Conn, secrets []route.Secret, client bool, traffic *Traffic) (*stream, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -4,7 +4,7 @@
 // balancers, read changes from the platform. All other nodes get them from
 // peers, so that the calls to the platform grow with the number of zones, not
 // with the fleet. A balancer that wrongly takes itself for a feeder does no
-// harm: it only reads, and revisions only increase.
+// harm: it only reads the configuration, and revisions only increase.
 package feed
 
 import (
@@ -18,12 +18,18 @@
 
 // Keys of the project's data in the platform's store.
 const (
-	Root          = "poppywall/v1/"
+	Root = "poppywall/v1/"
+	// CatalogPrefix starts the keys of the configuration records.
 	CatalogPrefix = Root + "catalog/"
-	SeedPrefix    = Root + "seeds/"
-	ChangePrefix  = Root + "changes/"
-	ClaimPrefix   = Root + "claims/"
-	CounterKey    = Root + "next-service-id"
+	// SeedPrefix starts the keys that hold control addresses of balancers.
+	SeedPrefix = Root + "seeds/"
+	// ChangePrefix starts the keys of the markers of changes.
+	ChangePrefix = Root + "changes/"
+	// ClaimPrefix starts the keys that hold, for each front address, the name of
+	// the service that reserved it.
+	ClaimPrefix = Root + "claims/"
+	// CounterKey holds the service ID that was assigned last.
+	CounterKey = Root + "next-service-id"
 )
 
 // PerZone is the number of feeders in each zone.
