--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// ParseRecord decodes a stored value.
+// ParseRecord decodes and validates the stored value of a record.
 func ParseRecord(key string, revision Revision, value []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
--- a/change/change.go
+++ b/change/change.go
@@ -143,8 +143,9 @@
 // Result is the outcome of a change, with its revision if accepted and the reason
 // otherwise.
 type Result struct {
-	ID       string           `json:"id"`
-	Outcome  Outcome          `json:"-"`
+	ID      string  `json:"id"`
+	Outcome Outcome `json:"-"`
+	// Text is Outcome as a string, for the JSON form.
 	Text     string           `json:"outcome"`
 	Revision catalog.Revision `json:"revision,omitempty"`
 	Reason   string           `json:"reason,omitempty"`
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -84,7 +84,8 @@
 	updateQueue []netip.AddrPort
 	// byService maps a service to the ready slots of each host that offers it.
 	byService map[route.ServiceID]map[netip.AddrPort]uint16
-	// dirty holds the services whose hosts changed since the last Dirty call.
+	// dirty holds the services whose hosts changed since the last call of
+	// TakeDirtyServices.
 	dirty map[route.ServiceID]struct{}
 	// peers lists the keys of all other balancers. liveBalancers caches the
 	// entries of the live ones, this one included. Callers of Balancers share
@@ -105,7 +106,8 @@
 	keys []netip.AddrPort
 }
 
-// New returns a directory that holds only the owner's entry.
+// New returns a directory that holds only self, the entry of the balancer that
+// keeps the directory.
 func New(opts Options, self Entry, now time.Time) *Directory {
 	d := &Directory{
 		opts:      opts,
@@ -133,12 +135,12 @@
 	return r.Entry, true
 }
 
-// Self returns the owner's own entry.
+// Self returns this balancer's own entry.
 func (d *Directory) Self() Entry { return d.entries[d.self].Entry }
 
-// Merge applies entries received from other nodes and returns the indices of
-// those that changed the directory. A claim against the owner itself is refuted
-// at once.
+// Merge applies entries received from other nodes and returns the indexes of
+// those that changed the directory. A claim against this balancer is refuted at
+// once.
 func (d *Directory) Merge(now time.Time, entries []Entry) []int {
 	var changed []int
 	for i := range entries {
@@ -170,8 +172,8 @@
 	return true
 }
 
-// refute raises the owner's sequence above a claim about the owner that is newer
-// than its entry. It reports whether it did.
+// refute raises the sequence of this balancer's entry above that of a claim about
+// it, and reports whether the claim was newer than the entry.
 func (d *Directory) refute(now time.Time, claim Entry) bool {
 	own := d.entries[d.self].Entry
 	if !claim.Newer(&own) {
@@ -183,7 +185,7 @@
 	return true
 }
 
-// UpdateSelf applies change to the owner's entry and increments its sequence.
+// UpdateSelf applies change to this balancer's entry and increments its sequence.
 func (d *Directory) UpdateSelf(now time.Time, change func(*Entry)) {
 	own := d.entries[d.self].Entry
 	change(&own)
@@ -259,8 +261,8 @@
 	d.dirty[o.Service] = struct{}{}
 }
 
-// TakeDirtyServices returns the services whose hosts changed since the last call, in order
-// of their IDs.
+// TakeDirtyServices returns the services whose hosts changed since the last call,
+// in order of their IDs.
 func (d *Directory) TakeDirtyServices() []route.ServiceID {
 	out := make([]route.ServiceID, 0, len(d.dirty))
 	for id := range d.dirty {
@@ -289,7 +291,7 @@
 	return out
 }
 
-// Balancers returns the entries of live balancers in address order, the owner
+// Balancers returns the entries of live balancers in address order, this one
 // included. Callers must not change the slice.
 func (d *Directory) Balancers() []Entry {
 	if d.liveBalancers != nil {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -88,7 +88,7 @@
 
 func (f *fleet) canReach(i, j int) bool { return !f.partitioned || i%2 == j%2 }
 
-// gossip runs one exchange, as balancer.exchange does.
+// gossip runs one exchange, as balancer.Balancer.exchange does.
 func (f *fleet) gossip(i int) {
 	peer, ok := f.dirs[i].RandomPeer(f.rnd)
 	if !ok {
@@ -120,8 +120,9 @@
 	b.Merge(f.now, entriesOfA)
 }
 
-// heartbeat sends a host's heartbeat to the registrars that it knows and can
-// reach, as agent.announceRound does.
+// heartbeat sends a host's heartbeat to those of its registrars that it can reach,
+// or to all balancers that it can reach if it has none. agent.Agent.heartbeatRound
+// does the same with a few bootstrap addresses.
 func (f *fleet) heartbeat(i int) {
 	e := f.hosts[i]
 	var registrars []Entry
--- a/directory/entry.go
+++ b/directory/entry.go
@@ -61,7 +61,8 @@
 	Zone string
 	// Data is the address that receives forwarded datagrams.
 	Data netip.AddrPort
-	// Control is the address that serves control calls.
+	// Control is the address that serves a balancer's control calls. For a host,
+	// which serves none, it is the agent's address of /metrics and /healthz.
 	Control     netip.AddrPort
 	Incarnation Incarnation
 	Sequence    uint32
--- a/directory/gossip.go
+++ b/directory/gossip.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// gonePeerOdds is such that one in gonePeerOdds exchanges may choose a balancer
-// marked gone. This heals a partition after which each side has marked the other
-// gone.
+// gonePeerOdds makes one in gonePeerOdds exchanges, on average, eligible to choose
+// a balancer marked gone. This heals a partition after which each side has marked
+// the other gone.
 const gonePeerOdds = 8
 
-// RandomPeer returns a random other balancer to exchange with. It may be suspect, as the
-// exchange may bring its refutation.
+// RandomPeer returns a random other balancer to exchange with. It may be suspect,
+// as the exchange may bring its refutation.
 func (d *Directory) RandomPeer(rnd *rand.Rand) (Entry, bool) {
 	maxStatus := Suspect
 	if rnd.IntN(gonePeerOdds) == 0 {
@@ -34,8 +34,8 @@
 	return Entry{}, false
 }
 
-// PendingUpdates returns the gossip updates for one message and counts them as sent.
-// Entries that were just received from the same peer are left out.
+// PendingUpdates returns the gossip updates for one message and counts them as
+// sent. Entries that were just received from the same peer are left out.
 func (d *Directory) PendingUpdates(received []Entry) []Entry {
 	maxTransmissions := d.opts.TransmitFactor * bits.Len(uint(len(d.Balancers())))
 	known := make(map[netip.AddrPort]struct{}, len(received))
@@ -69,9 +69,9 @@
 	return out
 }
 
-// AcknowledgeUpdates records the receiver's reply to sent gossip updates; accepted holds the
-// indices of those that were new to it. A change that Options.MaxRedundant
-// receivers already had is no longer sent.
+// AcknowledgeUpdates records the receiver's reply to sent gossip updates; accepted
+// holds the indexes of those that were new to it. A change that
+// Options.MaxRedundant receivers already had is no longer sent.
 func (d *Directory) AcknowledgeUpdates(sent []Entry, accepted []int) {
 	for i := range sent {
 		r, ok := d.entries[sent[i].Key()]
--- a/directory/rendezvous.go
+++ b/directory/rendezvous.go
@@ -30,23 +30,23 @@
 }
 
 // insert adds an entry if its score is among the k highest.
-func (b *topK) insert(s uint64, e *Entry) {
-	if len(b.scores) == b.k && (b.k == 0 || s <= b.scores[b.k-1]) {
+func (t *topK) insert(score uint64, e *Entry) {
+	if len(t.scores) == t.k && (t.k == 0 || score <= t.scores[t.k-1]) {
 		return
 	}
-	b.scores = append(b.scores, s)
-	b.entries = append(b.entries, e)
-	for i := len(b.scores) - 1; i > 0 && b.scores[i] > b.scores[i-1]; i-- {
-		b.scores[i], b.scores[i-1] = b.scores[i-1], b.scores[i]
-		b.entries[i], b.entries[i-1] = b.entries[i-1], b.entries[i]
+	t.scores = append(t.scores, score)
+	t.entries = append(t.entries, e)
+	for i := len(t.scores) - 1; i > 0 && t.scores[i] > t.scores[i-1]; i-- {
+		t.scores[i], t.scores[i-1] = t.scores[i-1], t.scores[i]
+		t.entries[i], t.entries[i-1] = t.entries[i-1], t.entries[i]
 	}
-	n := min(len(b.scores), b.k)
-	b.scores, b.entries = b.scores[:n], b.entries[:n]
+	n := min(len(t.scores), t.k)
+	t.scores, t.entries = t.scores[:n], t.entries[:n]
 }
 
 // appendTo appends up to limit of the best entries to out.
-func (b *topK) appendTo(out []Entry, limit int) []Entry {
-	for _, e := range b.entries[:min(limit, len(b.entries))] {
+func (t *topK) appendTo(out []Entry, limit int) []Entry {
+	for _, e := range t.entries[:min(limit, len(t.entries))] {
 		out = append(out, *e)
 	}
 	return out
@@ -64,9 +64,9 @@
 }
 
 // Registrars returns the k balancers that a host sends its heartbeats to: the last
-// one in another zone, the others in the host's zone, as far as there are enough.
-// So a zone that is partitioned from the others still sees its own hosts, and the
-// other zones see the hosts of this one.
+// one in another zone and the others in the host's zone, as far as there are
+// enough. This way a zone that is partitioned from the others still sees its own
+// hosts, and the other zones see the hosts of this one.
 func Registrars(host, zone string, balancers []Entry, k int) []Entry {
 	hash := xxhash.Sum64String(host)
 	sameZone, crossZone := newTopK(k), newTopK(k)
