--- a/load/experiment.go
+++ b/load/experiment.go
@@ -6,14 +6,14 @@
 	"github.com/go-faster/errors"
 )
 
-// Kind is the type of requests that a flow sends.
+// Kind is the type of requests that a workload sends.
 type Kind string
 
 // The request types.
 const (
 	Board     Kind = "board"     // a stream of server-sent events, kept open
-	Move      Kind = "move"      // a non-idempotent request
-	Hold      Kind = "hold"      // a non-idempotent request
+	Move      Kind = "move"      // a non-idempotent request, answered with its own body
+	Hold      Kind = "hold"      // like a move, on the path /hold
 	Upload    Kind = "upload"    // a request with a long body
 	Catalogue Kind = "catalogue" // an idempotent request
 )
@@ -95,8 +95,8 @@
 
 // Check validates what the struct tags cannot express.
 func (p *Plan) Check() error {
-	for i, f := range p.Workloads {
-		if f.Kind == Board && f.MeanSeconds == 0 {
+	for i, w := range p.Workloads {
+		if w.Kind == Board && w.MeanSeconds == 0 {
 			return errors.Errorf("field \"flows[%d].meanSeconds\": required for a board flow", i)
 		}
 	}
--- a/load/runner.go
+++ b/load/runner.go
@@ -58,12 +58,12 @@
 	requestsCtx, cancel := context.WithTimeout(ctx, seconds(plan.Seconds)+completionTimeout)
 	defer cancel()
 	offered := map[string]float64{}
-	for i, f := range plan.Workloads {
-		if f.Kind != Board {
-			offered[workspaceOf(f)] += f.PerSecond
+	for i, w := range plan.Workloads {
+		if w.Kind != Board {
+			offered[workspaceOf(w)] += w.PerSecond
 		}
 		rnd := rand.New(rand.NewPCG(plan.Seed, uint64(i)))
-		r.wg.Go(func() { r.runFlow(arrivalsCtx, requestsCtx, f, rnd) })
+		r.wg.Go(func() { r.runWorkload(arrivalsCtx, requestsCtx, w, rnd) })
 	}
 	r.wg.Go(func() { r.sampleStreams(arrivalsCtx) })
 	r.wg.Go(func() { r.injectFaults(arrivalsCtx) })
@@ -71,61 +71,61 @@
 	return r.rec.summarize(plan.WarmupSeconds, offered), ctx.Err()
 }
 
-// workspaceOf returns the workspace that the flow's requests count for; a flow
-// without one counts for its service.
-func workspaceOf(f Workload) string {
-	if f.Workspace != "" {
-		return f.Workspace
+// workspaceOf returns the workspace that the requests of a workload count for. A
+// workload without one counts for its service.
+func workspaceOf(w Workload) string {
+	if w.Workspace != "" {
+		return w.Workspace
 	}
-	return f.Service
+	return w.Service
 }
 
-// runFlow starts requests or streams at their intended times, regardless of how
-// long earlier ones take, until arrivalsCtx ends. requestsCtx bounds their
+// runWorkload starts requests or streams at their intended times, regardless of
+// how long earlier ones take, until arrivalsCtx ends. requestsCtx bounds their
 // completion.
-func (r *runner) runFlow(arrivalsCtx, requestsCtx context.Context, f Workload, rnd *rand.Rand) {
+func (r *runner) runWorkload(arrivalsCtx, requestsCtx context.Context, w Workload, rnd *rand.Rand) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	callers, err := r.newCallers(f)
+	callers, err := r.newCallers(w)
 	if err != nil {
-		r.rec.recordRequest(requestResult{class: string(f.Kind), err: err})
+		r.rec.recordRequest(requestResult{class: string(w.Kind), err: err})
 		return
 	}
 	defer closeAll(callers)
 	next := time.Now()
 	for n := 0; ; n++ {
-		if n >= f.Burst {
-			next = next.Add(seconds(rnd.ExpFloat64() / f.PerSecond))
+		if n >= w.Burst {
+			next = next.Add(seconds(rnd.ExpFloat64() / w.PerSecond))
 		}
 		if !sleepUntil(arrivalsCtx, next) {
 			break
 		}
 		intended := next
-		length := seconds(rnd.ExpFloat64() * f.MeanSeconds)
+		length := seconds(rnd.ExpFloat64() * w.MeanSeconds)
 		wg.Go(func() {
-			if f.Kind == Board {
-				r.runBoard(arrivalsCtx, requestsCtx, f, length)
+			if w.Kind == Board {
+				r.runBoard(arrivalsCtx, requestsCtx, w, length)
 				return
 			}
-			r.sendRequest(requestsCtx, f, callers[n%len(callers)], intended)
+			r.sendRequest(requestsCtx, w, callers[n%len(callers)], intended)
 		})
 	}
 	wg.Wait()
 }
 
-// newCallers returns the callers whose connections the requests of a flow share.
-// A board flow has none, as each stream uses its own connection.
-func (r *runner) newCallers(f Workload) ([]*Caller, error) {
-	if f.Kind == Board {
+// newCallers returns the callers whose connections the requests of a workload
+// share. A board workload has none, as each stream uses its own connection.
+func (r *runner) newCallers(w Workload) ([]*Caller, error) {
+	if w.Kind == Board {
 		return nil, nil
 	}
-	n := f.Connections
+	n := w.Connections
 	if n == 0 {
 		n = defaultConnections
 	}
 	var out []*Caller
 	for range n {
-		c, err := r.site.NewCaller(f.Service, f.Workspace)
+		c, err := r.site.NewCaller(w.Service, w.Workspace)
 		if err != nil {
 			closeAll(out)
 			return nil, err
@@ -155,12 +155,12 @@
 
 // sendRequest sends one request and records its outcome. A move or a hold must be
 // answered with its own body.
-func (r *runner) sendRequest(ctx context.Context, f Workload, c *Caller, intended time.Time) {
-	result := requestResult{class: string(f.Kind), service: f.Service, workspace: workspaceOf(f)}
-	method, path, body := requestOf(f)
+func (r *runner) sendRequest(ctx context.Context, w Workload, c *Caller, intended time.Time) {
+	result := requestResult{class: string(w.Kind), service: w.Service, workspace: workspaceOf(w)}
+	method, path, body := requestOf(w)
 	header := http.Header{headerRequestID: {uuid.NewString()}}
-	if f.TimeoutMillis > 0 {
-		header.Set(headerTimeout, strconv.Itoa(f.TimeoutMillis))
+	if w.TimeoutMillis > 0 {
+		header.Set(headerTimeout, strconv.Itoa(w.TimeoutMillis))
 	}
 	resp, err := c.Do(ctx, method, path, bodyReader(body), header)
 	if err != nil {
@@ -173,7 +173,7 @@
 	result.status, result.latency, result.err = resp.StatusCode, time.Since(intended), err
 	result.verdict = verdict.Parse(resp.Header.Get(verdict.HeaderVerdict))
 	result.target = resp.Header.Get(headerTarget)
-	if err == nil && result.status == http.StatusOK && (f.Kind == Move || f.Kind == Hold) && !bytes.Equal(answer, body) {
+	if err == nil && result.status == http.StatusOK && (w.Kind == Move || w.Kind == Hold) && !bytes.Equal(answer, body) {
 		result.err = errors.New("answer does not match the request body")
 	}
 	r.rec.recordRequest(result)
@@ -197,11 +197,11 @@
 	return bytes.NewReader(body)
 }
 
-// requestOf returns the method, path and body of a request of the flow.
-func requestOf(f Workload) (method, path string, body []byte) {
-	switch f.Kind {
+// requestOf returns the method, path and body of a request of the workload.
+func requestOf(w Workload) (method, path string, body []byte) {
+	switch w.Kind {
 	case Upload:
-		return http.MethodPost, "/upload", make([]byte, f.Bytes)
+		return http.MethodPost, "/upload", make([]byte, w.Bytes)
 	case Catalogue:
 		return http.MethodGet, "/catalogue", nil
 	case Hold:
@@ -213,8 +213,8 @@
 
 // runBoard keeps one stream open for the given length, or until the plan ends, and
 // checks that every event arrives in order.
-func (r *runner) runBoard(arrivalsCtx, requestsCtx context.Context, f Workload, length time.Duration) {
-	c, err := r.site.NewCaller(f.Service, f.Workspace)
+func (r *runner) runBoard(arrivalsCtx, requestsCtx context.Context, w Workload, length time.Duration) {
+	c, err := r.site.NewCaller(w.Service, w.Workspace)
 	if err != nil {
 		r.rec.recordStream(false, 0, err)
 		return
@@ -310,13 +310,13 @@
 	return errors.Errorf("stream ended early after %d events", want)
 }
 
-// sampleStreams samples the open streams of each service with a board flow every
-// samplePeriod.
+// sampleStreams samples the open streams of each service with a board workload
+// every samplePeriod.
 func (r *runner) sampleStreams(ctx context.Context) {
 	services := map[string]bool{}
-	for _, f := range r.plan.Workloads {
-		if f.Kind == Board {
-			services[f.Service] = true
+	for _, w := range r.plan.Workloads {
+		if w.Kind == Board {
+			services[w.Service] = true
 		}
 	}
 	tick := time.NewTicker(samplePeriod)
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -1,6 +1,6 @@
 // Package trial runs a small site in one process on loopback: real balancers and
 // agents with stand-ins for the platform and the targets. The kernel distributes the
-// datagrams among the balancers at random. poppywall-trial and poppywall-load run on it.
+// datagrams among the balancers at random. poppywall-trial and poppywall-load use it.
 package trial
 
 import (
@@ -89,13 +89,13 @@
 	Platform string
 	// Addresses are the addresses of the services by name.
 	Addresses map[string]string
-	// Roots and CAPEM are the certificate of the authority that signed the agents'
-	// certificates, CAPEM in PEM form.
+	// Roots and CAPEM hold the certificate of the authority that signed the agents'
+	// certificate, CAPEM in PEM form.
 	Roots *x509.CertPool
 	CAPEM []byte
 	Nodes []*Node
-	// Hosts grows when hosts are added; hosts returns a copy that is safe to read
-	// meanwhile.
+	// Hosts grows when hosts are added; the hosts method returns a copy that is safe
+	// to read meanwhile.
 	Hosts   []*Host
 	Secrets []settings.Secret
 
@@ -141,8 +141,8 @@
 	return c, nil
 }
 
-// StartBalancers starts only the platform stand-in and the balancers, with the given gossip
-// and pull interval. Measurements add simulated hosts to it.
+// StartBalancers starts only the platform stand-in and the balancers, with the given
+// gossip and pull interval. Measurements add simulated hosts.
 func StartBalancers(ctx context.Context, site Site, log *zap.Logger, interval settings.Duration) (*Cluster, error) {
 	c, err := newCluster(ctx, site, log, interval)
 	if err != nil {
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -41,7 +41,7 @@
 // TestDuplicatedAndReorderedDatagramsRunEachRequestOnce duplicates, delays and
 // reorders datagrams. Initial packets are among them and reach several agents. Each
 // caller must get its own complete responses and each move must run exactly once.
-// Points 3 and 5.
+// Points 3 and 5 of docs/GUARANTEES.md.
 func TestDuplicatedAndReorderedDatagramsRunEachRequestOnce(t *testing.T) {
 	c := startCluster(t, Site{
 		Zones:     []string{"a", "b"},
@@ -95,7 +95,7 @@
 
 // TestGracefulStopsCutNothing drains a target, stops a balancer and an agent and takes
 // the platform down while slow moves, uploads and streams are in progress. No flow may
-// break. Points 1 and 7.
+// break. Points 1 and 7 of docs/GUARANTEES.md.
 func TestGracefulStopsCutNothing(t *testing.T) {
 	c := startCluster(t, Site{
 		Zones:     []string{"a", "b"},
@@ -143,7 +143,8 @@
 
 // TestFailingTargetsGetNoNewRequests makes one of two targets fail every request
 // while it still announces itself, or freezes it. New requests must go to the other
-// target, and return to the first when it has recovered. Point 10.
+// target, and return to the first when it has recovered. Point 10 of
+// docs/GUARANTEES.md.
 func TestFailingTargetsGetNoNewRequests(t *testing.T) {
 	for name, setFault := range map[string]func(*standin.Target, bool){
 		"failing": func(target *standin.Target, on bool) { target.FailAll.Store(on) },
@@ -181,9 +182,10 @@
 	return resp.StatusCode
 }
 
-// TestAcceptedChangeIsInForceEverywhere makes changes while the platform's responses are
-// lost or its reads are stale, and a balancer joins during an outage of the platform.
-// Each accepted change must come into force on every balancer. Point 8, end to end.
+// TestAcceptedChangeIsInForceEverywhere makes changes while the platform's responses
+// are lost or its reads are stale, and a balancer joins during an outage of the
+// platform. Each accepted change must come into force on every balancer. Point 8 of
+// docs/GUARANTEES.md, end to end.
 func TestAcceptedChangeIsInForceEverywhere(t *testing.T) {
 	c := startCluster(t, Site{Zones: []string{"a", "b"}, Balancers: 4, Services: []ServiceSpec{{Name: "tables", Hosts: 2, Slots: 5}}})
 	drain := func(host string, drain bool) {
@@ -226,7 +228,8 @@
 // TestSelectorChangeKeepsOpenStreams changes the labels of all hosts of a service so
 // that its selector matches none, and back, while streams are open. The streams must
 // go on, and the service's slots must go and return. An agent that dropped a service
-// at once when it lost its last target reset the open flows. Point 1.
+// at once when it lost its last target reset the open flows. Point 1 of
+// docs/GUARANTEES.md.
 func TestSelectorChangeKeepsOpenStreams(t *testing.T) {
 	c := startCluster(t, Site{Zones: []string{"a"}, Balancers: 2, Services: []ServiceSpec{{Name: "tables", Hosts: 2, Slots: 5}}})
 	relabel := func(value string) {
