--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -134,8 +134,8 @@
 		for _, a := range r.Service.Authorities {
 			n += stringOverhead + len(a)
 		}
-		for m := range r.Service.Workspaces {
-			n += 2*stringOverhead + len(m)
+		for authority := range r.Service.Workspaces {
+			n += 2*stringOverhead + len(authority)
 		}
 	}
 	if r.Target != nil {
--- a/load/recorder.go
+++ b/load/recorder.go
@@ -227,8 +227,8 @@
 		return 1
 	}
 	sum, squares := 0.0, 0.0
-	for m, o := range offered {
-		x := float64(served[m]) / o
+	for workspace, rate := range offered {
+		x := float64(served[workspace]) / rate
 		sum += x
 		squares += x * x
 	}
--- a/load/runner.go
+++ b/load/runner.go
@@ -232,7 +232,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		refused := verdict.Parse(resp.Header.Get(verdict.HeaderVerdict)) == verdict.NotRun
-		r.rec.recordStream(refused, 0, errors.Errorf("unexpected status %d", resp.StatusCode))
+		r.rec.recordStream(refused, 0, errors.Errorf("open stream: unexpected status %d", resp.StatusCode))
 		return
 	}
 	openTime := time.Since(requestedAt)
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -190,8 +190,8 @@
 	names := []string{"poppywall.example"}
 	for _, s := range c.Site.Services {
 		names = append(names, s.Name+".example")
-		for m := range s.Workspaces {
-			names = append(names, m)
+		for authority := range s.Workspaces {
+			names = append(names, authority)
 		}
 	}
 	return names
