--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -134,8 +134,8 @@
 		for _, a := range r.Service.Authorities {
 			n += stringOverhead + len(a)
 		}
-		for m := range r.Service.Workspaces {
-			n += 2*stringOverhead + len(m)
+		for authority := range r.Service.Workspaces {
+			n += 2*stringOverhead + len(authority)
 		}
 	}
 	if r.Target != nil {
@@ -184,7 +184,7 @@
 	}
 }
 
-// ParseRecord decodes a stored value.
+// ParseRecord decodes and validates the stored value of a record.
 func ParseRecord(key string, revision Revision, value []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
