--- a/agent/packetfront/admission.go
+++ b/agent/packetfront/admission.go
@@ -11,10 +11,10 @@
 
 // Limits of admission.
 const (
-	// targetQueuePerSlot is how many requests may queue at the target for each slot. A
-	// request behind that many waits 1.5 times the service time, within the latency
-	// objectives in use (4 to 5 times the service time). Requests beyond the limit would
-	// be served in the target's order instead of the order that their callers need.
+	// targetQueuePerSlot is how many requests may queue at the target for each slot. Waiting
+	// behind that many and the service itself take 1.5 times the service time, within the
+	// latency objectives in use (4 to 5 times the service time). Requests beyond the limit
+	// would be served in the target's order instead of the order that their callers need.
 	targetQueuePerSlot = 0.5
 	// maxQueued limits the requests queued at the agent. A target with four slots and a
 	// service time of 30 ms serves that many in two seconds.
@@ -39,9 +39,9 @@
 type requestParams struct {
 	priority            uint8
 	objective, deadline time.Duration
-	// began and unseenTry describe the age of the flow's first request (see
-	// backlog.Request). began is zero once the target has that request, or if the flow was
-	// opened ahead of it.
+	// began is when the client sent the flow's first SYN, unseenTry how much earlier its caller
+	// may have begun, by a try whose packets were all lost (see backlog.Request). began is zero
+	// once the target has the flow's first request, or if the flow was opened ahead of it.
 	began     time.Time
 	unseenTry time.Duration
 }
@@ -53,7 +53,8 @@
 }
 
 // requestParamsOf returns the parameters of a flow from its SYN h and the current envelope. It
-// first updates the outage detection from the retransmission count.
+// first updates the outage detection from the retransmission count: a SYN's Ack counts the SYNs of
+// the flow sent before it.
 func (c *Core) requestParamsOf(now time.Time, h *flow.Header) requestParams {
 	if c.env.Flags&envelope.Retransmitted == 0 {
 		c.outage.Opened(now, h.Ack)
@@ -113,11 +114,14 @@
 	return time.Duration(max(ahead, 0) * float64(c.estimate.AnswerInterval()))
 }
 
-// admitWhenFull decides on a new flow when the target has no headroom. The flow is passed
-// on while there are other candidates, and then to the one with the shortest wait. That
-// one admits it unless it certainly cannot be served in time, or would have to wait past
-// its client's next SYN. admitWhenFull reports whether the target gets the flow; otherwise
-// the packet was passed on or dropped.
+// admitWhenFull decides on a new flow when the target is at its limit. Without an active
+// overload, the flow is passed on while there are other candidates, and then to the one with the
+// shortest wait. That one admits it unless it certainly cannot be served in time, or would have to
+// wait past its client's next SYN. During an overload, the target admits the flow if its request
+// can meet the objective. Otherwise it passes the flow on, and if another target has done so
+// before, only to the one with the shortest wait or back to the balancer. admitWhenFull reports
+// whether the target gets the flow; otherwise the packet was passed on, or dropped in favor of the
+// client's next SYN.
 func (c *Core) admitWhenFull(now time.Time, key flow.Key, h *flow.Header, packet []byte) bool {
 	wait := c.expectedWait(now)
 	if c.overload.active {
@@ -168,7 +172,7 @@
 }
 
 // canMeetDeadline reports whether the request of a new flow can be answered before its
-// deadline if it waits that long for a slot.
+// deadline if it waits that long for a slot. A SYN's Ack counts the SYNs of the flow sent before it.
 func (c *Core) canMeetDeadline(wait time.Duration, h *flow.Header) bool {
 	if c.env.Deadline == 0 {
 		return true
@@ -178,7 +182,7 @@
 
 // retransmittedBefore reports whether the client sends its next SYN before the target would
 // have a slot for the request. By then other targets may be back or faster, whereas an open
-// flow is bound to its target.
+// flow is bound to its target. A SYN's Ack counts the SYNs of the flow sent before it.
 func retransmittedBefore(wait time.Duration, h *flow.Header) bool {
 	next, more := backlog.NextRetransmission(h.Ack)
 	return more && next < wait
@@ -220,14 +224,14 @@
 // startRequest records that a request is delivered to the target.
 func (c *Core) startRequest(now time.Time, key flow.Key, r *record, requestID []byte) {
 	c.flows.markRunning(now, r)
-	c.updateSlots(now)
+	c.recordSlotFree(now)
 	r.request.began = time.Time{}
 	if requestID != nil {
 		c.events.RequestDelivered(key, requestID, c.flows.running, c.target.slots())
 	}
 }
 
-// dispatchQueued delivers queued requests while the target has headroom.
+// dispatchQueued delivers queued requests while the target is below its limit.
 func (c *Core) dispatchQueued(now time.Time) {
 	if c.queue.Len() > 0 && c.flows.running < c.targetLimit() {
 		c.expireQueued(now)
@@ -264,8 +268,8 @@
 		c.events.AbandonedAtTarget(key, now.Sub(r.runningAt))
 	}
 	r.abandonedFor = reason
-	c.flows.clearPending(r)
-	c.updateSlots(now)
+	c.flows.stopCounting(r)
+	c.recordSlotFree(now)
 }
 
 // withhold reports whether a client's data must not reach the target because nobody waits for
@@ -300,7 +304,7 @@
 
 // addPendingOpen counts an admitted flow as load: its request will follow.
 func (c *Core) addPendingOpen(now time.Time, key flow.Key, r *record) {
-	c.flows.markPending(now, r)
+	c.flows.markBusy(now, r)
 	c.pendingOpens = append(c.pendingOpens, pendingOpen{key, now})
 }
 
@@ -311,8 +315,8 @@
 		first := c.pendingOpens[0]
 		c.pendingOpens = c.pendingOpens[1:]
 		r := c.flows.get(first.key)
-		if r != nil && r.pendingAt.Equal(first.at) && r.queued == nil && r.runningAt.IsZero() {
-			c.flows.clearPending(r)
+		if r != nil && r.busySince.Equal(first.at) && r.queued == nil && r.runningAt.IsZero() {
+			c.flows.stopCounting(r)
 		}
 	}
 	if len(c.pendingOpens) == 0 {
--- a/agent/packetfront/admission_test.go
+++ b/agent/packetfront/admission_test.go
@@ -365,11 +365,11 @@
 	f.fillTarget()
 	f.openFlow(100, patient, 0)
 	f.sendRequest(100)
-	for range 2 * pendingTTL / time.Second {
+	for range 2 * busyTTL / time.Second {
 		for i := range f.targetLimit() {
 			// The target keeps working on the other requests.
 			f.targetSends(i, flow.ACK, 501, 0)
-			f.flows.get(keyOf(i)).pendingAt = f.now
+			f.flows.get(keyOf(i)).busySince = f.now
 		}
 		f.advance(time.Second)
 	}
--- a/agent/packetfront/cold.go
+++ b/agent/packetfront/cold.go
@@ -18,8 +18,9 @@
 }
 
 // isCold reports whether the target counts as cold: it reports a warm-up, or it has sent no
-// heartbeat since it came up, since its zone was evacuated or readmitted, or since it bounced
-// a packet of an open flow. In the latter cases it may have restarted unnoticed.
+// heartbeat since it came up, since the evacuation of its zone began or ended (assumed when the
+// agent first receives the evacuated zones), or since it bounced a packet of an open flow. In the
+// latter cases it may have restarted unnoticed.
 func (c *Core) isCold(now time.Time) bool {
 	t := &c.target
 	unreported := t.heartbeatAt.IsZero() || t.heartbeatAt.Before(t.upSince) || t.heartbeatAt.Before(c.cold.suspectedAt)
--- a/agent/packetfront/cold_test.go
+++ b/agent/packetfront/cold_test.go
@@ -75,10 +75,10 @@
 			f.Probed(f.now, ProbeAccepted)
 			f.endProbation()
 		}, coldRate, coldRate},
-		"its zone is readmitted":                        {func(f *fixture) { f.evacuateAndReturnZone() }, coldRate, coldRate},
-		"its zone is readmitted, it has reported since": {func(f *fixture) { f.evacuateAndReturnZone(); f.now = f.now.Add(time.Second); f.receiveHeartbeat(false) }, coldRate, 20},
-		"it bounced an open flow":                       {func(f *fixture) { f.bounceOpenFlow() }, coldRate, coldRate},
-		"its agent has just restarted":                  {func(f *fixture) { f.restartAgent(); f.reportWarmup(2 * time.Second) }, coldRate, 0},
+		"the evacuation of its zone has ended":                        {func(f *fixture) { f.evacuateAndReturnZone() }, coldRate, coldRate},
+		"the evacuation of its zone has ended, it has reported since": {func(f *fixture) { f.evacuateAndReturnZone(); f.now = f.now.Add(time.Second); f.receiveHeartbeat(false) }, coldRate, 20},
+		"it bounced an open flow":                                     {func(f *fixture) { f.bounceOpenFlow() }, coldRate, coldRate},
+		"its agent has just restarted":                                {func(f *fixture) { f.restartAgent(); f.reportWarmup(2 * time.Second) }, coldRate, 0},
 		"its agent restarted a second ago": {func(f *fixture) {
 			f.restartAgent()
 			f.advance(1100 * time.Millisecond)
@@ -97,7 +97,7 @@
 // endProbation ends the target's probation.
 func (f *fixture) endProbation() { f.health.ejected = false }
 
-// evacuateAndReturnZone evacuates the target's zone and readmits it.
+// evacuateAndReturnZone evacuates the target's zone and ends the evacuation.
 func (f *fixture) evacuateAndReturnZone() {
 	f.receiveEvacuations(balancerIP, 1, evacuations(9, localZone))
 	f.now = f.now.Add(time.Millisecond)
--- a/agent/packetfront/configcopy.go
+++ b/agent/packetfront/configcopy.go
@@ -31,8 +31,8 @@
 	copyCheckPeriod = 200 * time.Millisecond
 )
 
-// configCopy holds the version of the agent's copy and the state of the next fetch.
-type configCopy struct {
+// copyState holds the version of the agent's copy and the state of the next fetch.
+type copyState struct {
 	version int64
 	// newest is the newest version of any balancer, dueAt the earliest time to fetch it.
 	newest int64
@@ -42,28 +42,28 @@
 // CopySource returns the balancer to fetch a newer configuration from, and its version, if a
 // fetch is due.
 func (c *Core) CopySource(now time.Time) (from flow.IPv4, version int64, due bool) {
-	from, version, newer := c.view.PreferredConfigSource(c.configCopy.version, c.opts.Zone)
+	from, version, newer := c.view.PreferredConfigSource(c.copyState.version, c.opts.Zone)
 	if !newer {
 		return 0, 0, false
 	}
-	if version != c.configCopy.newest {
+	if version != c.copyState.newest {
 		spread := time.Duration(c.opts.Incarnation % uint64(copySpread))
-		c.configCopy.newest, c.configCopy.dueAt = version, now.Add(copyDelay+spread)
+		c.copyState.newest, c.copyState.dueAt = version, now.Add(copyDelay+spread)
 	}
-	if now.Before(c.configCopy.dueAt) {
+	if now.Before(c.copyState.dueAt) {
 		return 0, 0, false
 	}
-	c.configCopy.dueAt = now.Add(copyRetryPause)
+	c.copyState.dueAt = now.Add(copyRetryPause)
 	return from, version, true
 }
 
 // CopyStored records that a copy of a version, or of a later one, was fetched, and reports
 // whether it replaces the agent's copy.
 func (c *Core) CopyStored(version int64) bool {
-	if version <= c.configCopy.version {
+	if version <= c.copyState.version {
 		return false
 	}
-	c.configCopy.version = version
+	c.copyState.version = version
 	return true
 }
 
@@ -92,7 +92,7 @@
 			f.configCopy = stored
 		}
 	})
-	f.log.Info("configuration copy stored", append(fields, zap.Int(telemetry.FieldBytes, len(stored.Compressed())))...)
+	f.log.Info("configuration copy fetched", append(fields, zap.Int(telemetry.FieldBytes, len(stored.Compressed())))...)
 }
 
 // currentCopy returns the agent's copy of the configuration, nil before the first fetch.
--- a/agent/packetfront/core.go
+++ b/agent/packetfront/core.go
@@ -77,26 +77,26 @@
 	deliveries  *deliveryRing
 	target      target
 
-	acks       acks
-	health     health
-	cold       cold
-	configCopy configCopy
-	queue      backlog.Queue[flow.Key]
-	estimate   backlog.ServiceEstimate
+	acks      acks
+	health    health
+	cold      cold
+	copyState copyState
+	queue     backlog.Queue[flow.Key]
+	estimate  backlog.ServiceEstimate
 	// lastAnswerAt is when the last completed answer was observed.
 	lastAnswerAt time.Time
 	outage       backlog.Outage
 	overload     overload
 	pendingOpens []pendingOpen
 
-	// targetKnown is set once the target has sent something or a probe has finished.
+	// targetKnown is set once the target has sent something or a target probe has finished.
 	targetKnown bool
 	// wantedEntryState is the desired state of the registry entry, registration its last known
 	// state.
 	wantedEntryState fleet.EntryState
 	registration     fleet.Registration
-	// introduced is set once the agent may send announcements.
-	introduced       bool
+	// mayAnnounce is set once the agent may send announcements.
+	mayAnnounce      bool
 	seq              uint32
 	leaving          bool
 	lastAnnouncement fleet.Announcement
@@ -105,7 +105,7 @@
 	// local and of other zones are due; crossZonePeriod is the period of the latter.
 	nextSameZone, nextCrossZone time.Time
 	crossZonePeriod             time.Duration
-	crossZone                   crossZoneState
+	relays                      relayState
 	nextJoin                    time.Time
 	nextExpire                  time.Time
 
@@ -125,7 +125,7 @@
 		opts: opts, port: port, codec: codec, events: events,
 		view: fleet.NewView(), deliveries: newDeliveryRing(), acks: newAcks(), health: newHealth(),
 		estimate: backlog.NewServiceEstimate(defaultServiceTime, defaultSlots),
-		buf:      make([]byte, 0, 2048), crossZone: newCrossZoneState(opts, events.ZoneRelayed),
+		buf:      make([]byte, 0, 2048), relays: newRelayState(opts, events.ZoneRelayed),
 	}
 	c.flows = newFlows(func(r *queuedRequest) { c.queue.Remove(r.key) })
 	c.cold.window.AssumeFull(now)
@@ -209,7 +209,8 @@
 	c.admit(now, key, h, packet)
 }
 
-// admit delivers a SYN to the target and creates the record of a new flow.
+// admit delivers a SYN to the target and creates the record of a new flow. A SYN's Ack counts the
+// SYNs of the flow sent before it.
 func (c *Core) admit(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	c.cold.window.Add(now)
 	if r := c.flows.get(key); r != nil && r.supersededBy(now, now.Add(-backlog.RetransmissionAge(h.Ack))) {
@@ -293,7 +294,7 @@
 		return false
 	}
 	c.countLaterRequest(now, r)
-	c.flows.markPending(now, r)
+	c.flows.markBusy(now, r)
 	if c.enqueueIfBusy(now, key, r, h, packet) {
 		return false
 	}
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -285,7 +285,7 @@
 		f.Probed(f.now, ProbeRefused)
 		require.Equal(t, []flow.Key{keyOf(1)}, f.port.Resets)
 	})
-	t.Run("a probe without an answer", func(t *testing.T) {
+	t.Run("a target probe without an answer", func(t *testing.T) {
 		f := open()
 		f.Probed(f.now, ProbeUnanswered)
 		require.Empty(t, f.port.Resets)
@@ -304,7 +304,7 @@
 		f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
 		f.Probed(f.now, ProbeAccepted)
 		f.advance(2 * deregistrationGrace)
-		require.Empty(t, f.port.Resets, "no probe has failed")
+		require.Empty(t, f.port.Resets, "no target probe has failed")
 		f.Probed(f.now, ProbeAccepted)
 		f.advance(deregistrationGrace / 2)
 		require.Empty(t, f.port.Resets)
@@ -338,7 +338,7 @@
 }
 
 // TestHeartbeatAfterARefusedProbeMarksTheTargetUp: the target may have started since the
-// probe.
+// target probe.
 func TestHeartbeatAfterARefusedProbeMarksTheTargetUp(t *testing.T) {
 	f := newFixture()
 	f.Probed(f.now, ProbeRefused)
--- a/agent/packetfront/deliveries.go
+++ b/agent/packetfront/deliveries.go
@@ -13,9 +13,9 @@
 	ringSize = 1 << ringBits
 )
 
-// pendingDelivery is the envelope of a delivered packet, with the candidates that the
+// recordedDelivery is the envelope of a delivered packet, with the candidates that the
 // packet goes to if the target bounces it.
-type pendingDelivery struct {
+type recordedDelivery struct {
 	generation uint32
 	key        flow.Key
 	env        envelope.Envelope
@@ -24,11 +24,11 @@
 // deliveryRing records the last delivered packets that the target may bounce. The echo
 // field of a packet, which the target returns, holds the entry's index and generation.
 type deliveryRing struct {
-	ring []pendingDelivery
+	ring []recordedDelivery
 	next uint32
 }
 
-func newDeliveryRing() *deliveryRing { return &deliveryRing{ring: make([]pendingDelivery, ringSize)} }
+func newDeliveryRing() *deliveryRing { return &deliveryRing{ring: make([]recordedDelivery, ringSize)} }
 
 // put records a packet's envelope and returns the echo that identifies the entry, never
 // zero.
--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -39,9 +39,9 @@
 type Events interface {
 	// Delivered reports a packet that was sent to the target.
 	Delivered()
-	// RequestDelivered reports a request whose first packet was delivered to the target. busy is the
-	// number of requests at the target, this one included; slots is its concurrency.
-	RequestDelivered(key flow.Key, requestID []byte, busy, slots int)
+	// RequestDelivered reports a request whose first packet was delivered to the target. running is
+	// the number of requests at the target, this one included; slots is its concurrency.
+	RequestDelivered(key flow.Key, requestID []byte, running, slots int)
 	// Queued reports a request that waits for a free slot of the target. queued is the number of
 	// requests that were waiting before it, wait its expected wait.
 	Queued(key flow.Key, requestID []byte, queued int, wait time.Duration)
--- a/agent/packetfront/flows.go
+++ b/agent/packetfront/flows.go
@@ -31,9 +31,9 @@
 	openingTTL = 5 * time.Second
 	// closedTTL covers the last retransmissions of both ends.
 	closedTTL = 5 * time.Second
-	// pendingTTL is how long a request without an answer counts as load: longer than the
+	// busyTTL is how long a request without an answer counts as load: longer than the
 	// deadlines in use.
-	pendingTTL = 10 * time.Second
+	busyTTL = 10 * time.Second
 	// maxFlows limits the table; a target accepts about 2,000 connections.
 	maxFlows = 1 << 14
 )
@@ -47,9 +47,9 @@
 	// clientAck is the client's last acknowledgement, for a reset.
 	clientAck uint32
 	usedAt    time.Time
-	// pendingAt is when the client sent the unanswered request, or when its flow was admitted;
+	// busySince is when the client sent the unanswered request, or when its flow was admitted;
 	// zero if the target owes no answer.
-	pendingAt time.Time
+	busySince time.Time
 	// request holds the parameters of the flow's requests.
 	request requestParams
 	// queued is the request that waits for a slot, nil if none does. runningAt is when the
@@ -97,7 +97,7 @@
 // answer may be the first packet that the target sends after the handshake. A reset before the
 // request was delivered refuses the flow and is no answer.
 func (r *record) awaitsAnswer() bool {
-	return !r.pendingAt.IsZero() && r.queued == nil && (r.stage == open || !r.runningAt.IsZero())
+	return !r.busySince.IsZero() && r.queued == nil && (r.stage == open || !r.runningAt.IsZero())
 }
 
 // flows is the flow table of an agent.
@@ -107,8 +107,8 @@
 	overflowed bool
 	// onDequeue is called when a queued request is dropped.
 	onDequeue func(*queuedRequest)
-	// busy counts the flows that wait for an answer or soon will, running those whose
-	// request was delivered to the target, open those in stage open.
+	// busy counts the flows that wait for an answer or soon will, announced as Outstanding;
+	// running counts those whose request was delivered to the target, open those in stage open.
 	busy, running, open int
 }
 
@@ -138,7 +138,7 @@
 }
 
 func (f *flows) remove(key flow.Key, r *record) {
-	f.clearPending(r)
+	f.stopCounting(r)
 	f.setStage(r, closed)
 	delete(f.byKey, key)
 }
@@ -154,10 +154,10 @@
 	r.stage = s
 }
 
-// markPending records that the flow waits for an answer of the target.
-func (f *flows) markPending(now time.Time, r *record) {
-	if r.pendingAt.IsZero() {
-		r.pendingAt = now
+// markBusy counts the flow as busy: it waits for an answer of the target.
+func (f *flows) markBusy(now time.Time, r *record) {
+	if r.busySince.IsZero() {
+		r.busySince = now
 		f.busy++
 	}
 }
@@ -168,8 +168,8 @@
 	r.runningAt, r.concurrent = now, f.running
 }
 
-// clearPending records that the flow waits for no answer, and drops its queued request.
-func (f *flows) clearPending(r *record) {
+// stopCounting stops counting the flow as busy and as running, and drops its queued request.
+func (f *flows) stopCounting(r *record) {
 	if !r.runningAt.IsZero() {
 		r.runningAt = time.Time{}
 		f.running--
@@ -178,14 +178,14 @@
 		f.onDequeue(r.queued)
 		r.queued = nil
 	}
-	if !r.pendingAt.IsZero() {
-		r.pendingAt = time.Time{}
+	if !r.busySince.IsZero() {
+		r.busySince = time.Time{}
 		f.busy--
 	}
 }
 
 // expire removes records that are past their TTL, and stops counting requests as load that
-// are past pendingTTL. A flow with a queued request does not expire: the queue enforces the
+// are past busyTTL. A flow with a queued request does not expire: the queue enforces the
 // deadline of the request.
 func (f *flows) expire(now time.Time, ttl time.Duration) {
 	for key, r := range f.byKey {
@@ -203,8 +203,8 @@
 			f.remove(key, r)
 			continue
 		}
-		if !r.pendingAt.IsZero() && now.Sub(r.pendingAt) > pendingTTL {
-			f.clearPending(r)
+		if !r.busySince.IsZero() && now.Sub(r.busySince) > busyTTL {
+			f.stopCounting(r)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 	flow.SortKeys(keys)
 	for _, key := range keys {
 		r := f.byKey[key]
-		f.clearPending(r)
+		f.stopCounting(r)
 		if r.stage == open {
 			onOpen(key, r)
 		}
--- a/agent/packetfront/fromtarget.go
+++ b/agent/packetfront/fromtarget.go
@@ -17,7 +17,7 @@
 	}
 	key := h.KeyFromTarget()
 	c.recordTargetPacket(now, key, h, packet)
-	c.updateSlots(now)
+	c.recordSlotFree(now)
 	c.dispatchQueued(now)
 	c.port.ToClient(key.ClientIP, packet)
 }
@@ -30,7 +30,7 @@
 		if r.awaitsAnswer() {
 			c.recordOutcome(now, true)
 		}
-		c.flows.clearPending(r)
+		c.flows.stopCounting(r)
 		c.flows.setStage(r, closed)
 	case h.Flags.Has(flow.SYN):
 		c.recordSYNACK(now, key, r, h)
@@ -86,7 +86,7 @@
 	}
 	if r.stage != offered {
 		// A delivered or queued request belongs to an earlier flow between the same ports.
-		c.flows.clearPending(r)
+		c.flows.stopCounting(r)
 	}
 	c.flows.setStage(r, halfOpen)
 	r.targetSeq, r.clientFin, r.targetFin = h.Seq, false, false
@@ -98,6 +98,7 @@
 // that this target holds it.
 func (c *Core) notifyBalancer(key flow.Key, r *record) {
 	if r.balancer != 0 {
+		// The record does not contain the packet's hop count, which balancers only log.
 		c.sendOwner(key, r.balancer, 1)
 		r.balancer = 0
 	}
@@ -109,13 +110,13 @@
 	c.notifyBalancer(key, r)
 	r.targetSeq = h.Seq + uint32(h.Len)
 	if h.Len > 0 && r.queued == nil {
-		c.flows.clearPending(r)
+		c.flows.stopCounting(r)
 	}
 	if h.Flags.Has(flow.FIN) {
 		r.targetFin = true
 	}
 	if r.targetFin && r.clientFin {
-		c.flows.clearPending(r)
+		c.flows.stopCounting(r)
 		c.flows.setStage(r, closed)
 		return
 	}
@@ -150,7 +151,7 @@
 		c.events.Dropped(DropBounced)
 		return
 	}
-	c.flows.clearPending(r)
+	c.flows.stopCounting(r)
 	c.flows.setStage(r, dead)
 	r.usedAt = now
 	// The target may have restarted unnoticed, so it may be cold.
--- a/agent/packetfront/health.go
+++ b/agent/packetfront/health.go
@@ -20,8 +20,9 @@
 // flows away.
 //
 // The agent sees one target only, so it compares against what a healthy service shows (the
-// prior of outlier.Binomial). When most targets of a service fail alike, the balancers ignore
-// the ejections (ejectable).
+// prior of outlier.Binomial). When many targets of a service fail alike, so that more than a third
+// of them are ejected, the balancers ignore the ejections (honorsEjections and maxEjectedShare in
+// balancer/packetfront).
 //
 // A target that crashes loses the requests it has, and a target that has just crashed is more
 // likely than others to crash again. So each restart after a crash begins with a probation, in
--- a/agent/packetfront/incarnations.go
+++ b/agent/packetfront/incarnations.go
@@ -34,8 +34,8 @@
 //     that do not report their start time, because IDs have no order.
 //   - A clock may be stepped back between two incarnations, and two may start in the same
 //     millisecond. A rejected incarnation is therefore accepted if it continues to report
-//     while the current one is overdue, and at once if a probe saw the current one end and
-//     the other may have started since.
+//     while the current one is overdue, and at once if a target probe saw the current one
+//     end and the other may have started since.
 type incarnationHistory struct {
 	former []fleet.Incarnation
 	// rejected is the last rejected incarnation, rejectedSequence its sequence.
--- a/agent/packetfront/load_test.go
+++ b/agent/packetfront/load_test.go
@@ -53,9 +53,9 @@
 	checked       int
 	slots         int
 	startedMillis int64
-	// queuedDespiteHeadroom is set once a request was still queued although the target had
-	// headroom, after a packet of the target.
-	queuedDespiteHeadroom bool
+	// queuedBelowLimit is set once a request was still queued although the target was
+	// below its limit, after a packet of the target.
+	queuedBelowLimit bool
 }
 
 func newRandomLoad(slots int) *randomLoad {
@@ -134,7 +134,7 @@
 	k := c.key
 	h := flow.Header{Src: k.FrontIP, SrcPort: k.FrontPort, Dst: k.ClientIP, DstPort: k.ClientPort, Flags: flags, Seq: seq, Len: length}
 	l.HandleTarget(l.now, &h, make([]byte, platform.HeaderLen+length))
-	l.queuedDespiteHeadroom = l.queuedDespiteHeadroom || (l.queue.Len() > 0 && l.flows.running < l.targetLimit())
+	l.queuedBelowLimit = l.queuedBelowLimit || (l.queue.Len() > 0 && l.flows.running < l.targetLimit())
 }
 
 // check checks the packets delivered to the target since the last check, and the agent's counts.
@@ -147,7 +147,7 @@
 		}
 	}
 	l.checkCounts(t)
-	require.False(t, l.queuedDespiteHeadroom, "a request is queued after an answer although the target has headroom")
+	require.False(t, l.queuedBelowLimit, "a request is queued after an answer although the target is below its limit")
 	for _, key := range l.port.Resets {
 		require.True(t, l.byKey[key].ended, "a live flow is reset")
 	}
@@ -189,17 +189,17 @@
 func (l *randomLoad) checkCounts(t *rapid.T) {
 	busy, running, queued, opened := 0, 0, 0, 0
 	for _, r := range l.flows.byKey {
-		if !r.pendingAt.IsZero() {
+		if !r.busySince.IsZero() {
 			busy++
 		}
 		if !r.runningAt.IsZero() {
 			running++
-			require.False(t, r.pendingAt.IsZero(), "a running request counts as load")
+			require.False(t, r.busySince.IsZero(), "a running request counts as load")
 			require.Nil(t, r.queued, "a running request is not queued")
 		}
 		if r.queued != nil {
 			queued++
-			require.False(t, r.pendingAt.IsZero(), "a queued request counts as load")
+			require.False(t, r.busySince.IsZero(), "a queued request counts as load")
 		}
 		if r.stage == open {
 			opened++
@@ -216,12 +216,13 @@
 	}
 }
 
-// tick calls the agent's Tick and checks that no request is queued while there is headroom.
+// tick calls the agent's Tick and checks that no request is queued while the target is
+// below its limit.
 func (l *randomLoad) tick(t *rapid.T) {
 	l.Tick(l.now)
 	l.check(t)
 	if l.flows.running < l.targetLimit() {
-		require.Zero(t, l.queue.Len(), "a request is queued although the target has headroom")
+		require.Zero(t, l.queue.Len(), "a request is queued although the target is below its limit")
 	}
 }
 
@@ -290,7 +291,7 @@
 
 // TestAnAgentUnderRandomLoad: under random events of callers, target and time, no request is
 // delivered more often than it was sent or after its caller has left, none is queued while the
-// target has headroom, the agent's counts match its records, and no live flow is reset. After the
+// target is below its limit, the agent's counts match its records, and no live flow is reset. After the
 // last caller an overload ends within two deadlines.
 func TestAnAgentUnderRandomLoad(t *testing.T) {
 	const shortestDeadline = 500 * time.Millisecond
--- a/agent/packetfront/nodes.go
+++ b/agent/packetfront/nodes.go
@@ -9,7 +9,8 @@
 )
 
 // handleBeacon applies a balancer's beacon. A new balancer is sent an announcement at once,
-// unless it has already acknowledged the last change of state.
+// unless it has already acknowledged the last change of state. A known one that sets WantPeers is
+// sent an announcement as well: an agent has no list of nodes to send.
 func (c *Core) handleBeacon(now time.Time, from flow.IPv4, datagram []byte) error {
 	m, err := fleet.DecodeBeacon(datagram)
 	if err != nil {
@@ -17,7 +18,7 @@
 	}
 	change := c.view.ApplyBeacon(now, from, m)
 	if change != fleet.Stale {
-		c.compareEvacuations(now, from, m.Evacuations)
+		c.syncEvacuations(now, from, m.Evacuations)
 	}
 	c.acks.received(from, c.opts.Incarnation, &m)
 	if change == fleet.Joined {
@@ -30,10 +31,10 @@
 	return nil
 }
 
-// compareEvacuations adopts newer evacuations from a balancer, or sends it the agent's if
+// syncEvacuations adopts newer evacuations from a balancer, or sends it the agent's if
 // these are newer: the agents still have them when all balancers have restarted while the
 // store is unavailable.
-func (c *Core) compareEvacuations(now time.Time, from flow.IPv4, received flow.Evacuations) {
+func (c *Core) syncEvacuations(now time.Time, from flow.IPv4, received flow.Evacuations) {
 	former := c.evacuations
 	newer, differ := c.evacuations.ReplaceIfNewer(received)
 	switch {
@@ -68,7 +69,7 @@
 // answer with a beacon.
 func (c *Core) contact(now time.Time, balancers []flow.IPv4, wantPeers bool) {
 	for _, ip := range balancers {
-		if !c.view.HasBalancer(ip) && c.crossZone.introduced.Allow(now, ip, zonecast.IntroductionPause) {
+		if !c.view.HasBalancer(ip) && c.relays.introductions.Allow(now, ip, zonecast.IntroductionPause) {
 			c.announceTo(now, ip, wantPeers)
 		}
 	}
@@ -91,8 +92,9 @@
 	c.announceDue(now)
 }
 
-// expire removes idle flows and overdue balancers once per second. Slots that the requests
-// of these flows occupied become free for queued requests.
+// expire, once per second, probes overdue balancers of other zones and removes idle flows and
+// expired balancers. Slots that the requests of these flows occupied become free for queued
+// requests.
 func (c *Core) expire(now time.Time) {
 	if now.Before(c.nextExpire) {
 		return
@@ -112,7 +114,7 @@
 // only from other balancers.
 func (c *Core) join(now time.Time) {
 	isolated, unregistered := len(c.view.Balancers()) == 0, c.target.up && c.registration != fleet.RegistrationPresent
-	if !c.introduced || !(isolated || unregistered) || now.Before(c.nextJoin) {
+	if !c.mayAnnounce || !(isolated || unregistered) || now.Before(c.nextJoin) {
 		return
 	}
 	c.nextJoin = now.Add(joinPeriod)
@@ -171,12 +173,12 @@
 	former := c.lastAnnouncement
 	return former.TargetIncarnation == 0 && next.TargetIncarnation != 0 &&
 		next.State == former.State && next.Ejected == former.Ejected && next.Registration == former.Registration &&
-		len(c.crossZone.planner.Plan(now, c.view).Relays) > 0
+		len(c.relays.planner.Plan(now, c.view).Relays) > 0
 }
 
 func (c *Core) announceAll(now time.Time) {
 	sameZone, otherZones := c.view.BalancersByZone(c.opts.Zone)
-	c.crossZonePeriod = c.crossZone.planner.Plan(now, c.view).Period
+	c.crossZonePeriod = c.relays.planner.Plan(now, c.view).Period
 	c.nextSameZone, c.nextCrossZone = fleet.NextSendTime(now, fleet.SameZonePeriod, c.opts.Self), fleet.NextSendTime(now, c.crossZonePeriod, c.opts.Self)
 	c.announceToAll(now, sameZone)
 	c.announceToAll(now, otherZones)
@@ -219,7 +221,7 @@
 	if c.leaving && state == fleet.Ready {
 		state = fleet.Draining
 	}
-	headroom, cold := c.coldHeadroom(now)
+	headroom, limited := c.coldHeadroom(now)
 	return fleet.Announcement{
 		Zone: c.opts.Zone, Service: c.opts.Service,
 		TargetIncarnation: c.incarnation(),
@@ -230,8 +232,8 @@
 		WarmupMillis:      uint16(min(c.warmup(now).Milliseconds(), 1<<16-1)),
 		Ejected:           c.health.ejected,
 		Registration:      c.registration,
-		ConfigVersion:     c.configCopy.version,
-		Cold:              cold,
+		ConfigVersion:     c.copyState.version,
+		Cold:              limited,
 		Headroom:          uint16(min(headroom, 1<<16-1)),
 		LoadReport:        c.loadReport(now),
 	}
@@ -259,21 +261,22 @@
 // long.
 const registrationTimeout = 250 * time.Millisecond
 
-// setTargetKnown records that the target's state is known, from the target itself or a probe.
+// setTargetKnown records that the target's state is known, from the target itself or a target
+// probe.
 func (c *Core) setTargetKnown(now time.Time) {
 	c.targetKnown = true
 	c.introduce(now)
 }
 
 // EntryStored records that the store has applied the given state of the registry entry.
-func (c *Core) EntryStored(now time.Time, shown fleet.EntryState) {
+func (c *Core) EntryStored(now time.Time, applied fleet.EntryState) {
 	switch {
-	case shown != c.wantedEntryState:
+	case applied != c.wantedEntryState:
 		// Another state has been requested since.
 		return
-	case shown == fleet.EntryPresent:
+	case applied == fleet.EntryPresent:
 		c.registration = fleet.RegistrationPresent
-	case shown == fleet.EntryAbsent:
+	case applied == fleet.EntryAbsent:
 		c.registration = fleet.RegistrationRemoved
 	}
 	c.introduce(now)
@@ -291,10 +294,10 @@
 // announcement would carry an unknown state, which would stay in a balancer's view for long if
 // it was the last one that the balancer received.
 func (c *Core) introduce(now time.Time) {
-	if c.introduced || !c.targetKnown || c.awaitsRegistration(now) {
+	if c.mayAnnounce || !c.targetKnown || c.awaitsRegistration(now) {
 		return
 	}
-	c.introduced = true
+	c.mayAnnounce = true
 	c.acks.stateChanged(c.seq + 1)
 	for _, ip := range c.opts.Seeds {
 		c.announceTo(now, ip, true)
@@ -311,7 +314,7 @@
 }
 
 func (c *Core) announceTo(now time.Time, to flow.IPv4, wantPeers bool) {
-	if !c.introduced {
+	if !c.mayAnnounce {
 		return
 	}
 	a := c.announcementTo(now, to)
--- a/agent/packetfront/nodes_test.go
+++ b/agent/packetfront/nodes_test.go
@@ -150,7 +150,7 @@
 	f.Probed(f.now, ProbeAccepted)
 	require.Equal(t, fleet.EntryPresent, f.WantedEntryState(f.now))
 	f.Probed(f.now, ProbeUnanswered)
-	require.Equal(t, fleet.EntryPresent, f.WantedEntryState(f.now), "a probe without an answer changes nothing")
+	require.Equal(t, fleet.EntryPresent, f.WantedEntryState(f.now), "a target probe without an answer changes nothing")
 	f.receiveHeartbeat(false)
 	f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
 	require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now), "it may send its last packets")
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -97,11 +97,11 @@
 func (o *observer) Delivered() { o.delivered.Inc() }
 
 // RequestDelivered implements Events.
-func (o *observer) RequestDelivered(key flow.Key, requestID []byte, busy, slots int) {
+func (o *observer) RequestDelivered(key flow.Key, requestID []byte, running, slots int) {
 	o.requested.Inc()
-	o.load.Observe(float64(busy))
+	o.load.Observe(float64(running))
 	o.Write(&o.requests, "request delivered", zap.Stringer(fieldFlow, key), zap.ByteString(fieldRequest, requestID),
-		zap.Int(fieldLoad, busy), zap.Int(fieldSlots, slots))
+		zap.Int(fieldLoad, running), zap.Int(fieldSlots, slots))
 }
 
 // Queued implements Events.
--- a/agent/packetfront/overload.go
+++ b/agent/packetfront/overload.go
@@ -24,14 +24,15 @@
 // countArrival counts a new flow as load offered to this target. A flow is counted once: by the
 // target that admits or postpones it, or else by the last candidate that declines it. Other
 // targets pass it on without counting it, because they do not have to answer it. A SYN that
-// its balancer marks as a retransmission is not counted again.
+// its balancer marks as a retransmission is not counted again; a balancer marks only those of
+// flows that it has recorded. A SYN's Ack counts the SYNs of the flow sent before it.
 func (c *Core) countArrival(now time.Time, h *flow.Header) {
 	if c.env.Flags&envelope.Retransmitted == 0 {
 		c.overload.Arrived(now, c.env.Deadline, h.Ack > 0)
 	}
 }
 
-// decline passes on a new flow for which the target has no headroom.
+// decline passes on a new flow that the target, which is at its limit, does not admit.
 func (c *Core) decline(now time.Time, key flow.Key, h *flow.Header, packet []byte, reason string) {
 	c.events.PassedOn(key, reason, int(c.env.Hops))
 	if c.env.Count == 0 {
@@ -43,14 +44,14 @@
 // countLaterRequest counts a request after the first one of its flow; the first one was
 // counted with the opening packet.
 func (c *Core) countLaterRequest(now time.Time, r *record) {
-	if r.pendingAt.IsZero() && r.request.began.IsZero() {
+	if r.busySince.IsZero() && r.request.began.IsZero() {
 		c.overload.ArrivedOnOpenFlow(now, r.request.deadline)
 	}
 }
 
-// updateSlots records whether the target has a free slot. Requests whose bodies are still in
+// recordSlotFree records whether the target has a free slot. Requests whose bodies are still in
 // transfer occupy none.
-func (c *Core) updateSlots(now time.Time) {
+func (c *Core) recordSlotFree(now time.Time) {
 	working := float64(c.flows.running) * c.estimate.WorkShare()
 	c.overload.SetSlotFree(now, working < float64(c.target.slots()))
 }
@@ -62,7 +63,7 @@
 	if c.target.warmup(now) > 0 || c.target.state() == fleet.Absent {
 		c.overload.NoteOutage(now)
 	}
-	c.updateSlots(now)
+	c.recordSlotFree(now)
 	wait := c.expectedWait(now)
 	active := c.overload.Active(now, wait)
 	if active == c.overload.active {
@@ -78,7 +79,8 @@
 }
 
 // meetsObjective reports whether the request of a new flow can be answered within its
-// objective after the wait, or before its deadline if it has no objective.
+// objective after the wait, or before its deadline if it has no objective. A SYN's Ack counts the
+// SYNs of the flow sent before it.
 func (c *Core) meetsObjective(wait time.Duration, h *flow.Header) bool {
 	if c.env.Objective == 0 {
 		return c.canMeetDeadline(wait, h)
--- a/agent/packetfront/probe.go
+++ b/agent/packetfront/probe.go
@@ -21,11 +21,11 @@
 		return false
 	}
 	unanswered := !t.awaitingSince.IsZero() && now.Sub(t.awaitingSince) > answerTimeout
-	maxHeartbeatGap := time.Duration(probeAfterMissedHeartbeats * float64(c.opts.HeartbeatPeriod))
-	return unanswered || (t.incarnation.TargetID != "" && now.Sub(t.heartbeatAt) > maxHeartbeatGap && now.Sub(t.probedAt) > c.opts.HeartbeatPeriod)
+	heartbeatTimeout := time.Duration(probeAfterMissedHeartbeats * float64(c.opts.HeartbeatPeriod))
+	return unanswered || (t.incarnation.TargetID != "" && now.Sub(t.heartbeatAt) > heartbeatTimeout && now.Sub(t.probedAt) > c.opts.HeartbeatPeriod)
 }
 
-// Probe is the outcome of an attempt to connect to the target.
+// Probe is the outcome of a target probe, which is an attempt to connect to the target.
 type Probe uint8
 
 // The outcomes.
@@ -38,7 +38,7 @@
 	ProbeUnanswered
 )
 
-// Probed handles the outcome of a probe.
+// Probed handles the outcome of a target probe.
 func (c *Core) Probed(now time.Time, p Probe) {
 	t := &c.target
 	t.probedAt, t.lastProbeFailed = now, p != ProbeAccepted
--- a/agent/packetfront/relay.go
+++ b/agent/packetfront/relay.go
@@ -17,34 +17,35 @@
 	// probeBalancersAfter is the time without a message after which a balancer of another zone
 	// is probed. After fleet.ExpireAfter it expires, and changes are no longer announced to it.
 	probeBalancersAfter = fleet.ExpireAfter / 2
-	// maxIntroduced is the maximum number of balancers for which the last introduction is recorded.
-	maxIntroduced = 4096
+	// maxIntroductions is the maximum number of balancers for which the last introduction is recorded.
+	maxIntroductions = 4096
 )
 
-// crossZoneState holds the state of announcements to other zones.
-type crossZoneState struct {
+// relayState is the state of the announcements to other zones.
+type relayState struct {
 	// planner chooses between direct and relayed announcements to each zone.
 	planner zonecast.Planner
-	// introduced limits the rate of announcements to balancers that are known from other nodes only.
-	introduced zonecast.IntroductionLimiter
+	// introductions limits the rate of announcements to balancers that the agent has not seen yet,
+	// because it knows them from other nodes or from the registry only.
+	introductions zonecast.IntroductionLimiter
 }
 
-func newCrossZoneState(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) crossZoneState {
-	return crossZoneState{
-		introduced: zonecast.IntroductionLimiter{MaxNodes: maxIntroduced},
-		planner:    zonecast.Planner{Self: opts.Self, Zone: opts.Zone, RelayThreshold: opts.RelayThreshold, RecentWithin: relayFreshness, OnChange: report},
+func newRelayState(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) relayState {
+	return relayState{
+		introductions: zonecast.IntroductionLimiter{MaxNodes: maxIntroductions},
+		planner:       zonecast.Planner{Self: opts.Self, Zone: opts.Zone, RelayThreshold: opts.RelayThreshold, RecentWithin: relayFreshness, OnChange: report},
 	}
 }
 
 // announceCrossZone repeats the announcement to the balancers of other zones, directly or
 // through relays.
 func (c *Core) announceCrossZone(now time.Time) {
-	c.crossZone.planner.StartRound()
-	plan := c.crossZone.planner.Plan(now, c.view)
+	c.relays.planner.StartRound()
+	plan := c.relays.planner.Plan(now, c.view)
 	c.crossZonePeriod = plan.Period
 	c.nextCrossZone = fleet.NextSendTime(now, c.crossZonePeriod, c.opts.Self)
 	c.announceToAll(now, plan.Direct)
-	if c.introduced && len(plan.Relays) > 0 {
+	if c.mayAnnounce && len(plan.Relays) > 0 {
 		c.announceViaRelays(now, plan.Relays)
 	}
 }
@@ -88,18 +89,18 @@
 	case fleet.ProcessCurrent:
 		if c.view.ApplyBeacon(now, r.From, m) != fleet.Stale {
 			c.view.MarkRelayed(r.From)
-			c.compareEvacuations(now, r.From, m.Evacuations)
+			c.syncEvacuations(now, r.From, m.Evacuations)
 		}
 	case fleet.ProcessUnknown:
-		c.probeNamed(now, r.From)
+		c.probeRelayed(now, r.From)
 	}
 	return nil
 }
 
-// probeNamed probes a balancer that is known only from relayed messages; its answer makes
+// probeRelayed probes a balancer that is known only from relayed messages; its answer makes
 // it known.
-func (c *Core) probeNamed(now time.Time, ip flow.IPv4) {
-	if c.crossZone.introduced.Allow(now, ip, zonecast.RelayedIntroductionPause) {
+func (c *Core) probeRelayed(now time.Time, ip flow.IPv4) {
+	if c.relays.introductions.Allow(now, ip, zonecast.RelayedIntroductionPause) {
 		c.probeBalancer(now, ip)
 	}
 }
@@ -115,7 +116,7 @@
 
 // probeBalancer announces the target to a balancer and requests a reply.
 func (c *Core) probeBalancer(now time.Time, ip flow.IPv4) {
-	if !c.introduced {
+	if !c.mayAnnounce {
 		return
 	}
 	a := c.announcementTo(now, ip)
--- a/agent/packetfront/restart_test.go
+++ b/agent/packetfront/restart_test.go
@@ -281,7 +281,7 @@
 }
 
 // TestPacketAfterARefusedProbeDoesNotMarkTheTargetUp: packets of a target that has exited
-// still arrive for two seconds. A restarted agent whose probe had been refused took them
+// still arrive for two seconds. A restarted agent whose target probe had been refused took them
 // for a running target, delivered new flows to it, which were bounced, and announced
 // "draining" when it stopped. After a kill and restart of all processes this lost 162
 // requests on open flows within 4 s: four targets had deregistered just before the kill,
--- a/agent/packetfront/target.go
+++ b/agent/packetfront/target.go
@@ -25,13 +25,15 @@
 	deregisteredAt time.Time
 	// flowsEnded is set once the flows of a target that has ended have been reset.
 	flowsEnded bool
-	// probeRefused is set when a probe was refused before the target came up. sawStart is set
-	// when the agent was running before the current target took its first flow.
+	// probeRefused is set by each refused target probe and stays set when the target comes up. A
+	// new incarnation keeps it only if the agent saw its start. sawStart is set when the agent
+	// was running before the current target took its first flow.
 	probeRefused, sawStart bool
-	// sawEnd is set when a probe was refused since the target's last heartbeat.
+	// sawEnd is set when a target probe was refused while the target was up, and cleared by its
+	// next heartbeat.
 	sawEnd bool
-	// upSince is when the target was found to be up, downSince when the first probe since then
-	// was refused; zero if that has not happened.
+	// upSince is when the target was found to be up, downSince when the first target probe since
+	// then was refused; zero if that has not happened.
 	upSince, downSince time.Time
 	// awaitingSince is when the first packet was delivered since the last packet or heartbeat
 	// from the target.
@@ -39,7 +41,7 @@
 	// probedAt is when the target was probed last, acceptedAt when it last accepted a
 	// connection.
 	probedAt, acceptedAt time.Time
-	// lastProbeFailed is set if the last probe was not accepted.
+	// lastProbeFailed is set if the last target probe was not accepted.
 	lastProbeFailed bool
 }
 
@@ -85,7 +87,7 @@
 
 // targetSent records a packet from the target. After a refused connection a packet does not
 // show that the target is up: for seconds after a target has exited, retransmissions and
-// bounced packets still arrive from it. The next probe decides.
+// bounced packets still arrive from it. The next target probe decides.
 func (c *Core) targetSent(now time.Time) {
 	c.target.awaitingSince = time.Time{}
 	if c.target.deregisteredAt.IsZero() && c.target.downSince.IsZero() {
@@ -166,7 +168,7 @@
 	c.announceChange(now)
 }
 
-// mayListen reports whether the target accepted a connection recently, or the last probe
+// mayListen reports whether the target accepted a connection recently, or the last target probe
 // did not fail. A target that has deregistered is probed several times in that period,
 // unless the agent itself was suspended, which leaves it without a recent result.
 func (t *target) mayListen(now time.Time) bool {
--- a/balancer/operator/gap.go
+++ b/balancer/operator/gap.go
@@ -11,7 +11,7 @@
 	// peerFetchDelay is how long a balancer waits for its own watch before it fetches a newer
 	// configuration from another balancer.
 	peerFetchDelay = 250 * time.Millisecond
-	// storeReadDelay is how long a balancer that does not watch the store tries to fetch a
+	// storeReadDelay is how long a balancer, whether it watches the store or not, tries to fetch a
 	// newer configuration before it reads the store as well: a successful fetch takes 0.2 s, a
 	// failed one 0.5 s, and a change has to be in force within 3 s.
 	storeReadDelay = time.Second
@@ -23,9 +23,9 @@
 	// watchDelay is how long after its start a balancer does not watch the store yet: it first
 	// has to learn which balancers do. The watch then returns the changes since the first read.
 	watchDelay = 500 * time.Millisecond
-	// failedCopyBackoff is how long an agent is not asked again after its copy was incomplete
-	// or did not decode.
-	failedCopyBackoff = 5 * time.Second
+	// failedFetchBackoff is how long an agent is not asked again after the fetch of its copy
+	// failed or was incomplete, or the copy did not decode.
+	failedFetchBackoff = 5 * time.Second
 )
 
 // StoreDuty is how a balancer has to use the store to follow the configuration.
@@ -123,7 +123,7 @@
 
 // RejectVersion records that a fetched configuration does not decode here. From a balancer,
 // the version is not fetched again. From an agent, only that agent's copy is avoided for
-// failedCopyBackoff: agents do not validate the copies that they hold, so the copy proves
+// failedFetchBackoff: agents do not validate the copies that they hold, so the copy proves
 // nothing about the version.
 func (s *State) RejectVersion(now time.Time, from flow.IPv4, version int64) {
 	if !s.FetchFailed(now, from) {
@@ -132,11 +132,11 @@
 }
 
 // FetchFailed records that a node did not supply a usable configuration. It reports whether
-// the node is an agent, whose copy is then avoided for failedCopyBackoff.
+// the node is an agent, whose copy is then avoided for failedFetchBackoff.
 func (s *State) FetchFailed(now time.Time, from flow.IPv4) bool {
 	if !s.fleet.HasTarget(from) {
 		return false
 	}
-	s.copyRetryAt[from] = now.Add(failedCopyBackoff)
+	s.copyRetryAt[from] = now.Add(failedFetchBackoff)
 	return true
 }
--- a/balancer/operator/gap_test.go
+++ b/balancer/operator/gap_test.go
@@ -135,7 +135,7 @@
 		"asked again":                 {age, func(f *fixture) { f.FetchFrom(f.now); f.now = f.now.Add(copyFetchInterval) }, want{targetB, 7}},
 		"failed ones, after the backoff": {age, func(f *fixture) {
 			f.FetchFailed(f.now, targetB)
-			f.now = f.now.Add(failedCopyBackoff)
+			f.now = f.now.Add(failedFetchBackoff)
 			f.announceCopy(targetA, 6)
 			f.announceCopy(targetB, 7)
 		}, want{targetB, 7}},
--- a/balancer/packetfront/core.go
+++ b/balancer/packetfront/core.go
@@ -64,8 +64,8 @@
 	// minIdle is the minimum time for which an idle flow stays in the table, even if the
 	// configured idle timeout is shorter.
 	minIdle = 20 * time.Second
-	// agentBeacons is the number of beacon rounds after which agents get a beacon.
-	agentBeacons = 2
+	// roundsPerAgentBeacon is the number of rounds of beacons to balancers for each round to agents.
+	roundsPerAgentBeacon = 2
 )
 
 // Core decides where each packet is sent. It is not safe for concurrent use; its owner holds
@@ -225,9 +225,11 @@
 	c.port.ToNode(target, c.buf, packet)
 }
 
-// openFlow sends a client's SYN to a target. A retransmission goes to the target of the first
-// SYN, if that is still a candidate. The envelope lists further candidates, in case the target
-// refuses.
+// openFlow sends a client's SYN to a target. A retransmission goes to the target recorded last for
+// the flow, if that is still a candidate. The envelope lists further candidates, in case the target
+// refuses. A SYN's Ack counts the SYNs of the flow sent before it; a retransmission is marked as
+// one only if the flow is recorded here, which it is not if the earlier SYNs reached other
+// balancers.
 func (c *Core) openFlow(now time.Time, key flow.Key, h *flow.Header, packet []byte) {
 	route, ok := c.operator.Config().Routes[key.Front()]
 	if !ok {
@@ -296,7 +298,7 @@
 
 // refuse resets a flow that cannot be opened; no target has received its request. Only the first
 // SYN is answered with a reset: when a retransmission is refused, the flow may already be open at
-// the target that accepted an earlier SYN.
+// the target that accepted an earlier SYN. A SYN's Ack counts the SYNs of the flow sent before it.
 func (c *Core) refuse(key flow.Key, h *flow.Header, reason, route string) {
 	if h.Ack > 0 {
 		c.events.Dropped(DropRetransmissionRefused)
--- a/balancer/packetfront/evacuations.go
+++ b/balancer/packetfront/evacuations.go
@@ -8,8 +8,8 @@
 	"github.com/poppywall/poppywall/flow"
 )
 
-// mergeEvacuations puts the evacuations of another node in force if they are newer.
-func (c *Core) mergeEvacuations(now time.Time, next flow.Evacuations, from flow.IPv4) {
+// adoptEvacuations puts the evacuations of another node in force if they are newer.
+func (c *Core) adoptEvacuations(now time.Time, next flow.Evacuations, from flow.IPv4) {
 	c.operator.SetEvacuations(now, next, operator.Origin(from))
 }
 
@@ -17,7 +17,7 @@
 func (c *Core) handleEvacuated(now time.Time, from flow.IPv4, datagram []byte) error {
 	next, err := fleet.DecodeEvacuations(datagram)
 	if err == nil {
-		c.mergeEvacuations(now, next, from)
+		c.adoptEvacuations(now, next, from)
 	}
 	return err
 }
@@ -29,7 +29,8 @@
 }
 
 // refusalReason returns why no target of a service may get a new flow, or an empty string if no
-// target is ready.
+// target is ready. The reason is "targets of the service cold" for all targets that accept flows
+// but are not candidates, also if they are ejected or in a silent zone.
 func (c *Core) refusalReason(service flow.Tag) string {
 	reason := ""
 	for _, t := range c.view.TargetsOf(service) {
--- a/balancer/packetfront/finder.go
+++ b/balancer/packetfront/finder.go
@@ -29,7 +29,7 @@
 func (c finderPort) Reset(key flow.Key, seq uint32) { c.port.Reset(key, seq) }
 
 // handleReturned handles a packet that an agent returned: a SYN that every candidate refused, or
-// a packet of a flow that no probed target holds.
+// a packet of a flow that no target probed by its search holds.
 func (c *Core) handleReturned(now time.Time, from flow.IPv4, datagram []byte) error {
 	packet, err := c.env.Decode(datagram)
 	if err != nil {
--- a/balancer/packetfront/followregistry.go
+++ b/balancer/packetfront/followregistry.go
@@ -25,7 +25,7 @@
 	f.findTargets(ctx)
 	return worker.Every(ctx, tickPeriod, func() {
 		f.register()
-		if f.isolated() {
+		if f.registryReadDue() {
 			f.findBalancers(ctx)
 		}
 		f.refreshSnapshot(ctx)
@@ -42,8 +42,9 @@
 	}
 }
 
-// isolated reports whether the balancer has known no other node for some time.
-func (f *Front) isolated() (due bool) {
+// registryReadDue reports whether to read the balancers from the registry, because no other node
+// has been known for some time.
+func (f *Front) registryReadDue() (due bool) {
 	f.locked(func(now time.Time) {
 		due = f.isolation.Due(now, f.core.view.BalancerCount()+f.core.view.TargetCount() == 0)
 	})
--- a/balancer/packetfront/nodes.go
+++ b/balancer/packetfront/nodes.go
@@ -101,7 +101,7 @@
 	if change == fleet.Stale {
 		return change
 	}
-	c.mergeEvacuations(now, m.Evacuations, from)
+	c.adoptEvacuations(now, m.Evacuations, from)
 	if change == fleet.Joined {
 		c.digestAt = time.Time{}
 		c.proof.BalancerJoined(now, from)
@@ -119,6 +119,8 @@
 		return
 	}
 	c.nextNodeRequest = now.Add(nodeRequestPause)
+	// Reply is set although this beacon answers none: the balancer then sends its nodes without a
+	// beacon of its own.
 	c.sendBeacon(now, peer, fleet.Beacon{Reply: true, WantPeers: true})
 }
 
@@ -130,7 +132,7 @@
 		return err
 	}
 	for _, ip := range nodes.Balancers {
-		if ip != c.opts.Self && !c.view.HasBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
+		if ip != c.opts.Self && !c.view.HasBalancer(ip) && c.relays.introductions.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{})
 		}
 	}
@@ -142,15 +144,17 @@
 	return nil
 }
 
-// Contact introduces this balancer to the given nodes that it has not seen yet.
+// Contact introduces this balancer to the given nodes that it has not seen yet. Balancers answer
+// WantPeers with a beacon and, if their view differs, the nodes that they know; agents answer with
+// their announcement.
 func (c *Core) Contact(now time.Time, balancers, agents []flow.IPv4) {
 	for _, ip := range balancers {
-		if ip != c.opts.Self && !c.view.HasBalancer(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
+		if ip != c.opts.Self && !c.view.HasBalancer(ip) && c.relays.introductions.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 		}
 	}
 	for _, ip := range agents {
-		if !c.view.HasTarget(ip) && c.relays.introduced.Allow(now, ip, zonecast.IntroductionPause) {
+		if !c.view.HasTarget(ip) && c.relays.introductions.Allow(now, ip, zonecast.IntroductionPause) {
 			c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 		}
 	}
@@ -259,7 +263,7 @@
 		c.beaconRounds++
 		balancers, _ := c.view.BalancersByZone(c.opts.Zone)
 		c.sendBeacons(now, balancers)
-		if c.beaconRounds%agentBeacons == 0 {
+		if c.beaconRounds%roundsPerAgentBeacon == 0 {
 			agents, _ := c.view.TargetsByZone(c.opts.Zone)
 			c.sendBeacons(now, agents)
 		}
--- a/balancer/packetfront/relay.go
+++ b/balancer/packetfront/relay.go
@@ -17,8 +17,8 @@
 	relayFreshness = 2*zonecast.RelayPeriod + zonecast.FlushPeriod
 	// probeCheckPeriod is how often the balancer looks for nodes of other zones to probe.
 	probeCheckPeriod = 200 * time.Millisecond
-	// maxIntroduced is the maximum number of nodes for which the last introduction is recorded.
-	maxIntroduced = 1 << 15
+	// maxIntroductions is the maximum number of nodes for which the last introduction is recorded.
+	maxIntroductions = 1 << 15
 )
 
 // relayState is the state of the exchange with other zones: the messages that this balancer
@@ -28,8 +28,10 @@
 	nextProbe               time.Time
 	// usesRelays is set while nodes of other zones reach the local zone through relays.
 	usesRelays bool
-	// introduced limits the rate of introductions to nodes that are known from other nodes only.
-	introduced zonecast.IntroductionLimiter
+	// introductions limits the rate of introductions to nodes that this balancer has not seen yet,
+	// because it knows them from other nodes, the registry or its seeds only, and of probes of
+	// nodes whose relayed messages need confirmation.
+	introductions zonecast.IntroductionLimiter
 	// planner chooses between direct and relayed beacons to each zone.
 	planner zonecast.Planner
 }
@@ -37,10 +39,10 @@
 func newRelayState(opts Options, report func(zone flow.Tag, balancers int, relayed bool)) relayState {
 	self := opts.Self
 	return relayState{
-		forBalancers: zonecast.RelayBuffer{FlushPeriod: zonecast.FlushPeriod, Self: self},
-		forAgents:    zonecast.RelayBuffer{FlushPeriod: zonecast.AgentFlushPeriod, Self: self},
-		introduced:   zonecast.IntroductionLimiter{MaxNodes: maxIntroduced},
-		planner:      zonecast.Planner{Self: self, Zone: opts.Zone, RelayThreshold: opts.RelayThreshold, RecentWithin: relayFreshness, OnChange: report},
+		forBalancers:  zonecast.RelayBuffer{FlushPeriod: zonecast.FlushPeriod, Self: self},
+		forAgents:     zonecast.RelayBuffer{FlushPeriod: zonecast.AgentFlushPeriod, Self: self},
+		introductions: zonecast.IntroductionLimiter{MaxNodes: maxIntroductions},
+		planner:       zonecast.Planner{Self: self, Zone: opts.Zone, RelayThreshold: opts.RelayThreshold, RecentWithin: relayFreshness, OnChange: report},
 	}
 }
 
@@ -53,7 +55,7 @@
 	c.nextCrossZone = fleet.NextSendTime(now, c.crossZonePeriod, c.opts.Self)
 	c.sendBeacons(now, plan.Direct)
 	c.sendBeaconViaRelays(now, plan.Relays)
-	if round%agentBeacons == 0 {
+	if round%roundsPerAgentBeacon == 0 {
 		c.sendBeacons(now, c.directAgents(c.opts.Zone))
 	}
 }
--- a/balancer/packetfront/relayed.go
+++ b/balancer/packetfront/relayed.go
@@ -51,7 +51,7 @@
 	case fleet.ProcessCurrent:
 		c.refreshTarget(now, r.From, a)
 	case fleet.ProcessUnknown:
-		c.probeNamed(now, r.From)
+		c.probeRelayed(now, r.From)
 	}
 	return nil
 }
@@ -66,7 +66,7 @@
 	}
 	c.view.MarkRelayed(ip)
 	if probe {
-		c.probeNamed(now, ip)
+		c.probeRelayed(now, ip)
 	}
 }
 
@@ -80,15 +80,15 @@
 		c.recordBeacon(now, r.From, m)
 		c.view.MarkRelayed(r.From)
 	case fleet.ProcessUnknown:
-		c.probeNamed(now, r.From)
+		c.probeRelayed(now, r.From)
 	}
 	return nil
 }
 
-// probeNamed probes a node that is known from relayed messages only, or whose relayed message
+// probeRelayed probes a node that is known from relayed messages only, or whose relayed message
 // needs confirmation. The node answers with its own announcement or beacon.
-func (c *Core) probeNamed(now time.Time, ip flow.IPv4) {
-	if c.relays.introduced.Allow(now, ip, zonecast.RelayedIntroductionPause) {
+func (c *Core) probeRelayed(now time.Time, ip flow.IPv4) {
+	if c.relays.introductions.Allow(now, ip, zonecast.RelayedIntroductionPause) {
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
 }
