--- a/backlog/coldstart/coldstart.go
+++ b/backlog/coldstart/coldstart.go
@@ -1,10 +1,11 @@
-// Package coldstart limits the rate of new flows to a cold target.
+// Package coldstart limits the rate of opening packets to a cold target.
 //
-// A target that has just started sustains only a limited number of requests per second. Its
-// agent delivers every opening packet to it, so the agent alone can keep the limit exactly:
-// with a sliding window over the opening packets delivered, including those before the limit
-// applied. An agent that has started beside a running target does not know what its previous
-// incarnation delivered, and counts the window as full until one window has passed.
+// A target that has just started sustains only a limited number of requests per second, which is
+// applied as a limit on opening packets per second. Its agent delivers every opening packet to it,
+// so the agent alone can keep the limit exactly: with a sliding window over the opening packets
+// delivered, including retransmitted ones and those before the limit applied. An agent that has
+// started beside a running target does not know what its previous incarnation delivered, and
+// counts the window as full until one window has passed.
 //
 // Cost: amortised O(1) per opening packet; at most maxRemembered times are kept.
 package coldstart
@@ -19,8 +20,8 @@
 	// packets on their way to a target on the same VM differ, so that two packets delivered more
 	// than a window apart arrive at least a second apart.
 	span = time.Second + 20*time.Millisecond
-	// maxRemembered limits the memory of the window to 100 KB: 4,000 requests per second are more
-	// than a warm target sustains. Beyond it the window counts as full.
+	// maxRemembered limits the memory of the window to 100 KB: 4,000 opening packets per second
+	// are more than a warm target sustains. Beyond it the window counts as full.
 	maxRemembered = 4096
 )
 
@@ -49,7 +50,7 @@
 }
 
 // Headroom returns how many more opening packets may be delivered now to a target that sustains
-// rate requests per second. Rates below one count as one.
+// rate of them per second. Rates below one count as one.
 func (w *Window) Headroom(now time.Time, rate float64) int {
 	w.prune(now)
 	if now.Before(w.fullUntil) {
@@ -58,8 +59,8 @@
 	return max(MaxPerWindow(rate)-len(w.times), 0)
 }
 
-// MaxPerWindow returns the number of requests per window that a rate in requests per second
-// allows, from 1 to maxRemembered.
+// MaxPerWindow returns the number of opening packets per window that a rate in opening packets per
+// second allows, from 1 to maxRemembered.
 func MaxPerWindow(rate float64) int { return int(min(max(math.Floor(rate), 1), maxRemembered)) }
 
 // prune removes times older than the window.
--- a/backlog/coldstart/coldstart_test.go
+++ b/backlog/coldstart/coldstart_test.go
@@ -53,7 +53,7 @@
 				latest = arrives
 				o.arrivals = append(o.arrivals, arrives)
 				if got := o.within(arrives); got > MaxPerWindow(rate) {
-					t.Fatalf("%d requests within a second, rate %v", got, rate)
+					t.Fatalf("%d opening packets within a second, rate %v", got, rate)
 				}
 			}
 		}
--- a/backlog/overload.go
+++ b/backlog/overload.go
@@ -15,20 +15,21 @@
 	// for 0.78 of the time and must not count as having a backlog.
 	backlogBeginShare = 0.9
 	backlogEndShare   = 0.8
-	// minBacklogAge and persistentWaitTime are shares of a deadline. A growing backlog counts as
-	// an overload only after minBacklogAge, so that it is not a burst by chance. One that does
-	// not grow counts after requests have waited, as persistentWait defines, for
-	// persistentWaitTime: after an outage of one deadline all callers of that time are served or
-	// gone within the next deadline, and a target at 0.7 of its capacity needs one more.
-	minBacklogAge      = 0.25
-	persistentWaitTime = 2.0
-	// minLag is the share of a deadline that the target must need for the requests that wait,
+	// minBacklogAge and persistenceFactor, like minLag and longWaitFactor, are factors of
+	// Overload.deadline, the shortest recent deadline. A growing backlog counts as an overload
+	// only after minBacklogAge, so that it is not a burst by chance. One that does not grow
+	// counts once all waits have been long (longWaitFactor) for persistenceFactor deadlines:
+	// after an outage of one deadline all callers of that time are served or gone within the
+	// next deadline, and a target at 0.7 of its capacity needs one more.
+	minBacklogAge     = 0.25
+	persistenceFactor = 2.0
+	// minLag is the share of the deadline that the target must need for the requests that wait,
 	// or that have arrived since the slots filled and are not answered. Chance does not take a
 	// target below its capacity that far behind.
 	minLag = 1.0 / 3
-	// persistentWait is the share of a deadline that requests must wait, without a break, in a
-	// backlog that does not grow.
-	persistentWait = 1.0 / 8
+	// longWaitFactor is the share of the deadline from which on a wait is long, in a backlog that
+	// does not grow.
+	longWaitFactor = 1.0 / 8
 	// outageLossShare is the least share of flows with a lost first opening packet at which an
 	// outage counts as the cause of a backlog.
 	outageLossShare = 0.2
@@ -58,7 +59,8 @@
 	// that arrived since the slots filled and were not answered.
 	backlogSince time.Time
 	unanswered   float64
-	// longWaitsSince is when the wait was last shorter than persistentWait.
+	// longWaitsSince is when there was last no backlog, or a wait shorter than longWaitFactor of
+	// the deadline.
 	longWaitsSince time.Time
 	// outageAt is when the last sign of an outage was seen.
 	outageAt time.Time
@@ -125,14 +127,14 @@
 	if outage {
 		o.unanswered = 0
 	}
-	if o.backlogSince.IsZero() || wait < scale(o.deadline, persistentWait) {
+	if o.backlogSince.IsZero() || wait < scale(o.deadline, longWaitFactor) {
 		o.longWaitsSince = now
 	}
 	switch {
 	case o.backlogSince.IsZero():
 		o.active = false
 	case o.active || o.deadline == 0:
-	case now.Sub(o.longWaitsSince) > scale(o.deadline, persistentWaitTime):
+	case now.Sub(o.longWaitsSince) > scale(o.deadline, persistenceFactor):
 		o.active = true
 	default:
 		oldEnough := now.Sub(o.backlogSince) > scale(o.deadline, minBacklogAge)
--- a/backlog/queue.go
+++ b/backlog/queue.go
@@ -40,14 +40,15 @@
 	return last
 }
 
-// softDue returns the latest time at which an answer meets the objective.
-func (r Request) softDue() time.Time { return r.Began.Add(r.Objective) }
+// sloEnd returns the latest time at which an answer meets the latency objective (SLO).
+func (r Request) sloEnd() time.Time { return r.Began.Add(r.Objective) }
 
 // meetsObjective reports whether an answer sent at t meets the objective.
-func (r Request) meetsObjective(t time.Time) bool { return r.Objective > 0 && !t.After(r.softDue()) }
+func (r Request) meetsObjective(t time.Time) bool { return r.Objective > 0 && !t.After(r.sloEnd()) }
 
 // inTime reports whether a request is served before the others during an overload: the time
 // left until the end of its objective is at least overloadMargin times the mean response time.
+// Here and in NextInTime and CountInTime, in time means within the objective, not the deadline.
 func (r Request) inTime(now time.Time, est ServiceEstimate) bool {
 	return r.meetsObjective(now.Add(scale(est.ResponseTime(), overloadMargin)))
 }
@@ -116,7 +117,8 @@
 	objectiveMargin = 2.0
 	// deadlineMargin applies when selecting the requests that can meet their deadlines.
 	deadlineMargin = 1.0
-	// overloadMargin applies when selecting the requests to serve during an overload.
+	// overloadMargin applies when selecting the requests to serve during an overload: a request
+	// left with only the mean response time often misses its objective.
 	overloadMargin = 1.4
 )
 
@@ -138,14 +140,15 @@
 	return q.removeAt(q.lastExpiring()), true
 }
 
-// NextInTime is Next during an overload: of the requests that are in time it returns the one
-// whose objective ends first. The others wait: in an overload, serving the oldest first makes
-// all requests late, and a request left with only the mean response time is often late, in a
-// slot that could have answered another one in time.
+// NextInTime is Next during an overload: of the requests that can still meet their objective
+// (inTime) it removes and returns the one whose objective ends first. The others wait: in an
+// overload, serving the oldest first makes all requests late, and a request left with only the
+// mean response time often misses its objective, in a slot that could have answered another one
+// within its objective.
 func (q *Queue[K]) NextInTime(now time.Time, est ServiceEstimate) (K, bool) {
 	best := noItem
 	for i := range q.items {
-		if q.items[i].inTime(now, est) && (best == noItem || q.items[i].softDue().Before(q.items[best].softDue())) {
+		if q.items[i].inTime(now, est) && (best == noItem || q.items[i].sloEnd().Before(q.items[best].sloEnd())) {
 			best = i
 		}
 	}
@@ -155,8 +158,8 @@
 	return q.removeAt(best), true
 }
 
-// CountInTime returns how many requests are served before a request that arrives now during an
-// overload.
+// CountInTime returns how many requests can still meet their objective (inTime): during an overload
+// they are served before a request that arrives now.
 func (q *Queue[K]) CountInTime(now time.Time, est ServiceEstimate) int {
 	count := 0
 	for i := range q.items {
@@ -214,8 +217,8 @@
 	return i.Began.After(other.Began)
 }
 
-// othersCanWait reports whether all other items can be answered in time, in order of their
-// deadlines, after the item first. Items that cannot be answered in time at all are ignored.
+// othersCanWait reports whether all other items can be answered before their deadlines, in order
+// of these, after the item first. Items that cannot meet their deadlines at all are ignored.
 func (q *Queue[K]) othersCanWait(first int, done time.Time, step time.Duration) bool {
 	earliest := done
 	for _, at := range q.order {
@@ -230,9 +233,9 @@
 	return true
 }
 
-// keepFeasible reduces q.order to items that can all be answered in time one after the other
-// (Moore, 1968): whenever an item would be late, the one of those up to it whose loss costs
-// least is dropped.
+// keepFeasible reduces q.order to items that can all be answered before their deadlines, one after
+// the other (Moore, 1968): whenever an item would miss its deadline, the one of those up to it
+// whose loss costs least is dropped.
 func (q *Queue[K]) keepFeasible(done time.Time, step time.Duration) {
 	kept := q.order[:0]
 	for _, at := range q.order {
--- a/backlog/serviceestimate.go
+++ b/backlog/serviceestimate.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// minWeight is the least weight of a new observation: the mean covers some 32 requests. A
-// spread of service times of half their mean then leaves an error of a tenth, and the warm-up
-// of a target that started cold shows within half a second.
+// minWeight is the least weight of a new observation: the mean covers some 32 requests. If the
+// standard deviation of the service times is half of their mean, the error is then a tenth; and
+// the warm-up of a target that started cold shows within half a second.
 const minWeight = 1.0 / 32
 
 // A single answer weighs more where answers are sparse: the mean covers at most the answers
@@ -55,9 +55,9 @@
 	e.serviceTime += weight * (float64(c.ServiceTime) - e.serviceTime)
 }
 
-// Observed reports whether enough answers were observed to rely on the estimate: the spread
-// of a single request's service time equals its mean, and the spread of the mean of
-// minObservations requests is a third of it.
+// Observed reports whether enough answers were observed to rely on the estimate: if the standard
+// deviation of a single service time equals its mean, which is twice what minWeight assumes, that
+// of the mean of minObservations requests is a third of it.
 func (e ServiceEstimate) Observed() bool { return e.observations >= minObservations }
 
 // minObservations is the least number of answers that make an estimate reliable.
