--- a/balancer/search/buffer.go
+++ b/balancer/search/buffer.go
@@ -52,7 +52,7 @@
 
 	// searching is set while a search is under way; the fields up to uncertain belong to it.
 	searching bool
-	// probes holds the targets of each outstanding probe by its search ID.
+	// probes holds the targets of each outstanding probe by its ID.
 	probes map[uint32][]flow.Candidate
 	// notProbed are the targets to probe after these.
 	notProbed []flow.Candidate
@@ -104,9 +104,11 @@
 
 func newFlowBuffer() flowBuffer { return flowBuffer{flows: map[flow.Key]*bufferedFlow{}} }
 
-// add stores a flow's first packet until its TTL expires; it is next tried at nextTryAt. add
-// returns nil if the buffer is full: the client retransmits the packet. A buffered SYN is
-// discarded once the client has sent a later packet.
+// add stores a flow's first packet until its TTL expires; it is next tried at nextTryAt. If the
+// flow is buffered already, the packet is not stored and the TTL not renewed: only nextTryAt is
+// set, and the search ends. A buffered SYN is discarded, and the packet stored in its place, once
+// the client has sent a later packet. add returns nil if the buffer is full: the client
+// retransmits the packet.
 func (fb *flowBuffer) add(now time.Time, key flow.Key, isSYN bool, packet []byte, nextTryAt time.Time, ttl time.Duration) *bufferedFlow {
 	b, known := fb.flows[key]
 	if known && b.firstIsSYN && !isSYN {
--- a/balancer/search/doc.go
+++ b/balancer/search/doc.go
@@ -15,14 +15,15 @@
 // periodically.
 //
 // Proof reports uncertainty while the balancer has just started, while the agents' registry
-// was not read shortly before the packet came or since, while an agent that the registry or
-// another balancer lists was not seen (for up to missingAgentTimeout and fleet.ExpireAfter), and
-// while an agent that was seen is not registered.
+// was not read shortly before the packet came or since, while a target that may hold flows
+// cannot be asked, and while an agent that was seen is not registered. An agent that was not
+// seen causes uncertainty for at most missingAgentTimeout if the registry lists it, and until
+// fleet.ExpireAfter has passed since the last listing if another balancer lists it.
 //
 // Bounds. 512 flows and 1024 packets are buffered, with up to 15 packets of a flow behind its
 // first one. A packet of an open flow is buffered for bufferTTL, a SYN for synBufferTTL. If the
 // buffer is full, a packet is sent to the first targets only, and its client retransmits it. A
-// target is probed once per search round. The table is bounded by its limit. The registry is read
+// target is probed once per search attempt. The table is bounded by its limit. The registry is read
 // at most as often as fleet.SnapshotPacer allows, which is less often the longer the uncertainty
 // lasts.
 //
--- a/balancer/search/events.go
+++ b/balancer/search/events.go
@@ -34,9 +34,9 @@
 
 // Events receives the decisions of a finder.
 type Events interface {
-	// Searching reports that a flow's packet is sent to the given number of candidates, in the
-	// given attempt of the search.
-	Searching(key flow.Key, candidates, round int)
+	// Searching reports that a flow's packet is sent to the given number of candidates. attempt
+	// counts the search attempts for the flow, from 1.
+	Searching(key flow.Key, candidates, attempt int)
 	// Lost reports a packet whose flow no candidate holds. uncertainty is why the flow is not
 	// reset, empty if it is; missing is a target that causes the uncertainty, zero if none is
 	// known.
--- a/balancer/search/proof.go
+++ b/balancer/search/proof.go
@@ -35,11 +35,11 @@
 	// SettleTime is how long after its start a balancer that knows no target assumes that it has
 	// not discovered them yet: agents repeat their announcements every second.
 	SettleTime = 2 * time.Second
-	// FreshTime is how long after its start a balancer considers its view incomplete. A running
-	// agent introduces itself to a new balancer within a round trip after it joined. A
-	// balancer joins through its seeds and asks other balancers for the nodes that they know
-	// five times a second; an agent that the registry lacks announces itself to the seeds as
-	// often.
+	// FreshTime is how long at least after its start a balancer considers its view incomplete
+	// (Fresh states when it is longer, up to SettleTime). A running agent introduces itself to
+	// a new balancer within a round trip after it joined. A balancer joins through its seeds and
+	// asks other balancers for the nodes that they know five times a second; an agent that the
+	// registry lacks announces itself to the seeds as often.
 	FreshTime = 500 * time.Millisecond
 	// SnapshotLead is how long before the end of FreshTime the registry is read for the first
 	// time: the store answers each page in milliseconds.
@@ -58,7 +58,8 @@
 // targets may hold flows, even if their agents are not back yet.
 type registrySnapshot struct {
 	fleet.UnseenTracker
-	// earliest and latest bound when the read of the snapshot began; zero before the first.
+	// earliest and latest are the highest Earliest and Latest of the accepted snapshots; zero
+	// before the first.
 	earliest, latest time.Time
 	// revision is the store revision of the snapshot.
 	revision int64
@@ -169,7 +170,7 @@
 		}
 		return ip, true
 	}
-	ip, missing := p.view.FirstTarget(func(t *fleet.Target) bool { return !reachable(now, t) && p.mayHoldFlows(now, t) })
+	ip, missing := p.view.FirstTarget(func(t *fleet.Target) bool { return !reachable(now, t) && p.unreachableMayHoldFlows(now, t) })
 	if t, known := p.view.Target(ip); known && t.State == fleet.Gone {
 		p.snapshot.refreshWanted = true
 	}
@@ -181,10 +182,10 @@
 	return !t.Overdue(now) && t.Registration != fleet.RegistrationAbandoned
 }
 
-// mayHoldFlows reports whether a target whose agent does not answer may hold flows. One that
-// last reported that it holds none may have started again since; after missingAgentTimeout its
-// VM counts as gone.
-func (p *Proof) mayHoldFlows(now time.Time, t *fleet.Target) bool {
+// unreachableMayHoldFlows reports whether a target whose agent cannot be asked may hold flows. One
+// that last announced that it holds none may have started again since; after missingAgentTimeout
+// its VM counts as gone.
+func (p *Proof) unreachableMayHoldFlows(now time.Time, t *fleet.Target) bool {
 	if t.State != fleet.Gone {
 		return true
 	}
@@ -192,17 +193,17 @@
 }
 
 // unregisteredTarget returns an agent that was seen but is not in the registry. An agent that
-// was reported as registered only after the snapshot was begun is newer than the snapshot and
-// does not count.
+// first announced its registration after the latest time that the snapshot may reflect does not
+// count: its entry may be newer than the snapshot.
 func (p *Proof) unregisteredTarget() (flow.IPv4, bool) {
 	return p.view.FirstTarget(func(t *fleet.Target) bool {
 		return t.State != fleet.Gone && !t.Registered && !t.RegisteredAfter(p.snapshot.latest)
 	})
 }
 
-// WantsSnapshot reports whether the registry of agents should be read: shortly before the
-// balancer stops being fresh, since nothing is decided earlier, and when a flow seems to have
-// ended.
+// WantsSnapshot reports whether to read the agents' registry now, and records that the read begins
+// if so. It is read shortly before the balancer stops being fresh, since nothing is decided
+// earlier, and when a flow seems to have ended, as often as the pacer allows.
 func (p *Proof) WantsSnapshot(now time.Time) bool {
 	if now.Sub(p.startedAt) < FreshTime-SnapshotLead || (!p.snapshot.refreshWanted && !p.snapshot.earliest.IsZero()) {
 		return false
--- a/balancer/search/search.go
+++ b/balancer/search/search.go
@@ -49,9 +49,9 @@
 	port   Port
 	events Events
 	buffer flowBuffer
-	// lastSearchID numbers the probes. It starts at the incarnation of the process, because answers
+	// lastProbeID numbers the probes. It starts at the incarnation of the process, because answers
 	// to probes of an earlier incarnation may still arrive.
-	lastSearchID uint32
+	lastProbeID uint32
 
 	// Scratch space, so that a packet costs no allocation: ranked are the targets that may
 	// hold a flow.
@@ -65,7 +65,7 @@
 func New(opts Options, config func() *flow.Config, view *fleet.View, table *Table, proof *Proof, codec flow.Codec, port Port, events Events) *Finder {
 	return &Finder{
 		opts: opts, config: config, view: view, table: table, proof: proof, codec: codec, port: port, events: events,
-		buffer: newFlowBuffer(), lastSearchID: uint32(opts.Incarnation),
+		buffer: newFlowBuffer(), lastProbeID: uint32(opts.Incarnation),
 	}
 }
 
@@ -182,9 +182,9 @@
 	f.events.Searching(key, len(targets), b.attempts)
 	b.nextTryAt = now.Add(searchRetryInterval)
 	for _, probe := range f.splitIntoProbes(now, targets, b.reverseOrder()) {
-		f.lastSearchID++
-		b.probes[f.lastSearchID] = probe
-		f.sendProbe(b.first, probe, f.lastSearchID)
+		f.lastProbeID++
+		b.probes[f.lastProbeID] = probe
+		f.sendProbe(b.first, probe, f.lastProbeID)
 	}
 }
 
@@ -240,9 +240,9 @@
 }
 
 // sendProbe sends a packet to the first of the targets, to be passed on to the others.
-func (f *Finder) sendProbe(packet []byte, targets []flow.Candidate, searchID uint32) {
+func (f *Finder) sendProbe(packet []byte, targets []flow.Candidate, probeID uint32) {
 	f.env = envelope.Envelope{
-		Kind: envelope.Deliver, Balancer: f.opts.Self, Flags: envelope.Search, SearchID: searchID, Service: targets[0].Service,
+		Kind: envelope.Deliver, Balancer: f.opts.Self, Flags: envelope.Search, SearchID: probeID, Service: targets[0].Service,
 	}
 	f.env.SetCandidates(targets[1:])
 	f.port.Send(targets[0].Target, &f.env, packet)
