--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -24,16 +24,17 @@
 	Revision int64
 }
 
-// EntryState is the desired state of a node's registry entry.
+// EntryState is a state of a node's registry entry: the desired one, or the one that the store has
+// reached.
 type EntryState uint8
 
-// The desired states of an entry.
+// The states of an entry.
 const (
-	// EntryUnchanged leaves the entry as it is.
+	// EntryUnchanged: no state is desired, or none was reached yet; the entry stays as it is.
 	EntryUnchanged EntryState = iota
-	// EntryPresent requires the entry to exist.
+	// EntryPresent: the entry exists.
 	EntryPresent
-	// EntryAbsent requires the entry to be absent, whichever process wrote it.
+	// EntryAbsent: there is no entry; one is removed whichever process wrote it.
 	EntryAbsent
 )
 
--- a/fleet/loadreport.go
+++ b/fleet/loadreport.go
@@ -20,9 +20,9 @@
 	Overloaded bool
 }
 
-// responseTimeFactor is how many mean response times must remain before the objective. If the
-// standard deviation of the response time is half of its mean, one request in twenty takes that
-// long.
+// responseTimeFactor is how many mean response times must remain before the objective for a
+// request to be expected to meet it. If the standard deviation of the response time is half of its
+// mean, one request in twenty takes that long.
 const responseTimeFactor = 2
 
 // MeetsObjective reports whether a request of the given age, which still has to wait for a slot,
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -51,14 +51,14 @@
 
 // The states of a target.
 const (
-	// Absent: the agent knows of no listening target.
+	// Absent: the agent knows of no listening target, but the target may still hold flows.
 	Absent State = iota
 	// Ready: the target takes new flows.
 	Ready
 	// Draining: the target keeps its flows and takes no new ones.
 	Draining
-	// Gone: the target holds no flows, because it has deregistered, has ended, or has not taken
-	// any yet.
+	// Gone: the target certainly holds no flows, because it has deregistered, has ended, or has
+	// just started and not taken any yet.
 	Gone
 )
 
@@ -69,7 +69,8 @@
 
 // MessageID identifies a message and orders the messages of one process.
 type MessageID struct {
-	// Incarnation is the incarnation of the process: a random number drawn at each start.
+	// Incarnation is the incarnation of the sending process, an agent or a balancer: a random
+	// number drawn at each start. That of a target is the type Incarnation.
 	Incarnation uint64
 	// Seq increases with each message of one process incarnation.
 	Seq uint32
@@ -82,7 +83,7 @@
 	// TargetIncarnation is the tag of the target's incarnation; zero while it is unknown.
 	TargetIncarnation flow.Tag
 	State             State
-	// WantPeers requests a list of the nodes that the receiver knows, WantReply a beacon.
+	// WantPeers requests the balancers and agents that the receiver knows, WantReply a beacon.
 	WantPeers, WantReply bool
 	Slots                uint16
 	// Outstanding is the number of requests that the target is processing or has queued.
@@ -97,9 +98,9 @@
 	// ConfigVersion is the version of the agent's copy of the configuration; zero without a
 	// copy.
 	ConfigVersion int64
-	// Cold targets sustain only a limited rate of new flows.
+	// Cold targets get a limited number of opening packets per second.
 	Cold bool
-	// Headroom is how many more new flows a cold target takes at the moment.
+	// Headroom is how many more opening packets may be delivered to a cold target at the moment.
 	Headroom uint16
 	// Registration is the state of the agent's registry entry.
 	Registration Registration
@@ -122,7 +123,7 @@
 	Leaving bool
 	// Feeder balancers watch the store, and the store answers them.
 	Feeder bool
-	// WantPeers requests the nodes that the receiver knows.
+	// WantPeers requests the balancers and agents that the receiver knows.
 	WantPeers bool
 	// Reply marks a beacon sent in answer to another one; it is not answered.
 	Reply bool
--- a/fleet/period.go
+++ b/fleet/period.go
@@ -12,11 +12,12 @@
 	// SameZonePeriod is the time between repetitions to nodes of the local zone.
 	SameZonePeriod = time.Second
 	// crossZoneRate is how many repetitions a second a node sends to nodes of other zones in
-	// total. Traffic between zones is expensive and would otherwise grow with the square of
-	// the fleet size.
+	// total, as far as SameZonePeriod and maxCrossZonePeriod allow. Traffic between zones is
+	// expensive and would otherwise grow with the square of the fleet size.
 	crossZoneRate = 4
 	// maxCrossZonePeriod bounds the time between repetitions to a node of another zone, and
-	// with it how long a node that crashed still counts as alive.
+	// with it how long a node that crashed still counts as alive. With more than 10 such nodes
+	// it makes the total rate exceed crossZoneRate.
 	maxCrossZonePeriod = 2500 * time.Millisecond
 	// overduePeriods is how many periods may pass without a message before a node is overdue:
 	// two lost messages and half a period.
--- a/fleet/registration.go
+++ b/fleet/registration.go
@@ -18,9 +18,10 @@
 	RegistrationAbandoned
 )
 
-// ApplySnapshot applies a snapshot of the agents' registry whose read began at the given time.
-func (v *View) ApplySnapshot(now, began time.Time, agents []Entry) {
-	v.snapshotAt = began
+// ApplySnapshot applies a snapshot of the agents' registry. latest is the latest time that it may
+// reflect (Snapshot.Latest).
+func (v *View) ApplySnapshot(now, latest time.Time, agents []Entry) {
+	v.snapshotLatest = latest
 	clear(v.registered)
 	for _, e := range agents {
 		v.registered[e.IP] = e.Incarnation
@@ -36,10 +37,11 @@
 }
 
 // isRegistered reports whether the last snapshot contains the target's agent. An entry whose
-// removal the agent announced after the read began does not count.
+// removal the agent announced at or after the latest time that the snapshot may reflect does not
+// count: the snapshot may be older than the removal.
 func (v *View) isRegistered(t *Target) bool {
 	_, listed := v.registered[t.IP]
-	return listed && !(t.Registration == RegistrationRemoved && !t.RegistrationChangedAt.Before(v.snapshotAt))
+	return listed && !(t.Registration == RegistrationRemoved && !t.RegistrationChangedAt.Before(v.snapshotLatest))
 }
 
 // MayHaveRestarted reports whether a target that last announced that it holds no flows, and that
--- a/fleet/registration_test.go
+++ b/fleet/registration_test.go
@@ -88,18 +88,18 @@
 	}
 }
 
-// TestOlderSnapshotDoesNotRestoreARemovedEntry: a snapshot whose read began before the agent
-// reported the removal of its entry may still contain the entry.
+// TestOlderSnapshotDoesNotRestoreARemovedEntry: a snapshot whose read ended before the agent
+// announced the removal of its entry may still contain the entry.
 func TestOlderSnapshotDoesNotRestoreARemovedEntry(t *testing.T) {
 	registered := []Entry{{IP: ip1, Incarnation: 1}}
 	for name, c := range map[string]struct {
-		announced, began time.Duration
-		listing          Registration
-		mayHold          bool
+		announced, latest time.Duration
+		listing           Registration
+		mayHold           bool
 	}{
-		"removal announced after the read began":  {1, 0, RegistrationRemoved, false},
+		"removal announced after the read ended":  {1, 0, RegistrationRemoved, false},
 		"removal announced at the same time":      {1, 1, RegistrationRemoved, false},
-		"removal announced before the read began": {0, 1, RegistrationRemoved, true},
+		"removal announced before the read ended": {0, 1, RegistrationRemoved, true},
 		"registration unknown":                    {1, 0, RegistrationUnknown, true},
 		"entry left behind":                       {1, 0, RegistrationAbandoned, false},
 	} {
@@ -108,10 +108,10 @@
 			a := announcement(1, 1, alpha, Gone)
 			a.Registration = c.listing
 			if readFirst {
-				v.ApplySnapshot(start.Add(c.began), start.Add(c.began), registered)
+				v.ApplySnapshot(start.Add(c.latest), start.Add(c.latest), registered)
 			}
 			v.ApplyAnnouncement(start.Add(c.announced), ip1, a)
-			v.ApplySnapshot(start.Add(2), start.Add(c.began), registered)
+			v.ApplySnapshot(start.Add(2), start.Add(c.latest), registered)
 			target, _ := v.Target(ip1)
 			require.Equal(t, c.mayHold, target.MayHoldFlows(start.Add(2)), name)
 		}
--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -40,8 +40,8 @@
 	// written within two seconds of the store's recovery.
 	retryPause    = 800 * time.Millisecond
 	maxRetryPause = 1600 * time.Millisecond
-	// checkPeriod is the period at which a node checks its entry: the time for which other
-	// nodes remember an overdue node.
+	// checkPeriod is the period at which a node checks its entry: the time without a message
+	// after which other nodes drop a node from their views.
 	checkPeriod = fleet.ExpireAfter
 	// removeTimeout limits the removal of the entry of a node that stops; if it fails, a
 	// balancer removes the entry.
@@ -55,7 +55,7 @@
 	self        flow.IPv4
 	incarnation uint64
 	log         *zap.Logger
-	// onApplied is called each time that the store has reached the desired state.
+	// onApplied is called each time that the store has reached the desired state, with that state.
 	onApplied func(fleet.EntryState)
 
 	// mu guards desired; no other lock is taken while it is held.
@@ -66,19 +66,19 @@
 }
 
 // New returns the registrar of the process of the given incarnation at an address. onApplied is
-// called each time that the store has reached the desired state.
+// called each time that the store has reached the desired state, with that state.
 func New(s store.Store, role fleet.Role, self flow.IPv4, incarnation uint64, log *zap.Logger, onApplied func(fleet.EntryState)) *Registrar {
 	return &Registrar{store: s, role: role, self: self, incarnation: incarnation, log: log, onApplied: onApplied, changed: make(chan struct{}, 1)}
 }
 
 // SetEntryState sets the desired state of the node's entry.
-func (r *Registrar) SetEntryState(p fleet.EntryState) {
+func (r *Registrar) SetEntryState(state fleet.EntryState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.desired == p {
+	if r.desired == state {
 		return
 	}
-	r.desired = p
+	r.desired = state
 	select {
 	case r.changed <- struct{}{}:
 	default:
@@ -129,9 +129,9 @@
 	return false
 }
 
-// apply writes or removes the entry according to p.
-func (r *Registrar) apply(ctx context.Context, p fleet.EntryState) error {
-	switch p {
+// apply writes or removes the entry so that it reaches a state.
+func (r *Registrar) apply(ctx context.Context, state fleet.EntryState) error {
+	switch state {
 	case fleet.EntryPresent:
 		return r.writeEntry(ctx)
 	case fleet.EntryAbsent:
--- a/fleet/snapshot.go
+++ b/fleet/snapshot.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Snapshot is a snapshot of the agents' registry. Its time may be known only within bounds,
-// because another node may have read it by its own clock.
+// Snapshot is a snapshot of the agents' registry.
 type Snapshot struct {
-	// Earliest and Latest bound the time that the snapshot reflects.
+	// Earliest and Latest bound the time that the snapshot reflects: they are the start and the
+	// end of the read. If another node has read the registry, by its own clock, Earliest is
+	// at or before the start and Latest at or after the end.
 	Earliest, Latest time.Time
 	// Revision is the store revision when the read began; zero if unknown.
 	Revision int64
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -40,7 +40,8 @@
 	return true
 }
 
-// Target is a target as its agent last announced it.
+// Target is a target as its agent last announced it. Its Incarnation is that of the agent's process,
+// TargetIncarnation that of the target itself.
 type Target struct {
 	IP flow.IPv4
 	Announcement
@@ -74,9 +75,10 @@
 	probeState
 }
 
-// MayHoldFlows reports whether the target may hold flows and can be asked about them. A target
-// that last announced that it holds none, and that is in the registry, may have started
-// again while the announcement of the start was lost; its agent has the answer.
+// MayHoldFlows reports whether a search for an open flow includes the target. It includes every
+// target that is not Gone, also an overdue one. A Gone target that is in the registry may have
+// started again while the announcement of the start was lost: it is included if its agent
+// can be asked, because it is not overdue and has not abandoned the entry.
 func (t *Target) MayHoldFlows(now time.Time) bool {
 	return t.State != Gone || (t.Registered && t.Registration != RegistrationAbandoned && !t.Overdue(now))
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -29,9 +29,9 @@
 	serviceTags []flow.Tag
 	peers       map[flow.IPv4]*Peer
 	// registered are the agents in the last registry snapshot, each with the process
-	// incarnation of its entry; snapshotAt is when the read of the snapshot began.
-	registered map[flow.IPv4]uint64
-	snapshotAt time.Time
+	// incarnation of its entry; snapshotLatest is the latest time that the snapshot may reflect.
+	registered     map[flow.IPv4]uint64
+	snapshotLatest time.Time
 	// memberDigest is the part of the digest that covers the balancers and the targets that
 	// are not gone; gone are the other targets.
 	memberDigest uint32
@@ -220,7 +220,7 @@
 	Unchanged
 	// Joined: the node was not known before, or another process runs at its address.
 	Joined
-	// Altered: the target's service, incarnation or state has changed.
+	// Altered: the target's service, TargetIncarnation or state has changed.
 	Altered
 )
 
--- a/fleet/zonecast/doc.go
+++ b/fleet/zonecast/doc.go
@@ -8,13 +8,15 @@
 // sequence number of their sender, so that duplicates are harmless.
 //
 // A relayed message only refreshes state that the receiver got from the same process of
-// the node itself (fleet.ProcessCurrent). A node that is new or overdue is probed directly.
-// Changes of state are not sent through relays.
+// the node itself (fleet.ProcessCurrent). A process from which no message came directly yet
+// gets an introduction (IntroductionLimiter). A node whose relayed messages have stopped arriving is
+// probed directly before it is overdue (fleet.View.TargetsToProbe). Changes of state are not sent
+// through relays.
 //
 // Bounds: a round sends RelayCopies messages to each large zone, so that cross-zone traffic
 // grows with the nodes times the zones, not with the nodes of both zones. A relay buffers
 // at most maxBuffered messages, one per node, for at most its flush period. The cost of a
 // round is that of sorting the known balancers.
 //
-// All functions are pure: time is an argument.
+// The package does no I/O and reads no clock: time is an argument.
 package zonecast
--- a/fleet/zonecast/introductions.go
+++ b/fleet/zonecast/introductions.go
@@ -16,8 +16,9 @@
 	IntroductionPause = 50 * time.Millisecond
 )
 
-// IntroductionLimiter limits the rate of introductions to nodes that are known from other nodes only.
-// It is not safe for concurrent use.
+// IntroductionLimiter limits the rate of introductions. An introduction is an announcement or beacon
+// sent directly to a node that is known from other nodes only, or whose relayed message needs
+// confirmation; the node answers with its own. The limiter is not safe for concurrent use.
 type IntroductionLimiter struct {
 	// MaxNodes is the maximum number of nodes that are tracked; beyond it the record is cleared.
 	MaxNodes int
