--- a/choose/choose.go
+++ b/choose/choose.go
@@ -45,12 +45,13 @@
 	Capacity int
 }
 
-// LoadReport is the load that a host reports for a service. It may be out of date.
+// LoadReport is the load that a host reports for a service, for the choice among hosts (Set). It
+// may be out of date.
 type LoadReport struct {
 	// Open is the number of the service's open flows at the host.
 	Open int
-	// Busy is the load in thousandths of the host's limit; over BusyFull the host is beyond its
-	// limit.
+	// Busy is the load in thousandths of the host's limit, not a number of requests as in Offer;
+	// over BusyFull the host is beyond its limit.
 	Busy int
 }
 
--- a/choose/doc.go
+++ b/choose/doc.go
@@ -13,7 +13,7 @@
 // the shortest expected delay is chosen, by load, observed service time and a cost for
 // crossing zones. If all targets are equal, they are ordered by requests per slot.
 //
-// All functions are pure: time and randomness are arguments.
+// The package does no I/O and reads no clock: time and randomness are arguments.
 //
 // Cost: O(d) per pick, no allocation (BenchmarkPick); 0.5 microseconds for one of eight
 // offers (BenchmarkCheapest).
--- a/choose/offer.go
+++ b/choose/offer.go
@@ -9,8 +9,9 @@
 
 // Offer is a target that may take a new flow, as one balancer sees it.
 type Offer struct {
-	// Busy is the number of requests that the target works on or has queued, from its last load
-	// report; Sent is how many flows this balancer has sent to it since.
+	// Busy is the number of requests that the target works on or has queued, from its agent's
+	// last announcement; Sent is how many flows this balancer has sent to it since. Busy in
+	// LoadReport has another unit.
 	Busy, Sent int
 	// Slots is the number of requests that the target works on at once.
 	Slots int
@@ -21,7 +22,7 @@
 	CrossZone bool
 	// Warming marks targets that are still slow after their start.
 	Warming bool
-	// Avoid marks targets that are overdue or have refused a flow recently; they are the last resort.
+	// Avoid marks targets that are overdue; they are the last resort.
 	Avoid bool
 }
 
--- a/flow/config.go
+++ b/flow/config.go
@@ -8,8 +8,8 @@
 	Version int64
 	// Routes maps each front address to the route of its flows.
 	Routes map[Front]*Route
-	// ColdRates are the request rates, in requests per second, that a cold target of each
-	// service can sustain. A service without an entry has no limit.
+	// ColdRates are how many opening packets per second may be delivered to a cold target of
+	// each service. A service without an entry has no limit.
 	ColdRates map[Tag]float64
 	// IdleTimeout is the idle time after which the state of a flow may be discarded.
 	IdleTimeout time.Duration
@@ -28,15 +28,15 @@
 	Deadline time.Duration
 }
 
-// Backend is one service of a route.
+// Backend is a service that a route sends new flows to, with its weight.
 type Backend struct {
 	Name   string
 	Tag    Tag
 	Weight int
 }
 
-// Pick selects the backend of a new flow by weight. The result depends on the flow's hash
-// alone, so that all balancers select the same backend, also for a retransmitted SYN.
+// Pick selects the service of a new flow by weight. The result depends on the flow's hash
+// alone, so that all balancers select the same service, also for a retransmitted SYN.
 func (r *Route) Pick(hash uint64) Backend {
 	total := 0
 	for _, b := range r.Backends {
--- a/flow/doc.go
+++ b/flow/doc.go
@@ -7,5 +7,5 @@
 // moves only the flows that it gains or loses. Cost: one hash per target of the service,
 // about 16 ns including its insertion into the ranking (BenchmarkRank), no allocation.
 //
-// All functions are pure: time and randomness are arguments.
+// The package does no I/O and reads no clock: time and randomness are arguments.
 package flow
--- a/flow/envelope/envelope.go
+++ b/flow/envelope/envelope.go
@@ -2,7 +2,7 @@
 // packet when they send it to each other. The packet itself follows unchanged.
 //
 // Layout, big-endian: magic (2), version (1), kind (1), balancer (4), hops (1),
-// flags (1), candidate count (1), priority (1), service (4), search (4),
+// flags (1), candidate count (1), priority (1), service (4), probe ID (4),
 // objective (2), deadline (2), target with the shortest wait (4), that wait (2), cold
 // rate (2), then 8 bytes per remaining candidate (address 4, service 4), then the packet.
 // Times are whole milliseconds, at most 65,535.
@@ -34,6 +34,7 @@
 	Owner
 	Announce
 	Beacon
+	// Peers lists nodes, agents as well as balancers.
 	Peers
 	Evacuated
 	Relay
@@ -50,12 +51,13 @@
 type Flags uint8
 
 const (
-	// Search marks a packet of a flow whose target the balancer does not know; the target
-	// that holds the flow answers with an Owner message.
+	// Search marks a search probe: a packet of a flow whose target the balancer does not know.
+	// The agent whose target holds the flow answers with an Owner message.
 	Search Flags = 1 << iota
-	// SearchExhausted marks a Returned packet whose search has ended at its last candidate.
+	// SearchExhausted marks a search probe that is returned because no candidate accepted it.
 	SearchExhausted
-	// Uncertain marks a search in which a target could not rule out that it holds the flow.
+	// Uncertain marks a search probe for which a target could not rule out that it holds the
+	// flow, or that reached MaxHops before its last candidate.
 	Uncertain
 	// ShortestWait marks a new flow that was offered to every candidate and is now sent to the
 	// one with the shortest wait.
@@ -67,8 +69,8 @@
 
 // Limits of the format.
 const (
-	// MaxCandidates is the maximum number of candidates of a search; it limits the length
-	// of an envelope.
+	// MaxCandidates is the maximum number of candidates in one envelope; it limits the
+	// envelope's length.
 	MaxCandidates = 32
 	// MaxHops is the number of hops after which a packet is not passed on; it ends forwarding
 	// loops.
@@ -97,7 +99,8 @@
 	Flags Flags
 	// Service is the service that the receiver's target must serve.
 	Service flow.Tag
-	// SearchID identifies a search of a balancer, also across its restarts.
+	// SearchID identifies one search probe of a balancer, also across its restarts. A search
+	// sends several probes, each with its own ID; zero marks a probe that is not tracked.
 	SearchID uint32
 	// Priority is the route's priority, 0 is the highest; for new flows only.
 	Priority uint8
@@ -108,8 +111,8 @@
 	// new flow, ShortestWaitTime its wait; both are zero before the first has declined.
 	ShortestWaitTarget flow.IPv4
 	ShortestWaitTime   time.Duration
-	// ColdRate is the request rate, in requests per second, that a cold target of the
-	// service can sustain, zero for no limit; for new flows only. It is encoded in tenths.
+	// ColdRate is how many opening packets per second may be delivered to a cold target of
+	// the service, zero for no limit; for new flows only. It is encoded in tenths.
 	ColdRate float64
 	// Count is the number of Candidates still to be tried; they are tried in order.
 	Count      int
@@ -198,7 +201,7 @@
 	return b[end:], nil
 }
 
-// rateScale is the number of units of an encoded rate per request per second. Rates are
+// rateScale is the number of units of an encoded rate per opening packet per second. Rates are
 // rounded up to whole units; rateTolerance, in units, is the largest error of
 // floating-point arithmetic that is not rounded up.
 const (
--- a/outlier/doc.go
+++ b/outlier/doc.go
@@ -7,5 +7,5 @@
 // failures, its share of the trials) if the rates are equal. docs/DESIGN.md has the figures
 // and the policy in use.
 //
-// All functions are pure: time is an argument.
+// The package does no I/O and reads no clock: time is an argument.
 package outlier
