--- a/agent/packetfront/acks.go
+++ b/agent/packetfront/acks.go
@@ -59,7 +59,7 @@
 // received records which announcement of this process, given by its incarnation, a
 // balancer has received last.
 func (a *acks) received(from flow.IPv4, incarnation uint64, m *fleet.Beacon) {
-	if p, known := a.peers[from]; known && m.LastReceived.Incarnation == incarnation {
+	if p, known := a.peers[from]; known && m.LastReceived.ProcessIncarnation == incarnation {
 		p.acknowledged = m.LastReceived.Seq
 	}
 }
@@ -67,7 +67,7 @@
 // isAcknowledgedBy reports whether a beacon acknowledges the last change of state of this
 // process, given by its incarnation.
 func (a *acks) isAcknowledgedBy(incarnation uint64, m *fleet.Beacon) bool {
-	return m.LastReceived.Incarnation == incarnation && int32(m.LastReceived.Seq-a.changeSeq) >= 0
+	return m.LastReceived.ProcessIncarnation == incarnation && int32(m.LastReceived.Seq-a.changeSeq) >= 0
 }
 
 // needsAck reports whether a balancer has not acknowledged the last change of state.
--- a/agent/packetfront/acks_test.go
+++ b/agent/packetfront/acks_test.go
@@ -58,7 +58,7 @@
 	f := newFixture()
 	f.receiveBeacon(balancerIP, 0, 0)
 	f.port.Nodes = nil
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 99}, LastReceived: fleet.MessageID{Incarnation: 77, Seq: 1000}}
+	m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 4, Seq: 99}, LastReceived: fleet.MessageID{ProcessIncarnation: 77, Seq: 1000}}
 	f.HandleNode(f.now, balancerIP, m.Append(nil))
 	f.advance(ackTimeout)
 	count, _ := f.announcementsTo(t, balancerIP)
--- a/agent/packetfront/admission_test.go
+++ b/agent/packetfront/admission_test.go
@@ -306,10 +306,10 @@
 	f.fillTarget()
 	f.openFlow(100, routeEnvelope(2), 0)
 	f.sendRequest(100)
-	f.Probed(f.now, ProbeRefused)
+	f.TargetProbed(f.now, ProbeRefused)
 	require.Zero(t, f.Busy())
 	require.Zero(t, f.queue.Len())
-	f.Probed(f.now, ProbeAccepted)
+	f.TargetProbed(f.now, ProbeAccepted)
 	f.advance(time.Second)
 	require.Len(t, f.deliveredRequests(), 6)
 }
--- a/agent/packetfront/cold_test.go
+++ b/agent/packetfront/cold_test.go
@@ -44,7 +44,7 @@
 // reportWarmup sends a heartbeat with the remaining warm-up time.
 func (f *fixture) reportWarmup(left time.Duration) {
 	f.seq++
-	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Sequence: f.seq, WarmupLeft: left})
+	f.Heartbeat(f.now, fleet.Heartbeat{TargetIncarnation: fleet.TargetIncarnation{TargetID: "i-1"}, Slots: 4, Sequence: f.seq, WarmupLeft: left})
 }
 
 // newSettledFixture returns a fixture whose agent has been running long enough to have seen all
@@ -70,9 +70,9 @@
 		"cold, last millisecond": {func(f *fixture) { f.reportWarmup(time.Second); f.now = f.now.Add(999 * time.Millisecond) }, coldRate, coldRate},
 		"warm again":             {func(f *fixture) { f.reportWarmup(time.Second); f.now = f.now.Add(time.Second) }, coldRate, 20},
 		"up again, not reported": {func(f *fixture) {
-			f.Probed(f.now, ProbeRefused)
+			f.TargetProbed(f.now, ProbeRefused)
 			f.advance(time.Second)
-			f.Probed(f.now, ProbeAccepted)
+			f.TargetProbed(f.now, ProbeAccepted)
 			f.endProbation()
 		}, coldRate, coldRate},
 		"the evacuation of its zone has ended":                        {func(f *fixture) { f.evacuateAndReturnZone() }, coldRate, coldRate},
@@ -116,7 +116,7 @@
 // restartAgent replaces the agent by a new one whose first probe of the target is accepted.
 func (f *fixture) restartAgent() {
 	f.Core = New(f.now, f.opts, f.port, platformCodec, discardEvents{})
-	f.Probed(f.now, ProbeAccepted)
+	f.TargetProbed(f.now, ProbeAccepted)
 }
 
 // TestColdHeadroomIsAnnounced: once a cold rate was received, announcements of a cold target state
@@ -160,17 +160,17 @@
 			case 0:
 				f.Core = New(f.now, f.opts, f.port, platformCodec, discardEvents{})
 				if listens {
-					f.Probed(f.now, ProbeAccepted)
+					f.TargetProbed(f.now, ProbeAccepted)
 				} else {
-					f.Probed(f.now, ProbeRefused)
+					f.TargetProbed(f.now, ProbeRefused)
 				}
 			case 1:
 				listens = false
-				f.Probed(f.now, ProbeRefused)
+				f.TargetProbed(f.now, ProbeRefused)
 			case 2:
 				if !listens {
 					listens, coldUntil = true, f.now.Add(2*time.Second)
-					f.Probed(f.now, ProbeAccepted)
+					f.TargetProbed(f.now, ProbeAccepted)
 				}
 			case 3, 4:
 				if listens {
--- a/agent/packetfront/configcopy_test.go
+++ b/agent/packetfront/configcopy_test.go
@@ -16,7 +16,7 @@
 func (f *fixture) receiveConfigVersion(balancer flow.IPv4, zone flow.Tag, version int64, link uint16) {
 	f.seq++
 	m := fleet.Beacon{
-		MessageID: fleet.MessageID{Incarnation: uint64(balancer), Seq: uint32(f.seq)}, Zone: zone, ConfigVersion: version,
+		MessageID: fleet.MessageID{ProcessIncarnation: uint64(balancer), Seq: uint32(f.seq)}, Zone: zone, ConfigVersion: version,
 		LinkMbps: link, Period: time.Hour,
 	}
 	f.HandleNode(f.now, balancer, m.Append(nil))
--- a/agent/packetfront/core_test.go
+++ b/agent/packetfront/core_test.go
@@ -53,7 +53,7 @@
 func (discardEvents) OverloadChanged(bool, backlog.Load, int, time.Duration) {}
 func (discardEvents) PeerChanged(flow.IPv4, string)                          {}
 func (discardEvents) ZoneRelayed(flow.Tag, int, bool)                        {}
-func (discardEvents) Probed(flow.IPv4, time.Duration)                        {}
+func (discardEvents) NodeProbed(flow.IPv4, time.Duration)                    {}
 func (discardEvents) EvacuationsChanged(_, _ flow.Evacuations, _ string)     {}
 
 // eventCounts counts abandoned requests and overloads.
@@ -91,8 +91,8 @@
 func newFixture() *fixture {
 	f := &fixture{port: &port{}, counts: &eventCounts{}, now: time.Unix(1_700_000_000, 0)}
 	f.Core = New(f.now, Options{Self: 9, Service: service, Incarnation: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platform.Codec{}, f.counts)
-	f.Probed(f.now, ProbeRefused)
-	f.Probed(f.now, ProbeAccepted)
+	f.TargetProbed(f.now, ProbeRefused)
+	f.TargetProbed(f.now, ProbeAccepted)
 	f.registered()
 	f.receiveHeartbeat(false)
 	return f
@@ -106,7 +106,7 @@
 
 func (f *fixture) receiveHeartbeat(draining bool) {
 	f.seq++
-	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Draining: draining, Sequence: f.seq})
+	f.Heartbeat(f.now, fleet.Heartbeat{TargetIncarnation: fleet.TargetIncarnation{TargetID: "i-1"}, Slots: 4, Draining: draining, Sequence: f.seq})
 }
 
 func (f *fixture) advance(d time.Duration) {
@@ -118,7 +118,7 @@
 // a sequence number.
 func (f *fixture) receiveBeacon(ip flow.IPv4, zone flow.Tag, acknowledged uint32) {
 	f.seq++
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: uint32(f.seq)}, Zone: zone, LastReceived: fleet.MessageID{Incarnation: f.opts.Incarnation, Seq: acknowledged}}
+	m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 4, Seq: uint32(f.seq)}, Zone: zone, LastReceived: fleet.MessageID{ProcessIncarnation: f.opts.Incarnation, Seq: acknowledged}}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
@@ -180,10 +180,10 @@
 		"ready":            {func(*fixture) {}, service, true},
 		"another service":  {func(*fixture) {}, service + 1, false},
 		"draining":         {func(f *fixture) { f.receiveHeartbeat(true) }, service, false},
-		"left":             {func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) }, service, false},
-		"another one left": {func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-0"}) }, service, true},
-		"not listening":    {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, service, false},
-		"silent probe":     {func(f *fixture) { f.Probed(f.now, ProbeUnanswered) }, service, true},
+		"left":             {func(f *fixture) { f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"}) }, service, false},
+		"another one left": {func(f *fixture) { f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-0"}) }, service, true},
+		"not listening":    {func(f *fixture) { f.TargetProbed(f.now, ProbeRefused) }, service, false},
+		"silent probe":     {func(f *fixture) { f.TargetProbed(f.now, ProbeUnanswered) }, service, true},
 		"agent stops":      {func(f *fixture) { f.Stop(f.now) }, service, false},
 	} {
 		f := newFixture()
@@ -202,11 +202,11 @@
 func TestLateHeartbeatsAreIgnored(t *testing.T) {
 	f := newFixture()
 	f.receiveHeartbeat(true)
-	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Sequence: 1})
+	f.Heartbeat(f.now, fleet.Heartbeat{TargetIncarnation: fleet.TargetIncarnation{TargetID: "i-1"}, Slots: 4, Sequence: 1})
 	require.Equal(t, fleet.Draining, f.target.state())
-	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-2"}, Slots: 4, Sequence: 1})
+	f.Heartbeat(f.now, fleet.Heartbeat{TargetIncarnation: fleet.TargetIncarnation{TargetID: "i-2"}, Slots: 4, Sequence: 1})
 	require.Equal(t, fleet.Ready, f.target.state())
-	f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-1"}, Slots: 4, Draining: true, Sequence: 99})
+	f.Heartbeat(f.now, fleet.Heartbeat{TargetIncarnation: fleet.TargetIncarnation{TargetID: "i-1"}, Slots: 4, Draining: true, Sequence: 99})
 	require.Equal(t, fleet.Ready, f.target.state(), "the former target's")
 }
 
@@ -236,7 +236,7 @@
 func TestRestartedAgentDeliversUnknownFlowsToItsTarget(t *testing.T) {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, platform.Codec{}, discardEvents{})
-	f.Probed(f.now, ProbeAccepted)
+	f.TargetProbed(f.now, ProbeAccepted)
 	f.deliver(envelope.Envelope{Service: service, Flags: envelope.Search}, packet(keyOf(1), flow.ACK, 500, "x"))
 	require.Len(t, f.port.target, 1)
 	f.bounce()
@@ -282,18 +282,18 @@
 	}
 	t.Run("it refuses connections", func(t *testing.T) {
 		f := open()
-		f.Probed(f.now, ProbeRefused)
+		f.TargetProbed(f.now, ProbeRefused)
 		require.Equal(t, []flow.Key{keyOf(1)}, f.port.Resets)
 	})
 	t.Run("a target probe without an answer", func(t *testing.T) {
 		f := open()
-		f.Probed(f.now, ProbeUnanswered)
+		f.TargetProbed(f.now, ProbeUnanswered)
 		require.Empty(t, f.port.Resets)
 	})
 	t.Run("it has left", func(t *testing.T) {
 		f := open()
-		f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
-		f.Probed(f.now, ProbeUnanswered)
+		f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"})
+		f.TargetProbed(f.now, ProbeUnanswered)
 		f.advance(deregistrationGrace / 2)
 		require.Empty(t, f.port.Resets, "it may still send")
 		f.advance(deregistrationGrace)
@@ -301,14 +301,14 @@
 	})
 	t.Run("it has left, still listens, and the agent was suspended", func(t *testing.T) {
 		f := open()
-		f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
-		f.Probed(f.now, ProbeAccepted)
+		f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"})
+		f.TargetProbed(f.now, ProbeAccepted)
 		f.advance(2 * deregistrationGrace)
 		require.Empty(t, f.port.Resets, "no target probe has failed")
-		f.Probed(f.now, ProbeAccepted)
+		f.TargetProbed(f.now, ProbeAccepted)
 		f.advance(deregistrationGrace / 2)
 		require.Empty(t, f.port.Resets)
-		f.Probed(f.now, ProbeUnanswered)
+		f.TargetProbed(f.now, ProbeUnanswered)
 		f.advance(deregistrationGrace)
 		require.Len(t, f.port.Resets, 1)
 	})
@@ -341,7 +341,7 @@
 // target probe.
 func TestHeartbeatAfterARefusedProbeMarksTheTargetUp(t *testing.T) {
 	f := newFixture()
-	f.Probed(f.now, ProbeRefused)
+	f.TargetProbed(f.now, ProbeRefused)
 	require.Equal(t, fleet.Gone, f.announcement(f.now).State)
 	f.receiveHeartbeat(false)
 	require.Equal(t, fleet.Ready, f.announcement(f.now).State)
--- a/agent/packetfront/evacuations_test.go
+++ b/agent/packetfront/evacuations_test.go
@@ -22,7 +22,7 @@
 
 // receiveEvacuations delivers a balancer's beacon with a sequence number and evacuations.
 func (f *fixture) receiveEvacuations(balancer flow.IPv4, seq uint32, e flow.Evacuations) {
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(balancer), Seq: seq}, Evacuations: e, Period: time.Hour}
+	m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: uint64(balancer), Seq: seq}, Evacuations: e, Period: time.Hour}
 	f.HandleNode(f.now, balancer, m.Append(nil))
 }
 
--- a/agent/packetfront/events.go
+++ b/agent/packetfront/events.go
@@ -86,9 +86,9 @@
 	// ZoneRelayed reports whether announcements to another zone go through relays from now on, or
 	// directly, and how many of its balancers were seen recently.
 	ZoneRelayed(zone flow.Tag, balancers int, relayed bool)
-	// Probed reports that a balancer of another zone is probed because its relayed messages
+	// NodeProbed reports that a balancer of another zone is probed because its relayed messages
 	// have stopped arriving; sinceLastSeen is the time since it was last seen.
-	Probed(ip flow.IPv4, sinceLastSeen time.Duration)
+	NodeProbed(ip flow.IPv4, sinceLastSeen time.Duration)
 	// EvacuationsChanged reports that the set of evacuated zones has changed; from is the balancer
 	// that the change came from.
 	EvacuationsChanged(current, previous flow.Evacuations, from string)
--- a/agent/packetfront/front.go
+++ b/agent/packetfront/front.go
@@ -214,7 +214,7 @@
 }
 
 // Deregister implements platform.Targets.
-func (f *Front) Deregister(left fleet.Incarnation) {
+func (f *Front) Deregister(left fleet.TargetIncarnation) {
 	f.locked(func(now time.Time) { f.core.Deregister(now, left) })
 }
 
@@ -238,7 +238,7 @@
 		f.locked(func(now time.Time) { wanted = f.core.WantsProbe(now) })
 		if wanted {
 			p := probe(ctx, f.target)
-			f.locked(func(now time.Time) { f.core.Probed(now, p) })
+			f.locked(func(now time.Time) { f.core.TargetProbed(now, p) })
 			f.updateEntryState()
 		}
 		if wanted && tries < maxFastProbes {
--- a/agent/packetfront/health_test.go
+++ b/agent/packetfront/health_test.go
@@ -183,9 +183,9 @@
 
 // crashAndRestart lets the target crash and start again after the given time.
 func (f *fixture) crashAndRestart(down time.Duration) {
-	f.Probed(f.now, ProbeRefused)
+	f.TargetProbed(f.now, ProbeRefused)
 	f.advance(down)
-	f.Probed(f.now, ProbeAccepted)
+	f.TargetProbed(f.now, ProbeAccepted)
 }
 
 // probationTime passes time until the target is no longer announced as ejected, and returns how
@@ -230,8 +230,8 @@
 func TestPlannedEndsAreNoCrashes(t *testing.T) {
 	for name, do := range map[string]func(f *fixture){
 		"after a deregistration": func(f *fixture) {
-			f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
-			f.Probed(f.now, ProbeRefused)
+			f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"})
+			f.TargetProbed(f.now, ProbeRefused)
 			f.receiveHeartbeatOf(time.Second, "i-2", 1, false)
 		},
 		"a new agent": func(f *fixture) {
@@ -239,9 +239,9 @@
 			f.crashAndRestart(400 * time.Millisecond)
 		},
 		"long ago": func(f *fixture) {
-			f.Probed(f.now, ProbeRefused)
+			f.TargetProbed(f.now, ProbeRefused)
 			f.advance(crashMemory + 1)
-			f.Probed(f.now, ProbeAccepted)
+			f.TargetProbed(f.now, ProbeAccepted)
 		},
 	} {
 		f := newFixture()
--- a/agent/packetfront/incarnations.go
+++ b/agent/packetfront/incarnations.go
@@ -37,18 +37,18 @@
 //     while the current one is overdue, and at once if a target probe saw the current one
 //     end and the other may have started since.
 type incarnationHistory struct {
-	former []fleet.Incarnation
+	former []fleet.TargetIncarnation
 	// rejected is the last rejected incarnation, rejectedSequence its sequence.
-	rejected         fleet.Incarnation
+	rejected         fleet.TargetIncarnation
 	rejectedSequence uint64
 }
 
 // addFormer records an incarnation that was replaced.
-func (h *incarnationHistory) addFormer(former fleet.Incarnation) {
+func (h *incarnationHistory) addFormer(former fleet.TargetIncarnation) {
 	if former.TargetID == "" {
 		return
 	}
-	h.former = slices.DeleteFunc(h.former, func(f fleet.Incarnation) bool { return f == former })
+	h.former = slices.DeleteFunc(h.former, func(f fleet.TargetIncarnation) bool { return f == former })
 	if len(h.former) == maxFormerIncarnations {
 		h.former = slices.Delete(h.former, 0, 1)
 	}
@@ -58,8 +58,8 @@
 // rejectedAgain records a rejected heartbeat and reports whether the one rejected before it
 // was an earlier one of the same incarnation.
 func (h *incarnationHistory) rejectedAgain(b fleet.Heartbeat) bool {
-	again := h.rejected == b.Incarnation && b.Sequence > h.rejectedSequence
-	h.rejected, h.rejectedSequence = b.Incarnation, b.Sequence
+	again := h.rejected == b.TargetIncarnation && b.Sequence > h.rejectedSequence
+	h.rejected, h.rejectedSequence = b.TargetIncarnation, b.Sequence
 	return again
 }
 
@@ -80,8 +80,8 @@
 	switch {
 	case t.incarnation.TargetID == "":
 		return newHeartbeat
-	case b.Incarnation == t.incarnation && b.Sequence > t.sequence:
-		t.history.rejected = fleet.Incarnation{}
+	case b.TargetIncarnation == t.incarnation && b.Sequence > t.sequence:
+		t.history.rejected = fleet.TargetIncarnation{}
 		return currentHeartbeat
 	case b.StartedMillis == 0 && t.incarnation.StartedMillis != 0:
 		// The current target reports its start time, so that this heartbeat is not its own.
@@ -100,7 +100,7 @@
 	if t.sawEnd && t.up && t.mayHaveStarted(now, b) {
 		return true
 	}
-	if b.Incarnation == t.incarnation || b.StartedMillis < t.incarnation.StartedMillis || slices.Contains(t.history.former, b.Incarnation) {
+	if b.TargetIncarnation == t.incarnation || b.StartedMillis < t.incarnation.StartedMillis || slices.Contains(t.history.former, b.TargetIncarnation) {
 		return false
 	}
 	return !t.alive(now, period) || t.mayHaveStarted(now, b)
@@ -110,7 +110,7 @@
 // one continues to report. If targets report their start time, the current incarnation
 // must be overdue as well; otherwise the repeated reports of the other one suffice.
 func (t *target) mayHaveEnded(now time.Time, b fleet.Heartbeat, period time.Duration) bool {
-	if b.Incarnation == t.incarnation {
+	if b.TargetIncarnation == t.incarnation {
 		return !t.alive(now, period) && t.mayHaveStarted(now, b)
 	}
 	return b.StartedMillis == 0 || !t.alive(now, period)
--- a/agent/packetfront/incarnations_test.go
+++ b/agent/packetfront/incarnations_test.go
@@ -12,14 +12,14 @@
 
 // receiveHeartbeatOf delivers a heartbeat without a start time after a pause.
 func (f *fixture) receiveHeartbeatOf(after time.Duration, id string, sequence uint64, draining bool) {
-	f.receiveHeartbeatFrom(after, fleet.Incarnation{TargetID: id}, sequence, draining)
+	f.receiveHeartbeatFrom(after, fleet.TargetIncarnation{TargetID: id}, sequence, draining)
 }
 
 // restartedAgent returns an agent whose target was running before the agent started.
 func restartedAgent() *fixture {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-	f.Probed(f.now, ProbeAccepted)
+	f.TargetProbed(f.now, ProbeAccepted)
 	return f
 }
 
@@ -37,7 +37,7 @@
 			f.receiveHeartbeatOf(100*time.Millisecond, "i-1", 50, true)
 		}},
 		"not known to a restarted agent": {restarted: true, late: func(f *fixture) { f.receiveHeartbeatOf(100*time.Millisecond, "i-0", 50, true) }},
-		"its deregistration":             {late: func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) }},
+		"its deregistration":             {late: func(f *fixture) { f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"}) }},
 	} {
 		f := newFixture()
 		if c.restarted {
@@ -78,10 +78,10 @@
 		sawStart bool
 	}{
 		"its end was not seen": {end: func(*fixture) {}, sawStart: false},
-		"it left":              {end: func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) }, sawStart: true},
+		"it left":              {end: func(f *fixture) { f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"}) }, sawStart: true},
 		"refused, then accepted": {end: func(f *fixture) {
-			f.Probed(f.now, ProbeRefused)
-			f.Probed(f.now, ProbeAccepted)
+			f.TargetProbed(f.now, ProbeRefused)
+			f.TargetProbed(f.now, ProbeAccepted)
 		}, sawStart: true},
 	} {
 		f := newFixture()
--- a/agent/packetfront/load_test.go
+++ b/agent/packetfront/load_test.go
@@ -67,7 +67,7 @@
 // reportHeartbeat sends a heartbeat of the target.
 func (l *randomLoad) reportHeartbeat() {
 	l.seq++
-	l.Heartbeat(l.now, fleet.Heartbeat{Incarnation: fleet.Incarnation{TargetID: "i-2", StartedMillis: l.startedMillis}, Slots: l.slots, Sequence: l.seq})
+	l.Heartbeat(l.now, fleet.Heartbeat{TargetIncarnation: fleet.TargetIncarnation{TargetID: "i-2", StartedMillis: l.startedMillis}, Slots: l.slots, Sequence: l.seq})
 }
 
 // newCaller lets a new caller open its flow; if admitted, the target answers the SYN at once.
@@ -120,12 +120,12 @@
 
 // crashTarget lets the target crash and another one start.
 func (l *randomLoad) crashTarget() {
-	l.Probed(l.now, ProbeRefused)
+	l.TargetProbed(l.now, ProbeRefused)
 	for _, c := range l.callers {
 		c.ended = c.ended || c.accepted
 	}
 	l.startedMillis++
-	l.Probed(l.now, ProbeAccepted)
+	l.TargetProbed(l.now, ProbeAccepted)
 	l.reportHeartbeat()
 }
 
--- a/agent/packetfront/nodes.go
+++ b/agent/packetfront/nodes.go
@@ -326,7 +326,7 @@
 func (c *Core) announcementTo(now time.Time, to flow.IPv4) fleet.Announcement {
 	a := c.announcement(now)
 	c.seq++
-	a.MessageID = fleet.MessageID{Incarnation: c.opts.Incarnation, Seq: c.seq}
+	a.MessageID = fleet.MessageID{ProcessIncarnation: c.opts.Incarnation, Seq: c.seq}
 	a.Period = c.announcePeriodTo(to)
 	a.WantReply = c.acks.needsAck(to)
 	c.acks.sent(now, to)
--- a/agent/packetfront/nodes_test.go
+++ b/agent/packetfront/nodes_test.go
@@ -13,7 +13,7 @@
 
 func TestAChangeOfStateIsAnnouncedAtOnce(t *testing.T) {
 	f := newFixture()
-	f.HandleNode(f.now, balancerIP, (&fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 1}}).Append(nil))
+	f.HandleNode(f.now, balancerIP, (&fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 4, Seq: 1}}).Append(nil))
 	f.receiveHeartbeat(true)
 	a, err := fleet.DecodeAnnouncement(f.port.Last().Raw)
 	require.NoError(t, err)
@@ -48,11 +48,11 @@
 		ended   bool
 	}{
 		"a target that reports":                 {func(*fixture) {}, false},
-		"a target that does not answer a probe": {func(f *fixture) { f.Probed(f.now, ProbeUnanswered) }, false},
+		"a target that does not answer a probe": {func(f *fixture) { f.TargetProbed(f.now, ProbeUnanswered) }, false},
 		"a target that drains":                  {func(f *fixture) { f.receiveHeartbeat(true) }, false},
-		"a target that has left":                {func(f *fixture) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) }, true},
-		"no process listens":                    {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, true},
-		"another target started after that":     {func(f *fixture) { f.Probed(f.now, ProbeRefused); f.Probed(f.now, ProbeAccepted) }, false},
+		"a target that has left":                {func(f *fixture) { f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"}) }, true},
+		"no process listens":                    {func(f *fixture) { f.TargetProbed(f.now, ProbeRefused) }, true},
+		"another target started after that":     {func(f *fixture) { f.TargetProbed(f.now, ProbeRefused); f.TargetProbed(f.now, ProbeAccepted) }, false},
 	} {
 		f := newFixture()
 		c.prepare(f)
@@ -101,16 +101,16 @@
 		learn func(f *fixture)
 		want  fleet.State
 	}{
-		"nothing listens": {func(f *fixture) { f.Probed(f.now, ProbeRefused) }, fleet.Gone},
-		"no answer":       {func(f *fixture) { f.Probed(f.now, ProbeUnanswered) }, fleet.Absent},
-		"it listens":      {func(f *fixture) { f.Probed(f.now, ProbeAccepted) }, fleet.Ready},
+		"nothing listens": {func(f *fixture) { f.TargetProbed(f.now, ProbeRefused) }, fleet.Gone},
+		"no answer":       {func(f *fixture) { f.TargetProbed(f.now, ProbeUnanswered) }, fleet.Absent},
+		"it listens":      {func(f *fixture) { f.TargetProbed(f.now, ProbeAccepted) }, fleet.Ready},
 		"it reports":      {func(f *fixture) { f.receiveHeartbeat(true) }, fleet.Draining},
 		"it sends":        {func(f *fixture) { f.targetSends(1, flow.ACK, 500, 10) }, fleet.Ready},
 	} {
 		f := newFixture()
 		f.opts.Seeds = []flow.IPv4{nextIP}
 		f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-		f.HandleNode(f.now, balancerIP, (&fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 1}}).Append(nil))
+		f.HandleNode(f.now, balancerIP, (&fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 4, Seq: 1}}).Append(nil))
 		f.advance(fleet.SameZonePeriod)
 		require.Empty(t, f.port.Nodes, name)
 		c.learn(f)
@@ -129,7 +129,7 @@
 	f := newFixture()
 	f.opts.Seeds = []flow.IPv4{nextIP}
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-	f.Probed(f.now, ProbeAccepted)
+	f.TargetProbed(f.now, ProbeAccepted)
 	f.advance(registrationTimeout - 1)
 	require.Empty(t, f.port.Nodes)
 	f.advance(1)
@@ -142,20 +142,20 @@
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 	require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now))
-	f.Probed(f.now, ProbeRefused)
+	f.TargetProbed(f.now, ProbeRefused)
 	require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now), "it may be about to start")
 	f.now = f.now.Add(entryHoldTime + 1)
-	f.Probed(f.now, ProbeRefused)
+	f.TargetProbed(f.now, ProbeRefused)
 	require.Equal(t, fleet.EntryAbsent, f.WantedEntryState(f.now))
-	f.Probed(f.now, ProbeAccepted)
+	f.TargetProbed(f.now, ProbeAccepted)
 	require.Equal(t, fleet.EntryPresent, f.WantedEntryState(f.now))
-	f.Probed(f.now, ProbeUnanswered)
+	f.TargetProbed(f.now, ProbeUnanswered)
 	require.Equal(t, fleet.EntryPresent, f.WantedEntryState(f.now), "a target probe without an answer changes nothing")
 	f.receiveHeartbeat(false)
-	f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
+	f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"})
 	require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now), "it may send its last packets")
 	require.True(t, f.WantsProbe(f.now))
-	f.Probed(f.now, ProbeRefused)
+	f.TargetProbed(f.now, ProbeRefused)
 	require.Equal(t, fleet.EntryAbsent, f.WantedEntryState(f.now), "its exit was seen")
 	require.False(t, f.WantsProbe(f.now))
 }
@@ -164,8 +164,8 @@
 // not seen may get no answer at all.
 func TestDeregisteredTargetLeavesTheRegistryAfterTheGracePeriod(t *testing.T) {
 	f := newFixture()
-	f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"})
-	f.Probed(f.now, ProbeUnanswered)
+	f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"})
+	f.TargetProbed(f.now, ProbeUnanswered)
 	f.advance(deregistrationGrace)
 	require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now))
 	f.advance(1)
@@ -184,7 +184,7 @@
 	} {
 		f := newFixture()
 		f.now = f.now.Add(c.up)
-		f.Probed(f.now, ProbeRefused)
+		f.TargetProbed(f.now, ProbeRefused)
 		require.Equal(t, c.want, f.WantedEntryState(f.now), name)
 		require.Equal(t, fleet.EntryAbsent, f.WantedEntryState(f.now.Add(entryHoldTime+1)), name)
 	}
--- a/agent/packetfront/observer.go
+++ b/agent/packetfront/observer.go
@@ -213,8 +213,8 @@
 	o.Log.Info("relaying to another zone changed", zap.Uint32("zone_tag", uint32(zone)), zap.Int("balancers", balancers), zap.Bool("relayed", relayed))
 }
 
-// Probed implements Events.
-func (o *observer) Probed(ip flow.IPv4, sinceLastSeen time.Duration) {
+// NodeProbed implements Events.
+func (o *observer) NodeProbed(ip flow.IPv4, sinceLastSeen time.Duration) {
 	o.probed.Inc()
 	o.Write(&o.other, "relayed messages of a node stopped, probing it", zap.Stringer(telemetry.FieldPeer, ip), zap.Duration("silent", sinceLastSeen))
 }
--- a/agent/packetfront/probe.go
+++ b/agent/packetfront/probe.go
@@ -38,8 +38,8 @@
 	ProbeUnanswered
 )
 
-// Probed handles the outcome of a target probe.
-func (c *Core) Probed(now time.Time, p Probe) {
+// TargetProbed handles the outcome of a target probe.
+func (c *Core) TargetProbed(now time.Time, p Probe) {
 	t := &c.target
 	t.probedAt, t.lastProbeFailed = now, p != ProbeAccepted
 	if p == ProbeAccepted {
--- a/agent/packetfront/relay.go
+++ b/agent/packetfront/relay.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	switch c.view.PeerProcess(r.From, m.Incarnation) {
+	switch c.view.PeerProcess(r.From, m.ProcessIncarnation) {
 	case fleet.ProcessCurrent:
 		if c.view.ApplyBeacon(now, r.From, m) != fleet.Stale {
 			c.view.MarkRelayed(r.From)
@@ -109,7 +109,7 @@
 func (c *Core) probeOverdue(now time.Time) {
 	for _, ip := range c.view.PeersToProbe(now, c.opts.Zone, probeBalancersAfter, false) {
 		p, _ := c.view.Peer(ip)
-		c.events.Probed(ip, now.Sub(p.LastSeen))
+		c.events.NodeProbed(ip, now.Sub(p.LastSeen))
 		c.probeBalancer(now, ip)
 	}
 }
--- a/agent/packetfront/relay_test.go
+++ b/agent/packetfront/relay_test.go
@@ -31,7 +31,7 @@
 
 // relayBeacon delivers a beacon of the first balancer of the other zone through a relay.
 func (f *fixture) relayBeacon(incarnation uint64, seq uint32) {
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: incarnation, Seq: seq}, Zone: otherZone}
+	m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: incarnation, Seq: seq}, Zone: otherZone}
 	fleet.AppendBatches(nil, []fleet.RelayedMessage{{From: otherZoneBalancer, Message: m.Append(nil)}}, func(b []byte) { f.HandleNode(f.now, balancerIP, b) })
 }
 
@@ -76,7 +76,7 @@
 	} {
 		f := &fixture{port: &port{}, now: time.Unix(1_700_000_000, 0)}
 		f.Core = New(f.now, Options{Self: 9, Service: service, Incarnation: 1, HeartbeatPeriod: time.Second, FlowTTL: time.Minute}, f.port, platformCodec, discardEvents{})
-		f.Probed(f.now, ProbeAccepted)
+		f.TargetProbed(f.now, ProbeAccepted)
 		f.registered()
 		f.addOtherZoneBalancers(c.count)
 		f.receiveHeartbeat(c.draining)
@@ -143,7 +143,7 @@
 func TestBatchWithoutBeaconsIsRejected(t *testing.T) {
 	f := newFixture()
 	f.port.Nodes = nil
-	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 3, Seq: 1}}
+	a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: 3, Seq: 1}}
 	for _, message := range [][]byte{nil, a.Append(nil), envelope.AppendPrefix(nil, envelope.Beacon)} {
 		fleet.AppendBatches(nil, []fleet.RelayedMessage{{From: otherZoneBalancer, Message: message}}, func(b []byte) { f.HandleNode(f.now, balancerIP, b) })
 	}
--- a/agent/packetfront/restart_test.go
+++ b/agent/packetfront/restart_test.go
@@ -14,30 +14,30 @@
 
 // Incarnations of a target that restarts with the same ID.
 var (
-	firstIncarnation  = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_700_000_000_000}
-	secondIncarnation = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_700_000_060_000}
+	firstIncarnation  = fleet.TargetIncarnation{TargetID: "i-2", StartedMillis: 1_700_000_000_000}
+	secondIncarnation = fleet.TargetIncarnation{TargetID: "i-2", StartedMillis: 1_700_000_060_000}
 	// steppedBackIncarnation started after the first one, on a clock that was stepped back.
-	steppedBackIncarnation = fleet.Incarnation{TargetID: "i-2", StartedMillis: 1_699_999_990_000}
+	steppedBackIncarnation = fleet.TargetIncarnation{TargetID: "i-2", StartedMillis: 1_699_999_990_000}
 	// undatedIncarnation does not report its start time.
-	undatedIncarnation = fleet.Incarnation{TargetID: "i-2"}
+	undatedIncarnation = fleet.TargetIncarnation{TargetID: "i-2"}
 )
 
 const testHeartbeatPeriod = 1200 * time.Millisecond
 
 // receiveHeartbeatFrom delivers a heartbeat of an incarnation after a pause and reports whether it was
 // accepted.
-func (f *fixture) receiveHeartbeatFrom(after time.Duration, l fleet.Incarnation, sequence uint64, draining bool) bool {
+func (f *fixture) receiveHeartbeatFrom(after time.Duration, l fleet.TargetIncarnation, sequence uint64, draining bool) bool {
 	f.now = f.now.Add(after)
-	return f.Heartbeat(f.now, fleet.Heartbeat{Incarnation: l, Slots: 4, Draining: draining, Sequence: sequence})
+	return f.Heartbeat(f.now, fleet.Heartbeat{TargetIncarnation: l, Slots: 4, Draining: draining, Sequence: sequence})
 }
 
 // agentAfterHeartbeats returns an agent that has received 300 heartbeats of an incarnation,
 // the last of them draining.
-func agentAfterHeartbeats(l fleet.Incarnation) *fixture {
+func agentAfterHeartbeats(l fleet.TargetIncarnation) *fixture {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
 	f.opts.HeartbeatPeriod = testHeartbeatPeriod
-	f.Probed(f.now, ProbeAccepted)
+	f.TargetProbed(f.now, ProbeAccepted)
 	for i := range uint64(300) {
 		f.receiveHeartbeatFrom(testHeartbeatPeriod, l, i+1, i == 299)
 	}
@@ -50,7 +50,7 @@
 // not show the order of the incarnations.
 func TestRestartedTargetWithTheSameIDIsAccepted(t *testing.T) {
 	for name, c := range map[string]struct {
-		former, next fleet.Incarnation
+		former, next fleet.TargetIncarnation
 		endSeen      bool
 		maxRejected  uint64
 	}{
@@ -68,8 +68,8 @@
 			f := agentAfterHeartbeats(c.former)
 			f.now = f.now.Add(down)
 			if c.endSeen {
-				f.Probed(f.now, ProbeRefused)
-				f.Probed(f.now, ProbeAccepted)
+				f.TargetProbed(f.now, ProbeRefused)
+				f.TargetProbed(f.now, ProbeAccepted)
 			}
 			accepted := uint64(0)
 			for i := range uint64(4) {
@@ -94,7 +94,7 @@
 // TestRestartedAgentAcceptsTheIncarnationThatKeepsReporting: delayed heartbeats of a former
 // incarnation may be the first ones that a restarted agent receives.
 func TestRestartedAgentAcceptsTheIncarnationThatKeepsReporting(t *testing.T) {
-	for name, late := range map[string]fleet.Incarnation{"born before": firstIncarnation, "born after, on a clock stepped back since": {TargetID: "i-2", StartedMillis: secondIncarnation.StartedMillis + 5}} {
+	for name, late := range map[string]fleet.TargetIncarnation{"born before": firstIncarnation, "born after, on a clock stepped back since": {TargetID: "i-2", StartedMillis: secondIncarnation.StartedMillis + 5}} {
 		f := restartedAgent()
 		require.True(t, f.receiveHeartbeatFrom(0, late, 298, true), name)
 		require.True(t, f.receiveHeartbeatFrom(10*time.Millisecond, late, 299, true), name)
@@ -121,7 +121,7 @@
 		"reports without a start time":                          func(f *fixture, i uint64) { f.receiveHeartbeatFrom(0, undatedIncarnation, 301+i, true) },
 		"earlier reports of the current incarnation":            func(f *fixture, i uint64) { f.receiveHeartbeatFrom(0, secondIncarnation, 2+i/8, true) },
 		"its deregistration":                                    func(f *fixture, _ uint64) { f.Deregister(f.now, firstIncarnation) },
-		"the deregistration of another target":                  func(f *fixture, _ uint64) { f.Deregister(f.now, fleet.Incarnation{TargetID: "i-1"}) },
+		"the deregistration of another target":                  func(f *fixture, _ uint64) { f.Deregister(f.now, fleet.TargetIncarnation{TargetID: "i-1"}) },
 	} {
 		f := agentAfterHeartbeats(firstIncarnation)
 		require.True(t, f.receiveHeartbeatFrom(testHeartbeatPeriod, secondIncarnation, 1, false), name)
@@ -149,7 +149,7 @@
 	require.Equal(t, fleet.Gone, f.target.state(), "no new flows, in case the target has left")
 	for range 20 {
 		require.True(t, f.WantsProbe(f.now))
-		f.Probed(f.now, ProbeAccepted)
+		f.TargetProbed(f.now, ProbeAccepted)
 		f.advance(50 * time.Millisecond)
 		require.Equal(t, fleet.EntryUnchanged, f.WantedEntryState(f.now))
 	}
@@ -172,8 +172,8 @@
 		f.target.heartbeat.Draining = false
 		open(1, 500)
 		if endSeen {
-			f.Probed(f.now, ProbeRefused)
-			f.Probed(f.now, ProbeAccepted)
+			f.TargetProbed(f.now, ProbeRefused)
+			f.TargetProbed(f.now, ProbeAccepted)
 		}
 		require.True(t, f.receiveHeartbeatFrom(testHeartbeatPeriod, secondIncarnation, 1, false), name)
 		open(2, 900)
@@ -210,11 +210,11 @@
 		f := newFixture()
 		f.opts.HeartbeatPeriod = testHeartbeatPeriod
 		f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-		f.Probed(f.now, ProbeAccepted)
+		f.TargetProbed(f.now, ProbeAccepted)
 		clock := int64(1_700_000_000_000)
 		var incarnations []runningTarget
 		start := func(id string) {
-			l := runningTarget{Incarnation: fleet.Incarnation{TargetID: id}}
+			l := runningTarget{TargetIncarnation: fleet.TargetIncarnation{TargetID: id}}
 			if dated {
 				l.StartedMillis = clock
 			}
@@ -229,11 +229,11 @@
 			case "late":
 				if old := &incarnations[rapid.IntRange(0, len(incarnations)-1).Draw(t, "incarnation")]; old != current {
 					old.sequence++
-					f.receiveHeartbeatFrom(0, old.Incarnation, old.sequence, true)
+					f.receiveHeartbeatFrom(0, old.TargetIncarnation, old.sequence, true)
 				}
 			case "late deregistration":
-				if old := incarnations[rapid.IntRange(0, len(incarnations)-1).Draw(t, "incarnation")]; old.Incarnation != current.Incarnation {
-					f.Deregister(f.now, old.Incarnation)
+				if old := incarnations[rapid.IntRange(0, len(incarnations)-1).Draw(t, "incarnation")]; old.TargetIncarnation != current.TargetIncarnation {
+					f.Deregister(f.now, old.TargetIncarnation)
 				}
 			case "stepped":
 				clock += int64(rapid.IntRange(-5000, 5000).Draw(t, "step"))
@@ -243,14 +243,14 @@
 					id = "i-" + string(rune('0'+len(incarnations)))
 				}
 				if rapid.Bool().Draw(t, "seen") {
-					f.Probed(f.now, ProbeRefused)
-					f.Probed(f.now, ProbeAccepted)
+					f.TargetProbed(f.now, ProbeRefused)
+					f.TargetProbed(f.now, ProbeAccepted)
 				}
 				start(id)
 			case "agent":
 				f.opts.Incarnation++
 				f.Core = New(f.now, f.opts, f.port, f.codec, f.events)
-				f.Probed(f.now, ProbeAccepted)
+				f.TargetProbed(f.now, ProbeAccepted)
 			case "beat":
 				f.heartbeatOf(current)
 			}
@@ -259,11 +259,11 @@
 		current := &incarnations[len(incarnations)-1]
 		for range 3 {
 			f.now = f.now.Add(testHeartbeatPeriod)
-			f.Probed(f.now, ProbeAccepted)
+			f.TargetProbed(f.now, ProbeAccepted)
 			f.Tick(f.now)
 			f.heartbeatOf(current)
 		}
-		require.Equal(t, current.Incarnation, f.target.incarnation)
+		require.Equal(t, current.TargetIncarnation, f.target.incarnation)
 		require.Equal(t, current.sequence, f.target.sequence)
 		require.Equal(t, fleet.Ready, f.target.state())
 	})
@@ -271,13 +271,13 @@
 
 // runningTarget is an incarnation with the sequence of its last heartbeat.
 type runningTarget struct {
-	fleet.Incarnation
+	fleet.TargetIncarnation
 	sequence uint64
 }
 
 func (f *fixture) heartbeatOf(l *runningTarget) {
 	l.sequence++
-	f.receiveHeartbeatFrom(0, l.Incarnation, l.sequence, false)
+	f.receiveHeartbeatFrom(0, l.TargetIncarnation, l.sequence, false)
 }
 
 // TestPacketAfterARefusedProbeDoesNotMarkTheTargetUp: packets of a target that has exited
@@ -290,7 +290,7 @@
 func TestPacketAfterARefusedProbeDoesNotMarkTheTargetUp(t *testing.T) {
 	f := newFixture()
 	f.Core = New(f.now, f.opts, f.port, platformCodec, discardEvents{})
-	f.Probed(f.now, ProbeRefused)
+	f.TargetProbed(f.now, ProbeRefused)
 	f.targetSends(1, flow.ACK, 500, 10)
 	require.Equal(t, fleet.Gone, f.announcement(f.now).State)
 	require.True(t, f.WantsProbe(f.now))
@@ -301,11 +301,11 @@
 	require.Equal(t, fleet.Gone, f.announcement(f.now).State)
 
 	for name, proof := range map[string]func(*fixture){
-		"a connection": func(f *fixture) { f.Probed(f.now, ProbeAccepted) },
+		"a connection": func(f *fixture) { f.TargetProbed(f.now, ProbeAccepted) },
 		"a report":     func(f *fixture) { f.receiveHeartbeat(false) },
 	} {
 		f.Core = New(f.now, f.opts, f.port, platformCodec, discardEvents{})
-		f.Probed(f.now, ProbeRefused)
+		f.TargetProbed(f.now, ProbeRefused)
 		proof(f)
 		f.syn(2, 0, 0)
 		require.NotEmpty(t, f.port.target, name)
--- a/agent/packetfront/target.go
+++ b/agent/packetfront/target.go
@@ -11,7 +11,7 @@
 type target struct {
 	// incarnation is the target's current incarnation, without an ID until it reports; sequence
 	// is the sequence of its last heartbeat.
-	incarnation fleet.Incarnation
+	incarnation fleet.TargetIncarnation
 	sequence    uint64
 	// history holds the incarnations before it.
 	history incarnationHistory
@@ -150,17 +150,17 @@
 	t := &c.target
 	sawStart := t.sawEnd || !t.deregisteredAt.IsZero() || (t.incarnation.TargetID == "" && t.probeRefused)
 	t.history.addFormer(t.incarnation)
-	t.history.rejected = fleet.Incarnation{}
-	*t = target{incarnation: b.Incarnation, history: t.history, up: t.up, upSince: t.upSince, probeRefused: sawStart, sawStart: sawStart, probedAt: t.probedAt, acceptedAt: t.acceptedAt, lastProbeFailed: t.lastProbeFailed}
+	t.history.rejected = fleet.TargetIncarnation{}
+	*t = target{incarnation: b.TargetIncarnation, history: t.history, up: t.up, upSince: t.upSince, probeRefused: sawStart, sawStart: sawStart, probedAt: t.probedAt, acceptedAt: t.acceptedAt, lastProbeFailed: t.lastProbeFailed}
 	c.events.TargetReport("new target incarnation", b)
 }
 
 // Deregister handles the deregistration of a target. One without a start time is attributed to
 // the current incarnation of that ID.
-func (c *Core) Deregister(now time.Time, left fleet.Incarnation) {
+func (c *Core) Deregister(now time.Time, left fleet.TargetIncarnation) {
 	t := &c.target
 	if left.TargetID != t.incarnation.TargetID || (left.StartedMillis != 0 && left.StartedMillis != t.incarnation.StartedMillis) || !t.deregisteredAt.IsZero() {
-		c.events.TargetReport("late deregistration ignored", fleet.Heartbeat{Incarnation: left})
+		c.events.TargetReport("late deregistration ignored", fleet.Heartbeat{TargetIncarnation: left})
 		return
 	}
 	t.deregisteredAt = now
--- a/balancer/operator/gap.go
+++ b/balancer/operator/gap.go
@@ -83,7 +83,7 @@
 	if g.since.IsZero() {
 		return s.nextAgentCopy(now)
 	}
-	return g.peer, g.version, g.localVersion == 0 || !s.Feeds(now) || g.olderThan(now, peerFetchDelay)
+	return g.peer, g.version, g.localVersion == 0 || !s.MustFeed(now) || g.olderThan(now, peerFetchDelay)
 }
 
 // nextAgentCopy returns an agent that holds a copy of a configuration, for a balancer that has
@@ -103,9 +103,9 @@
 	switch {
 	case g.localVersion != 0 && g.olderThan(now, storeReadDelay):
 		return DutyRead
-	case s.storeAnsweredAt.IsZero() && (g.localVersion == 0 || s.Feeds(now)):
+	case s.storeAnsweredAt.IsZero() && (g.localVersion == 0 || s.MustFeed(now)):
 		return DutyWatch
-	case now.Sub(s.startedAt) >= watchDelay && s.Feeds(now):
+	case now.Sub(s.startedAt) >= watchDelay && s.MustFeed(now):
 		return DutyWatch
 	default:
 		return DutyNone
--- a/balancer/operator/gap_test.go
+++ b/balancer/operator/gap_test.go
@@ -22,7 +22,7 @@
 func (f *fixture) peersAnnounce(version int64) {
 	for i := range flow.IPv4(3) {
 		f.seq++
-		m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 1, Seq: f.seq}, ConfigVersion: version, Feeder: true, Period: time.Hour}
+		m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 1, Seq: f.seq}, ConfigVersion: version, Feeder: true, Period: time.Hour}
 		f.view.ApplyBeacon(f.now, self-1-i, m)
 	}
 }
@@ -97,7 +97,7 @@
 // announceCopy delivers the announcement of an agent that holds a copy of a version.
 func (f *fixture) announceCopy(ip flow.IPv4, version int64) {
 	f.seq++
-	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, ConfigVersion: version}
+	a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, ConfigVersion: version}
 	f.view.ApplyAnnouncement(f.now, ip, a)
 }
 
--- a/balancer/operator/state.go
+++ b/balancer/operator/state.go
@@ -16,8 +16,8 @@
 	NewestConfigCopy(now time.Time, except func(flow.IPv4) bool, pick func(n int) int) (agent flow.IPv4, version int64, ok bool)
 	// HasTarget reports whether an address is that of a target's agent.
 	HasTarget(ip flow.IPv4) bool
-	// ShouldFeed reports whether a balancer has to watch the store.
-	ShouldFeed(now time.Time, self flow.IPv4, zone flow.Tag) bool
+	// MustFeed reports whether a balancer has to watch the store.
+	MustFeed(now time.Time, self flow.IPv4, zone flow.Tag) bool
 }
 
 // Listener is notified of each change that comes into force, under the lock of the State's owner.
@@ -117,8 +117,8 @@
 	}
 }
 
-// Feeds reports whether this balancer has to watch the store.
-func (s *State) Feeds(now time.Time) bool { return s.fleet.ShouldFeed(now, s.opts.Self, s.opts.Zone) }
+// MustFeed reports whether this balancer has to watch the store.
+func (s *State) MustFeed(now time.Time) bool { return s.fleet.MustFeed(now, s.opts.Self, s.opts.Zone) }
 
 // StoreAnswered records that the store answered.
 func (s *State) StoreAnswered(now time.Time) { s.storeAnsweredAt = now }
@@ -126,8 +126,8 @@
 // SinceStoreAnswer returns how long ago the store last answered.
 func (s *State) SinceStoreAnswer(now time.Time) time.Duration { return now.Sub(s.storeAnsweredAt) }
 
-// Feeding reports whether this balancer follows the store, so that others can fetch new
+// IsFeeding reports whether this balancer follows the store, so that others can fetch new
 // configurations from it.
-func (s *State) Feeding(now time.Time) bool {
-	return s.SinceStoreAnswer(now) <= s.opts.FollowTime && s.Feeds(now)
+func (s *State) IsFeeding(now time.Time) bool {
+	return s.SinceStoreAnswer(now) <= s.opts.FollowTime && s.MustFeed(now)
 }
--- a/balancer/operator/state_test.go
+++ b/balancer/operator/state_test.go
@@ -91,9 +91,9 @@
 		if c.watches {
 			f.opts.Zone = 9
 		}
-		require.False(t, f.Feeding(f.now), name)
+		require.False(t, f.IsFeeding(f.now), name)
 		f.StoreAnswered(f.now)
-		require.Equal(t, c.want, f.Feeding(f.now.Add(c.after)), name)
+		require.Equal(t, c.want, f.IsFeeding(f.now.Add(c.after)), name)
 	}
 }
 
--- a/balancer/packetfront/cold_test.go
+++ b/balancer/packetfront/cold_test.go
@@ -18,7 +18,7 @@
 func (f *fixture) announceCold(ip flow.IPv4, headroom uint16) {
 	f.seq++
 	a := fleet.Announcement{
-		MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4,
+		MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4,
 		Cold: true, Headroom: headroom,
 	}
 	f.HandleNode(f.now, ip, a.Append(nil))
--- a/balancer/packetfront/core.go
+++ b/balancer/packetfront/core.go
@@ -283,7 +283,7 @@
 
 // handleNoTarget handles a SYN for which there is no target: none is known, or none of them may
 // get new flows. The SYN is buffered while targets may still be unknown, otherwise refused.
-func (c *Core) handleNoTarget(now time.Time, key flow.Key, h *flow.Header, route *flow.Route, backend flow.Backend, packet []byte) {
+func (c *Core) handleNoTarget(now time.Time, key flow.Key, h *flow.Header, route *flow.Route, backend flow.WeightedService, packet []byte) {
 	reason := c.refusalReason(backend.Tag)
 	if c.proof.Fresh(now) || (!c.proof.Settled(now) && reason == "") {
 		c.finder.Buffer(now, key, h, packet, search.BufferNoTarget)
--- a/balancer/packetfront/core_test.go
+++ b/balancer/packetfront/core_test.go
@@ -59,7 +59,7 @@
 		f.announce(targetC+1, fleet.Ready)
 		for _, ip := range c.ejected {
 			f.seq++
-			a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, Ejected: true}
+			a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, Ejected: true}
 			f.HandleNode(f.now, ip, a.Append(nil))
 		}
 		offered := false
@@ -119,7 +119,7 @@
 
 func TestANewConfigurationIsAnnouncedAtOnce(t *testing.T) {
 	f := newFixture()
-	f.HandleNode(f.now, peer, (&fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: 1}}).Append(nil))
+	f.HandleNode(f.now, peer, (&fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 4, Seq: 1}}).Append(nil))
 	f.port.Nodes = nil
 	f.SetConfig(f.now, config(6))
 	m, err := fleet.DecodeBeacon(f.port.Nodes[0].Raw)
@@ -182,7 +182,7 @@
 	}
 	for i := range flow.IPv4(10) {
 		f.seq++
-		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: f.seq}, Service: alpha, Zone: 9, State: fleet.Ready, Slots: 4}
+		a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: 1, Seq: f.seq}, Service: alpha, Zone: 9, State: fleet.Ready, Slots: 4}
 		f.HandleNode(f.now, 0x0a030000+i, a.Append(nil))
 	}
 	f.receiveFromClient(packet(true, 0))
@@ -210,7 +210,7 @@
 	nodeListOf := func(f *fixture) (n fleet.NodeList) {
 		f.port.Nodes = nil
 		f.seq++
-		request := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 4, Seq: f.seq}, WantPeers: true}
+		request := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 4, Seq: f.seq}, WantPeers: true}
 		f.HandleNode(f.now, peer, request.Append(nil))
 		for _, s := range f.port.Nodes {
 			if s.Kind == envelope.Peers {
--- a/balancer/packetfront/evacuations_test.go
+++ b/balancer/packetfront/evacuations_test.go
@@ -33,7 +33,7 @@
 func (f *fixture) announceIn(ip flow.IPv4, zone string, ejected bool) {
 	f.seq++
 	a := fleet.Announcement{
-		MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4,
+		MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4,
 		Zone: flow.TagOf(zone), Ejected: ejected,
 	}
 	f.HandleNode(f.now, ip, a.Append(nil))
@@ -90,7 +90,7 @@
 // receiveEvacuations delivers a beacon of another balancer with evacuations.
 func (f *fixture) receiveEvacuations(ip flow.IPv4, e flow.Evacuations) {
 	f.seq++
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Evacuations: e, Period: time.Hour}
+	m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Evacuations: e, Period: time.Hour}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
@@ -209,7 +209,7 @@
 	require.Equal(t, evacuations(9, "a"), f.Evacuations())
 	// An earlier message of the other balancer arrives late.
 	f.receiveEvacuations(peer, evacuations(10))
-	outdated := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(peer), Seq: f.seq - 1}, Evacuations: evacuations(11, "a")}
+	outdated := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: uint64(peer), Seq: f.seq - 1}, Evacuations: evacuations(11, "a")}
 	f.HandleNode(f.now, peer, outdated.Append(nil))
 	require.Equal(t, evacuations(10), f.Evacuations())
 	require.Equal(t, "op/evacuate/a", platform.EvacuateKey("a"))
--- a/balancer/packetfront/events.go
+++ b/balancer/packetfront/events.go
@@ -83,9 +83,9 @@
 	// Relayed reports a batch of messages of other zones' nodes that was relayed in the local
 	// zone.
 	Relayed(messages int)
-	// Probed reports that a node of another zone is probed because its relayed messages have
+	// NodeProbed reports that a node of another zone is probed because its relayed messages have
 	// stopped arriving; sinceLastSeen is the time since it was last seen.
-	Probed(ip flow.IPv4, sinceLastSeen time.Duration)
+	NodeProbed(ip flow.IPv4, sinceLastSeen time.Duration)
 	// RotationChanged reports that the balancer leaves the rotation because its link is full, or
 	// returns to it. mbps and zoneMbps are the rates at which it and all balancers of the zone
 	// send; othersInRotation is the number of other balancers in rotation.
--- a/balancer/packetfront/fixture_test.go
+++ b/balancer/packetfront/fixture_test.go
@@ -50,7 +50,7 @@
 func (eventRecorder) ZoneSilenceChanged(fleet.ZoneSilence)                 {}
 func (eventRecorder) ZoneRelayed(flow.Tag, int, bool)                      {}
 func (eventRecorder) Relayed(int)                                          {}
-func (eventRecorder) Probed(flow.IPv4, time.Duration)                      {}
+func (eventRecorder) NodeProbed(flow.IPv4, time.Duration)                  {}
 func (eventRecorder) RotationChanged(bool, float64, float64, int)          {}
 func (eventRecorder) EvacuationsChanged(_, _ flow.Evacuations, _ string)   {}
 
@@ -96,7 +96,7 @@
 func registered(ips ...flow.IPv4) []fleet.Entry {
 	var out []fleet.Entry
 	for _, ip := range ips {
-		out = append(out, fleet.Entry{IP: ip, Incarnation: uint64(ip), Revision: 1})
+		out = append(out, fleet.Entry{IP: ip, ProcessIncarnation: uint64(ip), Revision: 1})
 	}
 	return out
 }
@@ -104,20 +104,20 @@
 // config returns a configuration with one route to the service alpha.
 func config(version int64) *flow.Config {
 	return &flow.Config{Version: version, Routes: map[flow.Front]*flow.Route{
-		front: {Name: "r", Backends: []flow.Backend{{Name: "alpha", Tag: alpha, Weight: 1}}},
+		front: {Name: "r", Services: []flow.WeightedService{{Name: "alpha", Tag: alpha, Weight: 1}}},
 	}}
 }
 
 // announce delivers the announcement of a target with the given state.
 func (f *fixture) announce(ip flow.IPv4, state fleet.State) {
 	f.seq++
-	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: state, Slots: 4}
+	a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: state, Slots: 4}
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
 // receiveFirstBeacon delivers the first beacon of another balancer.
 func (f *fixture) receiveFirstBeacon(ip flow.IPv4) {
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}, Digest: f.View().Digest(f.now, self)}
+	m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: 1}, Digest: f.View().Digest(f.now, self)}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
--- a/balancer/packetfront/front_test.go
+++ b/balancer/packetfront/front_test.go
@@ -110,7 +110,7 @@
 	feeders := func() (n int) {
 		for _, f := range fronts {
 			f.locked(func(now time.Time) {
-				if f.core.Feeds(now) {
+				if f.core.MustFeed(now) {
 					n++
 				}
 			})
@@ -217,7 +217,7 @@
 	})
 	t.Cleanup(worker.Start(follower.Run))
 	feeds := func() (feeding bool) {
-		follower.locked(func(now time.Time) { feeding = follower.core.Feeds(now) })
+		follower.locked(func(now time.Time) { feeding = follower.core.MustFeed(now) })
 		return feeding
 	}
 	require.Eventually(t, func() bool { return follower.version() == 1 && !feeds() }, 10*time.Second, 20*time.Millisecond)
@@ -247,7 +247,7 @@
 		go func() {
 			_ = telemetry.ServeHTTP(ctx, address.String(), configcopy.Handler(func() *configcopy.Copy { return configCopy }, zap.NewNop()))
 		}()
-		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 4, ConfigVersion: 7}
+		a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: 1, Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 4, ConfigVersion: 7}
 		f.locked(func(now time.Time) { f.core.HandleNode(now, flow.FromAddr(address.Addr()), a.Append(nil)) })
 	}
 	require.Eventually(t, func() bool { return f.version() == 7 }, 3*time.Second, time.Millisecond)
--- a/balancer/packetfront/join_test.go
+++ b/balancer/packetfront/join_test.go
@@ -31,7 +31,7 @@
 			introducedAt[s.To] = append(introducedAt[s.To], f.now.Sub(startedAt))
 		}
 		if f.now.Sub(startedAt) >= 100*time.Millisecond && !f.view.HasBalancer(peer) {
-			m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 1, Seq: 1}}
+			m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 1, Seq: 1}}
 			f.HandleNode(f.now, peer, m.Append(nil))
 		}
 		f.now = f.now.Add(f.TickPeriod(f.now))
--- a/balancer/packetfront/largeconfig_test.go
+++ b/balancer/packetfront/largeconfig_test.go
@@ -36,7 +36,7 @@
 	c := &flow.Config{Version: version, IdleTimeout: time.Second, Routes: config(1).Routes}
 	for i := range routes {
 		name := fmt.Sprintf("r-%016x%016x%016x%016x%016x", rnd.Uint64(), rnd.Uint64(), rnd.Uint64(), rnd.Uint64(), rnd.Uint64())
-		c.Routes[flow.Front{IP: 0xc6120000 + flow.IPv4(i), Port: 443}] = &flow.Route{Name: name, Backends: config(1).Routes[front].Backends}
+		c.Routes[flow.Front{IP: 0xc6120000 + flow.IPv4(i), Port: 443}] = &flow.Route{Name: name, Services: config(1).Routes[front].Services}
 	}
 	require.NoError(t, platformtest.PutConfig(s, c))
 	resp, err := s.Range(t.Context(), store.RangeRequest{Key: platform.ConfigKey})
--- a/balancer/packetfront/nodes.go
+++ b/balancer/packetfront/nodes.go
@@ -303,7 +303,7 @@
 // beacon returns m with this balancer's state filled in, as the next beacon to a node.
 func (c *Core) beacon(now time.Time, to flow.IPv4, m fleet.Beacon) fleet.Beacon {
 	c.seq++
-	m.MessageID = fleet.MessageID{Incarnation: c.opts.Incarnation, Seq: c.seq}
+	m.MessageID = fleet.MessageID{ProcessIncarnation: c.opts.Incarnation, Seq: c.seq}
 	m.Zone = c.opts.Zone
 	if t, known := c.view.Target(to); known {
 		m.LastReceived = t.MessageID
@@ -316,7 +316,7 @@
 	m.Digest = c.digest(now)
 	m.Period = c.periodTo(to)
 	m.Leaving = c.leaving
-	m.Feeder = c.operator.Feeding(now)
+	m.Feeder = c.operator.IsFeeding(now)
 	return m
 }
 
--- a/balancer/packetfront/observer.go
+++ b/balancer/packetfront/observer.go
@@ -219,8 +219,8 @@
 // Relayed implements Events.
 func (o *observer) Relayed(messages int) { o.relayed.Add(float64(messages)) }
 
-// Probed implements Events.
-func (o *observer) Probed(ip flow.IPv4, sinceLastSeen time.Duration) {
+// NodeProbed implements Events.
+func (o *observer) NodeProbed(ip flow.IPv4, sinceLastSeen time.Duration) {
 	o.probed.Inc()
 	o.Write(&o.other, "relayed messages of a node stopped, probing it", zap.Stringer(telemetry.FieldPeer, ip), zap.Duration("silent", sinceLastSeen))
 }
--- a/balancer/packetfront/operator.go
+++ b/balancer/packetfront/operator.go
@@ -20,8 +20,8 @@
 // ConfigVersion returns the version in force, zero before the first.
 func (c *Core) ConfigVersion() int64 { return c.operator.ConfigVersion() }
 
-// Feeds reports whether this balancer has to watch the store.
-func (c *Core) Feeds(now time.Time) bool { return c.operator.Feeds(now) }
+// MustFeed reports whether this balancer has to watch the store.
+func (c *Core) MustFeed(now time.Time) bool { return c.operator.MustFeed(now) }
 
 // Evacuations returns the evacuated zones in force.
 func (c *Core) Evacuations() flow.Evacuations { return c.operator.Evacuations() }
--- a/balancer/packetfront/overload.go
+++ b/balancer/packetfront/overload.go
@@ -62,7 +62,7 @@
 type serviceLoads map[flow.Tag]*serviceLoad
 
 // serviceLoad returns the current load of a flow's service.
-func (c *Core) serviceLoad(now time.Time, backend flow.Backend) *serviceLoad {
+func (c *Core) serviceLoad(now time.Time, backend flow.WeightedService) *serviceLoad {
 	l, known := c.loads[backend.Tag]
 	if !known {
 		l = &serviceLoad{Overload: Overload{Service: backend.Name}}
--- a/balancer/packetfront/overload_test.go
+++ b/balancer/packetfront/overload_test.go
@@ -50,10 +50,10 @@
 	f.recorder.eventRecorder = eventRecorder{&f.uncertainty, &f.buffered}
 	f.Core = New(f.now, Options{Self: self, Zone: 1, Incarnation: 1, Weights: choose.Weights{CrossZoneCost: 1, Warming: 1.6}},
 		f.port, platform.Codec{}, f.recorder, rand.New(rand.NewPCG(1, 1)))
-	backends := []flow.Backend{{Name: "alpha", Tag: alpha, Weight: 1}}
+	backends := []flow.WeightedService{{Name: "alpha", Tag: alpha, Weight: 1}}
 	f.SetConfig(f.now, &flow.Config{Version: 5, Routes: map[flow.Front]*flow.Route{
-		front:                           {Name: "read", Priority: 2, Deadline: 1200 * time.Millisecond, Backends: backends},
-		{IP: front.IP, Port: writePort}: {Name: "write", Priority: 1, Deadline: 1200 * time.Millisecond, Backends: backends},
+		front:                           {Name: "read", Priority: 2, Deadline: 1200 * time.Millisecond, Services: backends},
+		{IP: front.IP, Port: writePort}: {Name: "write", Priority: 1, Deadline: 1200 * time.Millisecond, Services: backends},
 	}})
 	f.now = f.now.Add(search.SettleTime + time.Second)
 	f.announceOverloaded(0)
@@ -65,7 +65,7 @@
 func (f *overloadFixture) announceLoadOf(i int, a fleet.Announcement) {
 	f.seq++
 	ip := firstOverloaded + flow.IPv4(i)
-	a.MessageID = fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}
+	a.MessageID = fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}
 	a.Service, a.Slots, a.Zone = alpha, 4, 1
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
@@ -153,14 +153,14 @@
 		"an outdated message does not count": {func(f *overloadFixture) {
 			f.announceOverloaded(4)
 			ip := firstOverloaded + 7
-			outdated := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 400, LoadReport: fleet.LoadReport{Overloaded: true}}
+			outdated := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: 1}, Service: alpha, State: fleet.Ready, Slots: 400, LoadReport: fleet.LoadReport{Overloaded: true}}
 			f.HandleNode(f.now, ip, outdated.Append(nil))
 		}, false},
 		"announced twice": {func(f *overloadFixture) { f.announceOverloaded(5); f.announceOverloaded(5) }, true},
 	} {
 		f := newOverloadFixture()
 		c.prepare(f)
-		load := f.serviceLoad(f.now, flow.Backend{Name: "alpha", Tag: alpha})
+		load := f.serviceLoad(f.now, flow.WeightedService{Name: "alpha", Tag: alpha})
 		require.Equal(t, c.want, load.Overloaded, name)
 	}
 }
@@ -228,7 +228,7 @@
 			atFreeSlots++
 		}
 	}
-	require.True(t, f.serviceLoad(f.now, flow.Backend{Name: "alpha", Tag: alpha}).Overloaded)
+	require.True(t, f.serviceLoad(f.now, flow.WeightedService{Name: "alpha", Tag: alpha}).Overloaded)
 	require.GreaterOrEqual(t, atFreeSlots, 12, "all slots that were announced as free")
 }
 
--- a/balancer/packetfront/plan.go
+++ b/balancer/packetfront/plan.go
@@ -104,7 +104,7 @@
 	for _, item := range list {
 		t, _ := c.view.Target(item.Target)
 		c.offers = append(c.offers, choose.Offer{
-			Busy: int(t.Outstanding), Sent: t.FlowsSent, Slots: int(t.Slots), AnswerInterval: t.AnswerInterval,
+			Outstanding: int(t.Outstanding), Sent: t.FlowsSent, Slots: int(t.Slots), AnswerInterval: t.AnswerInterval,
 			CrossZone: t.Zone != c.opts.Zone,
 			Warming:   t.WarmupMillis > 0 && now.Sub(t.LastSeen) < time.Duration(t.WarmupMillis)*time.Millisecond,
 			Avoid:     t.Overdue(now),
--- a/balancer/packetfront/plan_test.go
+++ b/balancer/packetfront/plan_test.go
@@ -14,7 +14,7 @@
 func (f *fixture) announceLoad(ip flow.IPv4, zone flow.Tag, outstanding uint16, answerInterval time.Duration) {
 	f.seq++
 	a := fleet.Announcement{
-		MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Zone: zone, Service: alpha, State: fleet.Ready, Slots: 4, Outstanding: outstanding,
+		MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Zone: zone, Service: alpha, State: fleet.Ready, Slots: 4, Outstanding: outstanding,
 		LoadReport: fleet.LoadReport{AnswerInterval: answerInterval, ResponseTime: 4 * answerInterval},
 	}
 	f.HandleNode(f.now, ip, a.Append(nil))
--- a/balancer/packetfront/reaper_test.go
+++ b/balancer/packetfront/reaper_test.go
@@ -13,7 +13,7 @@
 // receiveBeacon handles a beacon of another balancer.
 func (f *fixture) receiveBeacon(ip flow.IPv4) {
 	f.seq++
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, ConfigVersion: 5}
+	m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, ConfigVersion: 5}
 	f.HandleNode(f.now, ip, m.Append(nil))
 }
 
@@ -39,7 +39,7 @@
 // nodes for removal from the registry, and only nodes not seen for fleet.ExpireAfter.
 func TestTheReaperRemovesDeadNodes(t *testing.T) {
 	agent := func(ip flow.IPv4) DeadNode {
-		return DeadNode{fleet.RoleAgent, fleet.Entry{IP: ip, Incarnation: uint64(ip)}}
+		return DeadNode{fleet.RoleAgent, fleet.Entry{IP: ip, ProcessIncarnation: uint64(ip)}}
 	}
 	registeredAgent := func(ip flow.IPv4) DeadNode { return DeadNode{fleet.RoleAgent, registered(ip)[0]} }
 	for name, c := range map[string]struct {
@@ -56,7 +56,7 @@
 		"the other reaper died": {
 			prepare: func(f *fixture) { f.receiveBeacon(lowerPeer) },
 			agents:  []flow.IPv4{targetA}, balancers: []flow.IPv4{higherPeer},
-			want: []DeadNode{agent(targetB), {fleet.RoleBalancer, fleet.Entry{IP: lowerPeer, Incarnation: uint64(lowerPeer)}}},
+			want: []DeadNode{agent(targetB), {fleet.RoleBalancer, fleet.Entry{IP: lowerPeer, ProcessIncarnation: uint64(lowerPeer)}}},
 		},
 		"a registered agent was never seen": {
 			prepare: func(f *fixture) {
--- a/balancer/packetfront/relay_test.go
+++ b/balancer/packetfront/relay_test.go
@@ -22,7 +22,7 @@
 
 func remoteAnnouncement(incarnation uint64, seq uint32, state fleet.State) fleet.Announcement {
 	return fleet.Announcement{
-		MessageID: fleet.MessageID{Incarnation: incarnation, Seq: seq}, Zone: remoteZone, Service: alpha, State: state, Slots: 4,
+		MessageID: fleet.MessageID{ProcessIncarnation: incarnation, Seq: seq}, Zone: remoteZone, Service: alpha, State: state, Slots: 4,
 		Registration: fleet.RegistrationPresent, Period: zonecast.RelayPeriod,
 	}
 }
@@ -75,7 +75,7 @@
 		target, known := f.view.Target(remoteAgent)
 		require.Equal(t, c.known, known, name)
 		if known {
-			require.Equal(t, uint64(7), target.Incarnation, name)
+			require.Equal(t, uint64(7), target.ProcessIncarnation, name)
 			require.Equal(t, c.outstanding, target.Outstanding, name)
 			require.Equal(t, c.outstanding > 0, target.LastSeen.After(seenAt), name)
 		}
@@ -109,7 +109,7 @@
 func TestARelayForwardsMessagesWithinItsZone(t *testing.T) {
 	f := newFixture()
 	f.receiveFirstBeacon(peer)
-	a, b := remoteAnnouncement(7, 1, fleet.Ready), fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: remoteZone}
+	a, b := remoteAnnouncement(7, 1, fleet.Ready), fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 5, Seq: 1}, Zone: remoteZone}
 	f.HandleNode(f.now, remoteAgent, fleet.AppendRelay(nil, a.Append(nil)))
 	f.HandleNode(f.now, remotePeer, fleet.AppendRelay(nil, b.Append(nil)))
 	for range int(zonecast.AgentFlushPeriod/tickPeriod) + 1 {
@@ -136,7 +136,7 @@
 func TestAMessageThatAnotherRelayHasSentIsNotRepeated(t *testing.T) {
 	f := newFixture()
 	f.receiveFirstBeacon(peer)
-	b := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 5, Seq: 1}, Zone: remoteZone}
+	b := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 5, Seq: 1}, Zone: remoteZone}
 	f.HandleNode(f.now, remotePeer, fleet.AppendRelay(nil, b.Append(nil)))
 	f.receiveRelayed(fleet.RelayedMessage{From: remotePeer, Message: b.Append(nil)})
 	for range int(zonecast.AgentFlushPeriod/tickPeriod) + 1 {
--- a/balancer/packetfront/relayed.go
+++ b/balancer/packetfront/relayed.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	switch c.view.TargetProcess(r.From, a.Incarnation) {
+	switch c.view.TargetProcess(r.From, a.ProcessIncarnation) {
 	case fleet.ProcessCurrent:
 		c.refreshTarget(now, r.From, a)
 	case fleet.ProcessUnknown:
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	switch c.view.PeerProcess(r.From, m.Incarnation) {
+	switch c.view.PeerProcess(r.From, m.ProcessIncarnation) {
 	case fleet.ProcessCurrent:
 		c.recordBeacon(now, r.From, m)
 		c.view.MarkRelayed(r.From)
@@ -96,7 +96,7 @@
 // probeOverdue probes the nodes of other zones whose relayed messages have stopped arriving.
 func (c *Core) probeOverdue(now time.Time) {
 	probe := func(ip flow.IPv4, lastSeen time.Time) {
-		c.events.Probed(ip, now.Sub(lastSeen))
+		c.events.NodeProbed(ip, now.Sub(lastSeen))
 		c.sendBeacon(now, ip, fleet.Beacon{WantPeers: true})
 	}
 	for _, ip := range c.view.TargetsToProbe(now, c.opts.Zone, c.relays.usesRelays) {
--- a/balancer/packetfront/rotation_test.go
+++ b/balancer/packetfront/rotation_test.go
@@ -47,7 +47,7 @@
 	for _, p := range peers {
 		f.seq++
 		b := fleet.Beacon{
-			MessageID: fleet.MessageID{Incarnation: uint64(p.ip), Seq: f.seq}, InRotation: !p.out, LinkMbps: p.linkMbps, SentMbps: p.sentMbps,
+			MessageID: fleet.MessageID{ProcessIncarnation: uint64(p.ip), Seq: f.seq}, InRotation: !p.out, LinkMbps: p.linkMbps, SentMbps: p.sentMbps,
 		}
 		f.HandleNode(f.now, p.ip, b.Append(nil))
 	}
--- a/balancer/packetfront/silence_test.go
+++ b/balancer/packetfront/silence_test.go
@@ -35,7 +35,7 @@
 		for _, zone := range zones {
 			for _, ip := range z.targets[zone] {
 				z.seq++
-				a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: z.seq}, Zone: flow.Tag(zone), Service: alpha, State: fleet.Ready, Slots: 4}
+				a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: z.seq}, Zone: flow.Tag(zone), Service: alpha, State: fleet.Ready, Slots: 4}
 				z.HandleNode(z.now, ip, a.Append(nil))
 			}
 		}
--- a/balancer/packetfront/snapshots.go
+++ b/balancer/packetfront/snapshots.go
@@ -49,10 +49,10 @@
 // ask for one before the store is read: the feeders of the zone. A feeder asks only those with
 // lower addresses, so that the first feeder of a zone reads for all.
 func (c *Core) SnapshotSources(now time.Time) (ask []flow.IPv4, due bool) {
-	if !c.proof.WantsSnapshot(now) {
+	if !c.proof.TryBeginSnapshot(now) {
 		return nil, false
 	}
-	feeds := c.operator.Feeds(now)
+	feeds := c.operator.MustFeed(now)
 	ask = slices.DeleteFunc(c.view.ZoneFeeders(now, c.opts.Zone), func(ip flow.IPv4) bool {
 		return now.Before(c.snapshots.avoidUntil[ip]) || (feeds && ip > c.opts.Self)
 	})
--- a/balancer/packetfront/snapshots_test.go
+++ b/balancer/packetfront/snapshots_test.go
@@ -27,7 +27,7 @@
 func (f *fixture) peers(zone flow.Tag, feeder bool, ips ...flow.IPv4) {
 	for _, ip := range ips {
 		f.seq++
-		m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Zone: zone, Feeder: feeder}
+		m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Zone: zone, Feeder: feeder}
 		f.HandleNode(f.now, ip, m.Append(nil))
 	}
 }
@@ -213,7 +213,7 @@
 			if i == 2 {
 				zone = otherZone
 			}
-			m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: 1, Seq: 1}, Zone: zone, Feeder: true, Period: time.Minute}
+			m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: 1, Seq: 1}, Zone: zone, Feeder: true, Period: time.Minute}
 			f.core.HandleNode(now, ip, m.Append(nil))
 		}
 	})
--- a/balancer/search/fixture_test.go
+++ b/balancer/search/fixture_test.go
@@ -81,14 +81,14 @@
 func registered(ips ...flow.IPv4) []fleet.Entry {
 	var out []fleet.Entry
 	for _, ip := range ips {
-		out = append(out, fleet.Entry{IP: ip, Incarnation: uint64(ip), Revision: 1})
+		out = append(out, fleet.Entry{IP: ip, ProcessIncarnation: uint64(ip), Revision: 1})
 	}
 	return out
 }
 
 func config(version int64) *flow.Config {
 	return &flow.Config{Version: version, Routes: map[flow.Front]*flow.Route{
-		front: {Name: "r", Backends: []flow.Backend{{Name: "alpha", Tag: alpha, Weight: 1}}},
+		front: {Name: "r", Services: []flow.WeightedService{{Name: "alpha", Tag: alpha, Weight: 1}}},
 	}}
 }
 
@@ -189,7 +189,7 @@
 
 // beaconFrom delivers the first beacon of another balancer.
 func (f *fixture) beaconFrom(ip flow.IPv4) {
-	m := fleet.Beacon{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: 1}}
+	m := fleet.Beacon{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: 1}}
 	if f.fleet.ApplyBeacon(f.now, ip, m) == fleet.Joined {
 		f.BalancerJoined(f.now, ip)
 	}
@@ -197,14 +197,14 @@
 
 func (f *fixture) announce(ip flow.IPv4, state fleet.State) {
 	f.seq++
-	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: state, Slots: 4}
+	a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: state, Slots: 4}
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
 // announceRegistered announces a ready target whose agent is in the registry.
 func (f *fixture) announceRegistered(ip flow.IPv4) {
 	f.seq++
-	a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, Registration: fleet.RegistrationPresent}
+	a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: uint64(ip), Seq: f.seq}, Service: alpha, State: fleet.Ready, Slots: 4, Registration: fleet.RegistrationPresent}
 	f.HandleNode(f.now, ip, a.Append(nil))
 }
 
@@ -265,5 +265,5 @@
 	if !buffered {
 		return nil
 	}
-	return slices.DeleteFunc(f.port.Delivered(), func(s envelopetest.Sent) bool { return b.probes[s.Env.SearchID] == nil })
+	return slices.DeleteFunc(f.port.Delivered(), func(s envelopetest.Sent) bool { return b.probes[s.Env.ProbeID] == nil })
 }
--- a/balancer/search/proof.go
+++ b/balancer/search/proof.go
@@ -201,10 +201,10 @@
 	})
 }
 
-// WantsSnapshot reports whether to read the agents' registry now, and records that the read begins
+// TryBeginSnapshot reports whether to read the agents' registry now, and records that the read begins
 // if so. It is read shortly before the balancer stops being fresh, since nothing is decided
 // earlier, and when a flow seems to have ended, as often as the pacer allows.
-func (p *Proof) WantsSnapshot(now time.Time) bool {
+func (p *Proof) TryBeginSnapshot(now time.Time) bool {
 	if now.Sub(p.startedAt) < FreshTime-SnapshotLead || (!p.snapshot.refreshWanted && !p.snapshot.earliest.IsZero()) {
 		return false
 	}
--- a/balancer/search/proof_test.go
+++ b/balancer/search/proof_test.go
@@ -319,14 +319,14 @@
 	for f.now.Sub(begin) < 10*time.Second {
 		f.now = f.now.Add(100 * time.Millisecond)
 		f.snapshot.refreshWanted = true
-		if f.WantsSnapshot(f.now) {
+		if f.TryBeginSnapshot(f.now) {
 			reads = append(reads, f.now.Sub(begin))
 		}
 	}
 	require.Equal(t, []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 1300 * time.Millisecond}, reads[:3])
 	require.Len(t, reads, 8)
 	f.now = f.now.Add(2*mostSurveyPause + 1)
-	require.True(t, f.WantsSnapshot(f.now))
+	require.True(t, f.TryBeginSnapshot(f.now))
 	f.now = f.now.Add(surveyPause)
-	require.True(t, f.WantsSnapshot(f.now), "the pause is back to its minimum")
+	require.True(t, f.TryBeginSnapshot(f.now), "the pause is back to its minimum")
 }
--- a/balancer/search/search.go
+++ b/balancer/search/search.go
@@ -242,7 +242,7 @@
 // sendProbe sends a packet to the first of the targets, to be passed on to the others.
 func (f *Finder) sendProbe(packet []byte, targets []flow.Candidate, probeID uint32) {
 	f.env = envelope.Envelope{
-		Kind: envelope.Deliver, Balancer: f.opts.Self, Flags: envelope.Search, SearchID: probeID, Service: targets[0].Service,
+		Kind: envelope.Deliver, Balancer: f.opts.Self, Flags: envelope.Search, ProbeID: probeID, Service: targets[0].Service,
 	}
 	f.env.SetCandidates(targets[1:])
 	f.port.Send(targets[0].Target, &f.env, packet)
@@ -258,11 +258,11 @@
 		return
 	}
 	b, buffered := f.buffer.flows[key]
-	if !buffered || !b.searching || b.probes[env.SearchID] == nil {
+	if !buffered || !b.searching || b.probes[env.ProbeID] == nil {
 		f.events.Dropped(DropLateAnswer)
 		return
 	}
-	delete(b.probes, env.SearchID)
+	delete(b.probes, env.ProbeID)
 	b.uncertain = b.uncertain || env.Flags&envelope.Uncertain != 0
 	if len(b.probes) > 0 {
 		return
--- a/balancer/search/search_test.go
+++ b/balancer/search/search_test.go
@@ -196,7 +196,7 @@
 		if !all && rapid.IntRange(0, 3).Draw(t, "comes back") == 0 {
 			continue
 		}
-		if slices.ContainsFunc(waiting, func(w envelopetest.Sent) bool { return w.Env.SearchID == s.Env.SearchID }) {
+		if slices.ContainsFunc(waiting, func(w envelopetest.Sent) bool { return w.Env.ProbeID == s.Env.ProbeID }) {
 			for _, ip := range targetsOf(s) {
 				denied[ip] = true
 			}
@@ -211,7 +211,7 @@
 	f := newFixture()
 	add := func(ip flow.IPv4, zone, service flow.Tag) {
 		f.seq++
-		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: f.seq}, Service: service, Zone: zone, State: fleet.Ready, Slots: 4}
+		a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: 1, Seq: f.seq}, Service: service, Zone: zone, State: fleet.Ready, Slots: 4}
 		f.HandleNode(f.now, ip, a.Append(nil))
 	}
 	f.now = f.now.Add(fleet.OverdueAfter + 1)
@@ -244,7 +244,7 @@
 	f := newFixture()
 	for i := range flow.IPv4(targets) {
 		f.seq++
-		a := fleet.Announcement{MessageID: fleet.MessageID{Incarnation: 1, Seq: f.seq}, Service: alpha, Zone: flow.Tag(1 + i%zones), State: fleet.Ready, Slots: 4}
+		a := fleet.Announcement{MessageID: fleet.MessageID{ProcessIncarnation: 1, Seq: f.seq}, Service: alpha, Zone: flow.Tag(1 + i%zones), State: fleet.Ready, Slots: 4}
 		f.HandleNode(f.now, 0x0a020000+i, a.Append(nil))
 	}
 	f.client(packet(false, 9))
--- a/choose/choose.go
+++ b/choose/choose.go
@@ -45,9 +45,9 @@
 	Capacity int
 }
 
-// LoadReport is the load that a host reports for a service, for the choice among hosts (Set). It
+// HostLoad is the load that a host reports for a service, for the choice among hosts (Set). It
 // may be out of date.
-type LoadReport struct {
+type HostLoad struct {
 	// Open is the number of the service's open flows at the host.
 	Open int
 	// Busy is the load in thousandths of the host's limit, not a number of requests as in Offer;
@@ -60,7 +60,7 @@
 
 type hostState struct {
 	Host
-	report   LoadReport
+	report   HostLoad
 	reportAt time.Time
 	// sentSince counts the flows sent to the host since the report.
 	sentSince int
@@ -118,7 +118,7 @@
 
 // Observe records a load report of a host from the data path; it also shows that the host is
 // alive.
-func (s *Set) Observe(now time.Time, addr netip.AddrPort, r LoadReport) {
+func (s *Set) Observe(now time.Time, addr netip.AddrPort, r HostLoad) {
 	st, ok := s.index[addr]
 	if !ok {
 		return
--- a/choose/choose_test.go
+++ b/choose/choose_test.go
@@ -80,7 +80,7 @@
 			},
 			"observe": func(t *rapid.T) {
 				a := addr(rapid.IntRange(0, 4).Draw(t, "host"))
-				set.Observe(now, a, LoadReport{Open: rapid.IntRange(0, 50).Draw(t, "open")})
+				set.Observe(now, a, HostLoad{Open: rapid.IntRange(0, 50).Draw(t, "open")})
 				delete(o.unanswered, a)
 			},
 			"wait": func(t *rapid.T) {
@@ -117,7 +117,7 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	set.Replace(t0, hosts(9))
 	for i := range 9 {
-		set.Observe(t0, addr(i), LoadReport{Open: 1000})
+		set.Observe(t0, addr(i), HostLoad{Open: 1000})
 	}
 	// A tenth host joins empty, as after a cold start.
 	start := t0.Add(time.Minute)
@@ -171,11 +171,11 @@
 		set := NewSet(Defaults(), "a")
 		rnd := rand.New(rand.NewPCG(uint64(b), 1))
 		set.Replace(t0, hosts(20))
-		set.Observe(t0, addr(0), LoadReport{Open: 10000})
+		set.Observe(t0, addr(0), HostLoad{Open: 10000})
 		for i := range picks {
 			now := t0.Add(time.Duration(i) * 500 * time.Millisecond)
 			for h := range 19 {
-				set.Observe(now, addr(h+1), LoadReport{Open: 5})
+				set.Observe(now, addr(h+1), HostLoad{Open: 5})
 			}
 			if a, _ := set.Pick(now, rnd); a == addr(0) {
 				tried++
@@ -193,6 +193,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		a, _ := set.Pick(t0, rnd)
-		set.Observe(t0, a, LoadReport{Open: 1})
+		set.Observe(t0, a, HostLoad{Open: 1})
 	}
 }
--- a/choose/offer.go
+++ b/choose/offer.go
@@ -9,10 +9,10 @@
 
 // Offer is a target that may take a new flow, as one balancer sees it.
 type Offer struct {
-	// Busy is the number of requests that the target works on or has queued, from its agent's
-	// last announcement; Sent is how many flows this balancer has sent to it since. Busy in
+	// Outstanding is the number of requests that the target works on or has queued, from its agent's
+	// last announcement; Sent is how many flows this balancer has sent to it since. Outstanding in
 	// LoadReport has another unit.
-	Busy, Sent int
+	Outstanding, Sent int
 	// Slots is the number of requests that the target works on at once.
 	Slots int
 	// AnswerInterval is the mean time between two answers of the target when it is fully used, as
@@ -83,7 +83,7 @@
 		o.Avoid = false
 		return math.MaxInt64/2 + w.Delay(o, typical)/2
 	}
-	load := float64(o.Busy+o.Sent+1) / float64(max(o.Slots, 1))
+	load := float64(o.Outstanding+o.Sent+1) / float64(max(o.Slots, 1))
 	if o.Warming {
 		load *= w.Warming
 	}
--- a/choose/offer_test.go
+++ b/choose/offer_test.go
@@ -16,7 +16,7 @@
 func TestDelay(t *testing.T) {
 	idle := Offer{Slots: 4}
 	for name, worse := range map[string]Offer{
-		"busy":          {Slots: 4, Busy: 3},
+		"busy":          {Slots: 4, Outstanding: 3},
 		"sent to since": {Slots: 4, Sent: 1},
 		"fewer slots":   {Slots: 2},
 		"other zone":    {Slots: 4, CrossZone: true},
@@ -31,9 +31,9 @@
 
 func TestCheapestPrefersLocalZoneUntilSlotsAreTaken(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	local, remote := Offer{Slots: 4, Busy: 3}, Offer{Slots: 4, CrossZone: true}
+	local, remote := Offer{Slots: 4, Outstanding: 3}, Offer{Slots: 4, CrossZone: true}
 	require.Equal(t, 0, weights.Cheapest([]Offer{local, remote}, typical, rnd))
-	local.Busy = 5
+	local.Outstanding = 5
 	require.Equal(t, 1, weights.Cheapest([]Offer{local, remote}, typical, rnd))
 }
 
@@ -44,7 +44,7 @@
 		usable := false
 		for range rapid.IntRange(1, 12).Draw(t, "targets") {
 			o := Offer{
-				Slots: 4, Busy: rapid.IntRange(0, 40).Draw(t, "busy"),
+				Slots: 4, Outstanding: rapid.IntRange(0, 40).Draw(t, "busy"),
 				CrossZone: rapid.Bool().Draw(t, "other"), Avoid: rapid.Bool().Draw(t, "avoid"),
 			}
 			usable = usable || !o.Avoid
@@ -89,8 +89,8 @@
 		better, worse Offer
 	}{
 		"both idle":                     {Offer{Slots: 3, AnswerInterval: fast}, Offer{Slots: 3, AnswerInterval: slow}},
-		"fast one twice as busy":        {Offer{Slots: 3, AnswerInterval: fast, Busy: 4}, Offer{Slots: 3, AnswerInterval: slow, Busy: 2}},
-		"fast one three times as busy":  {Offer{Slots: 3, AnswerInterval: slow, Busy: 2}, Offer{Slots: 3, AnswerInterval: fast, Busy: 9}},
+		"fast one twice as busy":        {Offer{Slots: 3, AnswerInterval: fast, Outstanding: 4}, Offer{Slots: 3, AnswerInterval: slow, Outstanding: 2}},
+		"fast one three times as busy":  {Offer{Slots: 3, AnswerInterval: slow, Outstanding: 2}, Offer{Slots: 3, AnswerInterval: fast, Outstanding: 9}},
 		"unknown against a slow one":    {Offer{Slots: 3}, Offer{Slots: 3, AnswerInterval: slow}},
 		"a fast one against an unknown": {Offer{Slots: 3, AnswerInterval: fast}, Offer{Slots: 3}},
 		"sent since":                    {Offer{Slots: 3, AnswerInterval: slow}, Offer{Slots: 3, AnswerInterval: fast, Sent: 3}},
@@ -105,15 +105,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		each := time.Duration(rapid.IntRange(0, 1000).Draw(t, "each")) * 100 * time.Microsecond
 		offer := func(name string) Offer {
-			return Offer{Slots: 4, Busy: rapid.IntRange(0, 100).Draw(t, name), AnswerInterval: each, CrossZone: rapid.Bool().Draw(t, name+" other zone")}
+			return Offer{Slots: 4, Outstanding: rapid.IntRange(0, 100).Draw(t, name), AnswerInterval: each, CrossZone: rapid.Bool().Draw(t, name+" other zone")}
 		}
 		a, b := offer("a"), offer("b")
 		at := TypicalServiceTime([]Offer{a, b})
 		load := func(o Offer) int {
 			if o.CrossZone {
-				return o.Busy + o.Slots
+				return o.Outstanding + o.Slots
 			}
-			return o.Busy
+			return o.Outstanding
 		}
 		require.Equal(t, load(a) < load(b), weights.Delay(a, at) < weights.Delay(b, at))
 	})
@@ -131,8 +131,8 @@
 // TestAvoidedTargetsKeepTheirOrder: avoided targets come after all others, however slow those
 // are, and are ordered by delay.
 func TestAvoidedTargetsKeepTheirOrder(t *testing.T) {
-	remote := Offer{Slots: 1, Busy: 1 << 15, AnswerInterval: 6 * time.Second, CrossZone: true}
-	idle, busy := Offer{Slots: 4, Avoid: true}, Offer{Slots: 4, Busy: 9, Avoid: true}
+	remote := Offer{Slots: 1, Outstanding: 1 << 15, AnswerInterval: 6 * time.Second, CrossZone: true}
+	idle, busy := Offer{Slots: 4, Avoid: true}, Offer{Slots: 4, Outstanding: 9, Avoid: true}
 	require.Less(t, weights.Delay(remote, typical), weights.Delay(idle, typical))
 	require.Less(t, weights.Delay(idle, typical), weights.Delay(busy, typical))
 }
--- a/choose/zones_test.go
+++ b/choose/zones_test.go
@@ -102,7 +102,7 @@
 			}
 			*r = simReport{busy: t.queue, next: now.Add(age)}
 		}
-		offers[i] = Offer{Busy: r.busy, Sent: r.sent, Slots: simSlots, AnswerInterval: t.answerInterval, CrossZone: t.zone != zone}
+		offers[i] = Offer{Outstanding: r.busy, Sent: r.sent, Slots: simSlots, AnswerInterval: t.answerInterval, CrossZone: t.zone != zone}
 	}
 	return offers
 }
@@ -140,7 +140,7 @@
 // TestOtherZonePrice: a stated price is the extra delay from which on a flow crosses zones,
 // whatever the service time.
 func TestOtherZonePrice(t *testing.T) {
-	local := Offer{Slots: 4, Busy: 7, AnswerInterval: 10 * time.Millisecond}
+	local := Offer{Slots: 4, Outstanding: 7, AnswerInterval: 10 * time.Millisecond}
 	remote := Offer{Slots: 4, AnswerInterval: 10 * time.Millisecond, CrossZone: true}
 	for price, want := range map[time.Duration]int{0: 1, 60 * time.Millisecond: 1, 80 * time.Millisecond: 0} {
 		w := Weights{CrossZoneCost: 1, CrossZonePrice: price, Warming: 1.6}
--- a/e2e/packets/mesh_test.go
+++ b/e2e/packets/mesh_test.go
@@ -285,13 +285,13 @@
 	newBalancer := w.AddBalancer("z1")
 	w.Run(time.Second)
 	current, _ := newBalancer.Core.View().Target(agent.IP)
-	incarnation := current.Incarnation
+	incarnation := current.ProcessIncarnation
 	for _, datagram := range delayed {
 		for _, b := range append(zone, newBalancer) {
 			b.Core.HandleNode(w.Now, zone[0].IP, datagram)
 			target, known := b.Core.View().Target(agent.IP)
 			require.True(t, known)
-			require.Equal(t, incarnation, target.Incarnation, "balancer %v", b.IP)
+			require.Equal(t, incarnation, target.ProcessIncarnation, "balancer %v", b.IP)
 		}
 	}
 }
--- a/e2e/packets/registry_test.go
+++ b/e2e/packets/registry_test.go
@@ -29,7 +29,7 @@
 	w.Run(time.Second)
 	for i := range registered - 6 {
 		ip := flow.IPv4(0x0b000000 + i)
-		w.Registry[ip] = fleet.Entry{IP: ip, Incarnation: 1}
+		w.Registry[ip] = fleet.Entry{IP: ip, ProcessIncarnation: 1}
 	}
 	clear(w.Calls)
 	blackout(w, outageTime, outageTime)
--- a/e2e/packets/target_test.go
+++ b/e2e/packets/target_test.go
@@ -40,8 +40,8 @@
 	openedAt      []time.Time
 }
 
-func (t *target) incarnation() fleet.Incarnation {
-	return fleet.Incarnation{TargetID: t.id, StartedMillis: t.startedMillis}
+func (t *target) incarnation() fleet.TargetIncarnation {
+	return fleet.TargetIncarnation{TargetID: t.id, StartedMillis: t.startedMillis}
 }
 
 // targetFlow is a flow at its target: seq is the sequence number of the SYN+ACK, next that of
@@ -78,7 +78,7 @@
 	if !a.Up {
 		return
 	}
-	acknowledged := a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: t.incarnation(), Service: t.service, Slots: t.slots, Draining: t.draining, Sequence: t.lastSequence, WarmupLeft: max(t.coldUntil.Sub(a.w.Now), 0)})
+	acknowledged := a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{TargetIncarnation: t.incarnation(), Service: t.service, Slots: t.slots, Draining: t.draining, Sequence: t.lastSequence, WarmupLeft: max(t.coldUntil.Sub(a.w.Now), 0)})
 	t.unseenRestart = t.unseenRestart && !acknowledged
 	if acknowledged && t.draining && t.drainAckedBy != a.Generation {
 		t.drainAckedBy, t.drainAckedAt = a.Generation, a.w.Now
@@ -117,7 +117,7 @@
 		return
 	}
 	t.lastSequence++
-	a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{Incarnation: t.incarnation(), Service: t.service, Slots: t.slots, Draining: true, Sequence: t.lastSequence})
+	a.Core.Heartbeat(a.w.Now, fleet.Heartbeat{TargetIncarnation: t.incarnation(), Service: t.service, Slots: t.slots, Draining: true, Sequence: t.lastSequence})
 }
 
 // HandlePacket handles a packet that the agent delivered; it implements sim.Target.
--- a/e2e/packets/world_test.go
+++ b/e2e/packets/world_test.go
@@ -71,7 +71,7 @@
 // for requests to wait for slots.
 func newRoute(name, service string) *flow.Route {
 	return &flow.Route{
-		Name: name, Backends: []flow.Backend{{Name: service, Tag: flow.TagOf(service), Weight: 1}},
+		Name: name, Services: []flow.WeightedService{{Name: service, Tag: flow.TagOf(service), Weight: 1}},
 		Objective: 200 * time.Millisecond, Deadline: 3 * time.Second,
 	}
 }
--- a/fleet/batch.go
+++ b/fleet/batch.go
@@ -98,5 +98,5 @@
 		return MessageID{}, ErrMalformed
 	}
 	b := message[envelope.PrefixLen:]
-	return MessageID{Incarnation: binary.BigEndian.Uint64(b), Seq: binary.BigEndian.Uint32(b[8:])}, nil
+	return MessageID{ProcessIncarnation: binary.BigEndian.Uint64(b), Seq: binary.BigEndian.Uint32(b[8:])}, nil
 }
--- a/fleet/digest_test.go
+++ b/fleet/digest_test.go
@@ -15,7 +15,7 @@
 func viewOf(now time.Time, nodes int) *View {
 	v := NewView()
 	for i := range nodes {
-		id := MessageID{Incarnation: 1, Seq: 1}
+		id := MessageID{ProcessIncarnation: 1, Seq: 1}
 		if i%7 < 2 {
 			v.ApplyBeacon(now, flow.IPv4(0x0a000001+i), Beacon{MessageID: id})
 			continue
@@ -60,7 +60,7 @@
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			ip := flow.IPv4(rapid.IntRange(1, 8).Draw(t, "node"))
 			seq++
-			id := MessageID{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), Seq: seq}
+			id := MessageID{ProcessIncarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), Seq: seq}
 			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0:
 				v.ApplyBeacon(now, 100+ip, Beacon{MessageID: id})
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -18,8 +18,8 @@
 // Entry is a node's entry in the registry, the store's list of nodes that may be running.
 type Entry struct {
 	IP flow.IPv4
-	// Incarnation is the incarnation of the process that wrote the entry; zero if unknown.
-	Incarnation uint64
+	// ProcessIncarnation is the incarnation of the process that wrote the entry; zero if unknown.
+	ProcessIncarnation uint64
 	// Revision is the store revision of the entry's last change; zero if unknown.
 	Revision int64
 }
--- a/fleet/feeders.go
+++ b/fleet/feeders.go
@@ -51,10 +51,10 @@
 	return before
 }
 
-// ShouldFeed reports whether the balancer self should be a feeder: it is among the first
+// MustFeed reports whether the balancer self should be a feeder: it is among the first
 // FeedersPerZone eligible balancers of its zone by address, or it sees fewer than minFeeders
 // eligible feeders in the whole fleet.
-func (v *View) ShouldFeed(now time.Time, self flow.IPv4, zone flow.Tag) bool {
+func (v *View) MustFeed(now time.Time, self flow.IPv4, zone flow.Tag) bool {
 	if v.rank(now, self, zone) < FeedersPerZone {
 		return true
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -175,7 +175,7 @@
 	require.Len(t, v.TargetsOf(alpha), 1)
 	require.Equal(t, []flow.Tag{alpha, beta}, v.Services())
 	targets, _ := v.Expire(start.Add(ExpireAfter + time.Second))
-	require.ElementsMatch(t, []Entry{{IP: ip1, Incarnation: 1}, {IP: ip2, Incarnation: 2}}, targets)
+	require.ElementsMatch(t, []Entry{{IP: ip1, ProcessIncarnation: 1}, {IP: ip2, ProcessIncarnation: 2}}, targets)
 	require.Empty(t, v.Services())
 }
 
@@ -261,23 +261,23 @@
 		v.ApplyBeacon(at, ip, Beacon{MessageID: MessageID{uint64(ip), seq}, Zone: zone, Feeder: feeding, Leaving: leaving})
 	}
 	self := flow.IPv4(100)
-	require.True(t, v.ShouldFeed(start, self, zone), "alone")
+	require.True(t, v.MustFeed(start, self, zone), "alone")
 	receive(start, 1, zone, true, false)
-	require.True(t, v.ShouldFeed(start, self, zone), "second of its zone")
+	require.True(t, v.MustFeed(start, self, zone), "second of its zone")
 	receive(start, 2, zone, true, false)
-	require.True(t, v.ShouldFeed(start, self, zone), "two feeders are too few")
+	require.True(t, v.MustFeed(start, self, zone), "two feeders are too few")
 	receive(start, 200, elsewhere, true, false)
-	require.False(t, v.ShouldFeed(start, self, zone))
-	require.True(t, v.ShouldFeed(start, 50, elsewhere), "first of its zone")
+	require.False(t, v.MustFeed(start, self, zone))
+	require.True(t, v.MustFeed(start, 50, elsewhere), "first of its zone")
 	later := start.Add(time.Duration(eligiblePeriods*float64(SameZonePeriod)) + time.Millisecond)
-	require.True(t, v.ShouldFeed(later, self, zone), "feeders not eligible any more")
+	require.True(t, v.MustFeed(later, self, zone), "feeders not eligible any more")
 	for _, ip := range []flow.IPv4{1, 2, 200} {
 		receive(later, ip, zone, ip != 1, false)
 	}
-	require.True(t, v.ShouldFeed(later, self, zone), "one gets no answer from the store")
+	require.True(t, v.MustFeed(later, self, zone), "one gets no answer from the store")
 	again := later.Add(time.Second)
 	receive(again, 1, zone, true, true)
-	require.True(t, v.ShouldFeed(again, self, zone), "one feeder is leaving")
+	require.True(t, v.MustFeed(again, self, zone), "one feeder is leaving")
 }
 
 func FuzzDecode(f *testing.F) {
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -14,10 +14,10 @@
 // ErrMalformed is returned for bytes that are not a valid message of the expected kind.
 var ErrMalformed = errors.New("malformed fleet message")
 
-// Incarnation identifies one incarnation of a target, which lasts from the start of its process to
+// TargetIncarnation identifies one incarnation of a target, which lasts from the start of its process to
 // its end. An incarnation starts without flows, and its flows end with it. A target may start
 // again under the same ID.
-type Incarnation struct {
+type TargetIncarnation struct {
 	TargetID string
 	// StartedMillis is the start time in Unix milliseconds. It is zero if the target does not report
 	// it. It is taken from the VM's clock, which may be stepped between two incarnations.
@@ -25,7 +25,7 @@
 }
 
 // Tag returns the tag that identifies the incarnation in messages.
-func (i Incarnation) Tag() flow.Tag {
+func (i TargetIncarnation) Tag() flow.Tag {
 	if i.StartedMillis == 0 {
 		return flow.TagOf(i.TargetID)
 	}
@@ -34,7 +34,7 @@
 
 // Heartbeat is a target's periodic report to the agent on its VM.
 type Heartbeat struct {
-	Incarnation
+	TargetIncarnation
 	Service string
 	// Slots is the target's concurrency: how many requests it processes at the same time, 1
 	// to 65,535.
@@ -69,9 +69,9 @@
 
 // MessageID identifies a message and orders the messages of one process.
 type MessageID struct {
-	// Incarnation is the incarnation of the sending process, an agent or a balancer: a random
-	// number drawn at each start. That of a target is the type Incarnation.
-	Incarnation uint64
+	// ProcessIncarnation is the incarnation of the sending process, an agent or a balancer: a random
+	// number drawn at each start. That of a target is the type ProcessIncarnation.
+	ProcessIncarnation uint64
 	// Seq increases with each message of one process incarnation.
 	Seq uint32
 }
@@ -123,9 +123,10 @@
 	Leaving bool
 	// Feeder balancers watch the store, and the store answers them.
 	Feeder bool
-	// WantPeers requests the balancers and agents that the receiver knows.
+	// WantPeers requests the balancers and agents that the receiver knows; an agent answers with its
+	// announcement.
 	WantPeers bool
-	// Reply marks a beacon sent in answer to another one; it is not answered.
+	// Reply marks a beacon that is not answered with a beacon.
 	Reply bool
 	// Period is the time until the sender's next periodic message to the receiver, in whole
 	// milliseconds.
@@ -181,7 +182,7 @@
 func (a *Announcement) Append(b []byte) []byte {
 	b = envelope.AppendPrefix(b, envelope.Announce)
 	b = appendFixed(b, announceWire{
-		Incarnation: a.Incarnation, Seq: a.Seq,
+		Incarnation: a.ProcessIncarnation, Seq: a.Seq,
 		Zone: uint32(a.Zone), Service: uint32(a.Service), TargetIncarnation: uint32(a.TargetIncarnation),
 		State: uint8(a.State), WantPeers: bit(a.WantPeers), WantReply: bit(a.WantReply),
 		Slots: a.Slots, Outstanding: a.Outstanding, OpenFlows: a.OpenFlows, WarmupMillis: a.WarmupMillis,
@@ -195,10 +196,10 @@
 func (m *Beacon) Append(b []byte) []byte {
 	b = envelope.AppendPrefix(b, envelope.Beacon)
 	b = appendFixed(b, beaconWire{
-		Incarnation: m.Incarnation, Seq: m.Seq, Zone: uint32(m.Zone), ConfigVersion: m.ConfigVersion, Digest: m.Digest,
+		Incarnation: m.ProcessIncarnation, Seq: m.Seq, Zone: uint32(m.Zone), ConfigVersion: m.ConfigVersion, Digest: m.Digest,
 		Leaving: bit(m.Leaving), Feeder: bit(m.Feeder), WantPeers: bit(m.WantPeers), Reply: bit(m.Reply),
 		PeriodMillis:        uint16(m.Period.Milliseconds()),
-		ReceivedIncarnation: m.LastReceived.Incarnation, ReceivedSeq: m.LastReceived.Seq,
+		ReceivedIncarnation: m.LastReceived.ProcessIncarnation, ReceivedSeq: m.LastReceived.Seq,
 		InRotation: bit(m.InRotation), LinkMbps: m.LinkMbps, SentMbps: m.SentMbps,
 	})
 	return appendEvacuations(b, m.Evacuations)
--- a/fleet/registration.go
+++ b/fleet/registration.go
@@ -24,7 +24,7 @@
 	v.snapshotLatest = latest
 	clear(v.registered)
 	for _, e := range agents {
-		v.registered[e.IP] = e.Incarnation
+		v.registered[e.IP] = e.ProcessIncarnation
 	}
 	for _, ip := range v.Targets() {
 		t := v.targets[ip]
@@ -48,13 +48,13 @@
 // cannot be asked, may have started again since: the registry has an entry for it, other than
 // the one that the announcing process itself has abandoned.
 func (v *View) MayHaveRestarted(t *Target) bool {
-	return t.Registered && !(t.Registration == RegistrationAbandoned && v.registered[t.IP] == t.Incarnation)
+	return t.Registered && !(t.Registration == RegistrationAbandoned && v.registered[t.IP] == t.ProcessIncarnation)
 }
 
 // AbandonedEntry returns the registry entry that an agent has abandoned.
 func (v *View) AbandonedEntry(t *Target) Entry {
 	if incarnation, listed := v.registered[t.IP]; listed {
-		return Entry{IP: t.IP, Incarnation: incarnation}
+		return Entry{IP: t.IP, ProcessIncarnation: incarnation}
 	}
-	return Entry{IP: t.IP, Incarnation: t.Incarnation}
+	return Entry{IP: t.IP, ProcessIncarnation: t.ProcessIncarnation}
 }
--- a/fleet/registration_test.go
+++ b/fleet/registration_test.go
@@ -11,7 +11,7 @@
 // so a search probes the target while its agent is not overdue, and again after its agent
 // was replaced or was overdue.
 func TestARegisteredTargetWithoutFlowsMayHaveStarted(t *testing.T) {
-	registered := []Entry{{IP: ip1, Incarnation: 1}}
+	registered := []Entry{{IP: ip1, ProcessIncarnation: 1}}
 	gone := func(incarnation uint64, seq uint32) Announcement { return announcement(incarnation, seq, alpha, Gone) }
 	overdueAt := start.Add(OverdueAfter + time.Second)
 	for name, c := range map[string]struct {
@@ -91,7 +91,7 @@
 // TestOlderSnapshotDoesNotRestoreARemovedEntry: a snapshot whose read ended before the agent
 // announced the removal of its entry may still contain the entry.
 func TestOlderSnapshotDoesNotRestoreARemovedEntry(t *testing.T) {
-	registered := []Entry{{IP: ip1, Incarnation: 1}}
+	registered := []Entry{{IP: ip1, ProcessIncarnation: 1}}
 	for name, c := range map[string]struct {
 		announced, latest time.Duration
 		listing           Registration
@@ -126,10 +126,10 @@
 		mayLive bool
 		entry   Entry
 	}{
-		"its own entry":            {[]Entry{{IP: ip1, Incarnation: 7}}, false, Entry{IP: ip1, Incarnation: 7}},
-		"entry of another process": {[]Entry{{IP: ip1, Incarnation: 6}}, true, Entry{IP: ip1, Incarnation: 6}},
-		"no entry":                 {nil, false, Entry{IP: ip1, Incarnation: 7}},
-		"entry of another VM":      {[]Entry{{IP: ip2, Incarnation: 7}}, false, Entry{IP: ip1, Incarnation: 7}},
+		"its own entry":            {[]Entry{{IP: ip1, ProcessIncarnation: 7}}, false, Entry{IP: ip1, ProcessIncarnation: 7}},
+		"entry of another process": {[]Entry{{IP: ip1, ProcessIncarnation: 6}}, true, Entry{IP: ip1, ProcessIncarnation: 6}},
+		"no entry":                 {nil, false, Entry{IP: ip1, ProcessIncarnation: 7}},
+		"entry of another VM":      {[]Entry{{IP: ip2, ProcessIncarnation: 7}}, false, Entry{IP: ip1, ProcessIncarnation: 7}},
 	} {
 		v := NewView()
 		a := announcement(7, 1, alpha, Gone)
--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -253,8 +253,8 @@
 }
 
 func matches(found, expected fleet.Entry) bool {
-	if expected.Incarnation != 0 {
-		return found.Incarnation == expected.Incarnation
+	if expected.ProcessIncarnation != 0 {
+		return found.ProcessIncarnation == expected.ProcessIncarnation
 	}
 	return found.Revision == expected.Revision
 }
@@ -271,7 +271,7 @@
 	if err != nil || incarnation == 0 {
 		return fleet.Entry{}, false
 	}
-	return fleet.Entry{IP: flow.FromAddr(ip), Incarnation: incarnation, Revision: kv.ModRevision}, true
+	return fleet.Entry{IP: flow.FromAddr(ip), ProcessIncarnation: incarnation, Revision: kv.ModRevision}, true
 }
 
 const hexBase = 16
--- a/fleet/registry/registry_test.go
+++ b/fleet/registry/registry_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	require.Eventually(t, func() bool {
 		got, err := List(context.Background(), s, fleet.RoleAgent)
-		return err == nil && len(got.Entries) == 1 && got.Entries[0].IP == self && got.Entries[0].Incarnation == incarnation
+		return err == nil && len(got.Entries) == 1 && got.Entries[0].IP == self && got.Entries[0].ProcessIncarnation == incarnation
 	}, 5*time.Second, 5*time.Millisecond)
 }
 
@@ -138,11 +138,11 @@
 		dead    func(found fleet.Entry) fleet.Entry
 		removed bool
 	}{
-		"same incarnation":                 {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Incarnation: 7} }, true},
-		"earlier incarnation":              {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Incarnation: 6} }, false},
+		"same incarnation":                 {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, ProcessIncarnation: 7} }, true},
+		"earlier incarnation":              {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, ProcessIncarnation: 6} }, false},
 		"same revision":                    {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Revision: e.Revision} }, true},
 		"earlier revision":                 {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self, Revision: e.Revision - 1} }, false},
-		"another node":                     {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self + 1, Incarnation: 7} }, false},
+		"another node":                     {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self + 1, ProcessIncarnation: 7} }, false},
 		"incarnation and revision unknown": {func(e fleet.Entry) fleet.Entry { return fleet.Entry{IP: self} }, false},
 	} {
 		s := standin.NewStore(time.Now)
@@ -174,7 +174,7 @@
 	r := racingStore{s, func() {
 		require.NoError(t, New(s, fleet.RoleAgent, self, 8, zap.NewNop(), func(fleet.EntryState) {}).writeEntry(ctx))
 	}}
-	require.NoError(t, Remove(ctx, r, fleet.RoleAgent, fleet.Entry{IP: self, Incarnation: 7}))
+	require.NoError(t, Remove(ctx, r, fleet.RoleAgent, fleet.Entry{IP: self, ProcessIncarnation: 7}))
 	require.Len(t, listEntries(t, s), 1)
 }
 
@@ -205,7 +205,7 @@
 		require.Len(t, got.Entries, 1, name)
 		require.Equal(t, self, got.Entries[0].IP, name)
 
-		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, fleet.Entry{IP: self + 1, Incarnation: 9}), name)
+		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, fleet.Entry{IP: self + 1, ProcessIncarnation: 9}), name)
 		require.NoError(t, Remove(ctx, s, fleet.RoleAgent, fleet.Entry{IP: self + 1}), name)
 		got, err = List(ctx, s, fleet.RoleAgent)
 		require.NoError(t, err, name)
--- a/fleet/relayed.go
+++ b/fleet/relayed.go
@@ -44,7 +44,7 @@
 
 func (f *replayFilter) relationOf(incarnation uint64) ProcessRelation {
 	switch {
-	case incarnation == f.Incarnation:
+	case incarnation == f.ProcessIncarnation:
 		return ProcessCurrent
 	case slices.Contains(f.formerIncarnations[:], incarnation):
 		return ProcessFormer
--- a/fleet/snapshotcopy/snapshotcopy_test.go
+++ b/fleet/snapshotcopy/snapshotcopy_test.go
@@ -27,7 +27,7 @@
 func agents(count int) []fleet.Entry {
 	var out []fleet.Entry
 	for i := range count {
-		out = append(out, fleet.Entry{IP: flow.IPv4(0x0a010000 + i), Incarnation: uint64(7 + i)})
+		out = append(out, fleet.Entry{IP: flow.IPv4(0x0a010000 + i), ProcessIncarnation: uint64(7 + i)})
 	}
 	return out
 }
--- a/fleet/snapshotcopy/wire.go
+++ b/fleet/snapshotcopy/wire.go
@@ -46,7 +46,7 @@
 func appendEntries(b []byte, agents []fleet.Entry) []byte {
 	for _, e := range agents {
 		b = binary.BigEndian.AppendUint32(b, uint32(e.IP))
-		b = binary.BigEndian.AppendUint64(b, e.Incarnation)
+		b = binary.BigEndian.AppendUint64(b, e.ProcessIncarnation)
 	}
 	return b
 }
@@ -99,8 +99,8 @@
 	}
 	out := make([]fleet.Entry, 0, count)
 	for ; len(b) > 0; b = b[entryLen:] {
-		e := fleet.Entry{IP: flow.IPv4(binary.BigEndian.Uint32(b)), Incarnation: binary.BigEndian.Uint64(b[4:])}
-		if e.Incarnation == 0 {
+		e := fleet.Entry{IP: flow.IPv4(binary.BigEndian.Uint32(b)), ProcessIncarnation: binary.BigEndian.Uint64(b[4:])}
+		if e.ProcessIncarnation == 0 {
 			return nil, ErrMalformed
 		}
 		out = append(out, e)
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -21,26 +21,26 @@
 // process is accepted again once the current one is overdue: the message that replaced it was
 // then a late one of an even earlier process.
 func (f *replayFilter) accept(id MessageID, currentOverdue bool) bool {
-	if id.Incarnation == 0 {
+	if id.ProcessIncarnation == 0 {
 		return false
 	}
-	if id.Incarnation == f.Incarnation {
+	if id.ProcessIncarnation == f.ProcessIncarnation {
 		if int32(id.Seq-f.Seq) <= 0 {
 			return false
 		}
 		f.MessageID = id
 		return true
 	}
-	if !currentOverdue && slices.Contains(f.formerIncarnations[:], id.Incarnation) {
+	if !currentOverdue && slices.Contains(f.formerIncarnations[:], id.ProcessIncarnation) {
 		return false
 	}
 	copy(f.formerIncarnations[1:], f.formerIncarnations[:maxFormerIncarnations-1])
-	f.formerIncarnations[0] = f.Incarnation
+	f.formerIncarnations[0] = f.ProcessIncarnation
 	f.MessageID = id
 	return true
 }
 
-// Target is a target as its agent last announced it. Its Incarnation is that of the agent's process,
+// Target is a target as its agent last announced it. Its ProcessIncarnation is that of the agent's process,
 // TargetIncarnation that of the target itself.
 type Target struct {
 	IP flow.IPv4
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -244,19 +244,19 @@
 	v.updateDigest(t, known && former.State != Gone)
 	v.recordZone(now, a.Zone)
 	t.resetProbes()
-	if !known || former.Incarnation != a.Incarnation || former.Registration != a.Registration {
+	if !known || former.ProcessIncarnation != a.ProcessIncarnation || former.Registration != a.Registration {
 		t.RegistrationChangedAt = now
 	}
 	t.Registered = v.isRegistered(t)
 	if !known || former.Service != a.Service {
 		v.moveToService(t, former.Service)
 	}
-	replaced := !known || former.Incarnation != a.Incarnation || former.Service != a.Service
+	replaced := !known || former.ProcessIncarnation != a.ProcessIncarnation || former.Service != a.Service
 	if t.MayHoldFlows(now) && (replaced || former.State == Gone && a.State != Gone || !couldHold) {
 		v.markMayHold(t)
 	}
 	switch {
-	case !known || former.Incarnation != a.Incarnation:
+	case !known || former.ProcessIncarnation != a.ProcessIncarnation:
 		return Joined
 	case former.Service != a.Service || former.TargetIncarnation != a.TargetIncarnation || former.State != a.State:
 		return Altered
@@ -299,7 +299,7 @@
 	if !known {
 		p = &Peer{IP: ip}
 	}
-	former := p.Incarnation
+	former := p.ProcessIncarnation
 	if !p.filter.accept(m.MessageID, overdue(now, p.LastSeen, p.Period, overduePeriods)) {
 		return Stale
 	}
@@ -310,7 +310,7 @@
 	p.Beacon, p.LastSeen = m, now
 	v.recordZone(now, m.Zone)
 	p.resetProbes()
-	if !known || former != m.Incarnation {
+	if !known || former != m.ProcessIncarnation {
 		return Joined
 	}
 	return Unchanged
@@ -382,14 +382,14 @@
 			v.removeFromService(t, t.Service)
 			v.removeFromDigest(t)
 			delete(v.targets, ip)
-			targets = append(targets, Entry{IP: ip, Incarnation: t.Incarnation})
+			targets = append(targets, Entry{IP: ip, ProcessIncarnation: t.ProcessIncarnation})
 		}
 	}
 	for ip, p := range v.peers {
 		if now.Sub(p.LastSeen) > ExpireAfter {
 			delete(v.peers, ip)
 			v.memberDigest ^= memberHash(ip, true)
-			balancers = append(balancers, Entry{IP: ip, Incarnation: p.Incarnation})
+			balancers = append(balancers, Entry{IP: ip, ProcessIncarnation: p.ProcessIncarnation})
 		}
 	}
 	return targets, balancers
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -40,7 +40,7 @@
 		for range 20 {
 			v := NewView()
 			for ip, b := range c.balancers {
-				m := Beacon{MessageID: MessageID{Incarnation: 1, Seq: 1}, ConfigVersion: b.version, Zone: b.zone, LinkMbps: b.mbps}
+				m := Beacon{MessageID: MessageID{ProcessIncarnation: 1, Seq: 1}, ConfigVersion: b.version, Zone: b.zone, LinkMbps: b.mbps}
 				v.ApplyBeacon(time.Unix(1, 0), ip, m)
 			}
 			from, version, ok := v.PreferredConfigSource(c.above, local)
--- a/fleet/zonecast/zonecast_test.go
+++ b/fleet/zonecast/zonecast_test.go
@@ -105,9 +105,9 @@
 func TestMessagesAreBufferedAndRelayedOnce(t *testing.T) {
 	h := newBuffer()
 	message := []byte("first")
-	require.True(t, h.Put(start, 2, fleet.MessageID{Incarnation: 1, Seq: 1}, message))
+	require.True(t, h.Put(start, 2, fleet.MessageID{ProcessIncarnation: 1, Seq: 1}, message))
 	copy(message, "xxxxx")
-	h.Put(start, 1, fleet.MessageID{Incarnation: 3, Seq: 1}, []byte("other"))
+	h.Put(start, 1, fleet.MessageID{ProcessIncarnation: 3, Seq: 1}, []byte("other"))
 	due := fleet.NextSendTime(start, FlushPeriod, h.Self)
 	require.False(t, due.After(start.Add(FlushPeriod)))
 	messages, _ := h.Take(due.Add(-1))
@@ -121,8 +121,8 @@
 
 func TestLaterMessageReplacesBufferedOne(t *testing.T) {
 	h := newBuffer()
-	h.Put(start, 1, fleet.MessageID{Incarnation: 1, Seq: 1}, []byte("first"))
-	h.Put(start, 1, fleet.MessageID{Incarnation: 1, Seq: 2}, []byte("second"))
+	h.Put(start, 1, fleet.MessageID{ProcessIncarnation: 1, Seq: 1}, []byte("first"))
+	h.Put(start, 1, fleet.MessageID{ProcessIncarnation: 1, Seq: 2}, []byte("second"))
 	messages, _ := h.Take(start.Add(FlushPeriod))
 	require.Equal(t, []fleet.RelayedMessage{{From: 1, Message: []byte("second")}}, messages)
 }
@@ -131,10 +131,10 @@
 // is dropped, so that two relays do not both send it.
 func TestMessageSentByAnotherRelayIsDropped(t *testing.T) {
 	h := newBuffer()
-	h.Put(start, 1, fleet.MessageID{Incarnation: 1, Seq: 5}, []byte("word"))
-	require.False(t, h.Discard(1, fleet.MessageID{Incarnation: 1, Seq: 4}))
-	require.False(t, h.Discard(2, fleet.MessageID{Incarnation: 1, Seq: 5}))
-	require.True(t, h.Discard(1, fleet.MessageID{Incarnation: 1, Seq: 5}))
+	h.Put(start, 1, fleet.MessageID{ProcessIncarnation: 1, Seq: 5}, []byte("word"))
+	require.False(t, h.Discard(1, fleet.MessageID{ProcessIncarnation: 1, Seq: 4}))
+	require.False(t, h.Discard(2, fleet.MessageID{ProcessIncarnation: 1, Seq: 5}))
+	require.True(t, h.Discard(1, fleet.MessageID{ProcessIncarnation: 1, Seq: 5}))
 	messages, _ := h.Take(start.Add(FlushPeriod))
 	require.Empty(t, messages)
 }
@@ -143,9 +143,9 @@
 // messages of nodes that may be gone.
 func TestResumedRelayDropsStaleMessages(t *testing.T) {
 	h := newBuffer()
-	h.Put(start, 1, fleet.MessageID{Incarnation: 1, Seq: 1}, []byte("old"))
+	h.Put(start, 1, fleet.MessageID{ProcessIncarnation: 1, Seq: 1}, []byte("old"))
 	resumedAt := start.Add(5 * time.Second)
-	h.Put(resumedAt, 2, fleet.MessageID{Incarnation: 2, Seq: 1}, []byte("new"))
+	h.Put(resumedAt, 2, fleet.MessageID{ProcessIncarnation: 2, Seq: 1}, []byte("new"))
 	messages, stale := h.Take(resumedAt)
 	require.Equal(t, []fleet.RelayedMessage{{From: 2, Message: []byte("new")}}, messages)
 	require.Equal(t, 1, stale)
@@ -154,8 +154,8 @@
 func TestRelayBufferIsBounded(t *testing.T) {
 	h := newBuffer()
 	for i := range maxBuffered {
-		require.True(t, h.Put(start, flow.IPv4(i), fleet.MessageID{Incarnation: 1}, nil))
+		require.True(t, h.Put(start, flow.IPv4(i), fleet.MessageID{ProcessIncarnation: 1}, nil))
 	}
-	require.False(t, h.Put(start, maxBuffered, fleet.MessageID{Incarnation: 1}, nil))
-	require.True(t, h.Put(start, 0, fleet.MessageID{Incarnation: 2}, nil), "replaces the earlier message of the node")
+	require.False(t, h.Put(start, maxBuffered, fleet.MessageID{ProcessIncarnation: 1}, nil))
+	require.True(t, h.Put(start, 0, fleet.MessageID{ProcessIncarnation: 2}, nil), "replaces the earlier message of the node")
 }
--- a/flow/config.go
+++ b/flow/config.go
@@ -18,8 +18,8 @@
 // Route sends the new flows of one front address to services.
 type Route struct {
 	Name string
-	// Backends are the services with their weights; there is at least one.
-	Backends []Backend
+	// Services are the services with their weights; there is at least one.
+	Services []WeightedService
 	// Priority orders routes when not all new flows can be served; 0 is the highest.
 	Priority uint8
 	// Objective is the latency objective of a request; zero if none is configured.
@@ -28,8 +28,8 @@
 	Deadline time.Duration
 }
 
-// Backend is a service that a route sends new flows to, with its weight.
-type Backend struct {
+// WeightedService is a service that a route sends new flows to, with its weight.
+type WeightedService struct {
 	Name   string
 	Tag    Tag
 	Weight int
@@ -37,20 +37,20 @@
 
 // Pick selects the service of a new flow by weight. The result depends on the flow's hash
 // alone, so that all balancers select the same service, also for a retransmitted SYN.
-func (r *Route) Pick(hash uint64) Backend {
+func (r *Route) Pick(hash uint64) WeightedService {
 	total := 0
-	for _, b := range r.Backends {
+	for _, b := range r.Services {
 		total += b.Weight
 	}
 	if total <= 0 {
-		return r.Backends[0]
+		return r.Services[0]
 	}
 	point := int((hash >> 32) % uint64(total))
-	for _, b := range r.Backends {
+	for _, b := range r.Services {
 		if point < b.Weight {
 			return b
 		}
 		point -= b.Weight
 	}
-	return r.Backends[0]
+	return r.Services[0]
 }
--- a/flow/envelope/envelope.go
+++ b/flow/envelope/envelope.go
@@ -99,9 +99,9 @@
 	Flags Flags
 	// Service is the service that the receiver's target must serve.
 	Service flow.Tag
-	// SearchID identifies one search probe of a balancer, also across its restarts. A search
+	// ProbeID identifies one search probe of a balancer, also across its restarts. A search
 	// sends several probes, each with its own ID; zero marks a probe that is not tracked.
-	SearchID uint32
+	ProbeID uint32
 	// Priority is the route's priority, 0 is the highest; for new flows only.
 	Priority uint8
 	// Objective and Deadline are those of the route's requests, zero if not configured;
@@ -155,7 +155,7 @@
 	b = binary.BigEndian.AppendUint32(b, uint32(e.Balancer))
 	b = append(b, e.Hops, byte(e.Flags), byte(e.Count), e.Priority)
 	b = binary.BigEndian.AppendUint32(b, uint32(e.Service))
-	b = binary.BigEndian.AppendUint32(b, e.SearchID)
+	b = binary.BigEndian.AppendUint32(b, e.ProbeID)
 	b = appendMillis(b, e.Objective)
 	b = appendMillis(b, e.Deadline)
 	b = binary.BigEndian.AppendUint32(b, uint32(e.ShortestWaitTarget))
@@ -187,7 +187,7 @@
 	e.Hops, e.Flags, e.Count = b[8], Flags(b[9]), count
 	e.Priority = b[11]
 	e.Service = flow.Tag(binary.BigEndian.Uint32(b[12:]))
-	e.SearchID = binary.BigEndian.Uint32(b[16:])
+	e.ProbeID = binary.BigEndian.Uint32(b[16:])
 	e.Objective, e.Deadline = decodeMillis(b[20:]), decodeMillis(b[22:])
 	e.ShortestWaitTarget, e.ShortestWaitTime = flow.IPv4(binary.BigEndian.Uint32(b[24:])), decodeMillis(b[28:])
 	e.ColdRate = float64(binary.BigEndian.Uint16(b[30:])) / rateScale
--- a/flow/envelope/envelope_test.go
+++ b/flow/envelope/envelope_test.go
@@ -19,7 +19,7 @@
 		Hops:     rapid.Uint8().Draw(t, "hops"),
 		Flags:    Flags(rapid.Uint8Range(0, 7).Draw(t, "flags")),
 		Service:  flow.Tag(rapid.Uint32().Draw(t, "service")),
-		SearchID: rapid.Uint32().Draw(t, "search"),
+		ProbeID:  rapid.Uint32().Draw(t, "search"),
 		Priority: rapid.Uint8().Draw(t, "priority"),
 		ColdRate: float64(rapid.Uint16().Draw(t, "cold rate")) / rateScale,
 	}
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -38,7 +38,7 @@
 }
 
 func TestRoutePicksByWeight(t *testing.T) {
-	r := &Route{Backends: []Backend{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}}}
+	r := &Route{Services: []WeightedService{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}}}
 	count := map[string]int{}
 	for i := range uint32(4000) {
 		count[r.Pick(Key{ClientIP: IPv4(i)}.Hash()).Name]++
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -258,7 +258,7 @@
 func (s *Service) recordLoad(now time.Time, from netip.AddrPort, h encap.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts.Observe(now, from, choose.LoadReport{Open: int(h.Open), Busy: int(h.Busy)})
+	s.hosts.Observe(now, from, choose.HostLoad{Open: int(h.Open), Busy: int(h.Busy)})
 }
 
 // reassignRefusedFlow selects another host for a new flow that a host refused.
--- a/measure/choice.go
+++ b/measure/choice.go
@@ -292,7 +292,7 @@
 }
 
 func (p *chooseSetPolicy) observe(now time.Time, host, open int) {
-	p.set.Observe(now, p.hosts[host].Addr, choose.LoadReport{Open: open})
+	p.set.Observe(now, p.hosts[host].Addr, choose.HostLoad{Open: open})
 }
 
 // baseline is a simple policy for comparison.
--- a/measure/packetbench.go
+++ b/measure/packetbench.go
@@ -111,7 +111,7 @@
 	store := standin.NewStore(time.Now)
 	server := httptest.NewServer(platformtest.NewStoreHandler(store))
 	config := &flow.Config{Version: 1, IdleTimeout: time.Minute, Routes: map[flow.Front]*flow.Route{
-		benchFront: {Name: "bench", Backends: []flow.Backend{{Name: "bench"}}},
+		benchFront: {Name: "bench", Services: []flow.WeightedService{{Name: "bench"}}},
 	}}
 	if err := platformtest.PutConfig(store, config); err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 // announce sends the announcements of a ready target for the sink until ctx ends.
 func announce(ctx context.Context, socket *relay.DatagramSocket) error {
 	a := fleetnet.Announcement{Service: flow.TagOf("bench"), Zone: flow.TagOf("z1"), State: fleetnet.Ready, Slots: 8}
-	a.Incarnation = 1
+	a.ProcessIncarnation = 1
 	for ctx.Err() == nil {
 		a.Seq++
 		// The next announcement makes up for one that is lost.
--- a/measure/startup.go
+++ b/measure/startup.go
@@ -42,7 +42,7 @@
 	config := &flow.Config{Version: 1, IdleTimeout: time.Minute, Routes: map[flow.Front]*flow.Route{}}
 	for i := range flow.IPv4(startupRoutes) {
 		config.Routes[flow.Front{IP: 0xc6120001 + i, Port: 443}] = &flow.Route{
-			Name: fmt.Sprintf("route-%d", i), Backends: []flow.Backend{{Name: "bench"}},
+			Name: fmt.Sprintf("route-%d", i), Services: []flow.WeightedService{{Name: "bench"}},
 		}
 	}
 	if err := platformtest.PutConfig(store, config); err != nil {
--- a/model/pattern.go
+++ b/model/pattern.go
@@ -209,7 +209,7 @@
 		old.report()
 	})
 	r.world.After(rolloutInterval+targetDrainTime, func() {
-		old.agent.Core.Deregister(r.world.Now, fleet.Incarnation{TargetID: old.id})
+		old.agent.Core.Deregister(r.world.Now, fleet.TargetIncarnation{TargetID: old.id})
 		old.stop()
 		old.agent.Core.Stop(r.world.Now)
 		old.agent.Stop()
--- a/model/sim/nodes.go
+++ b/model/sim/nodes.go
@@ -105,7 +105,7 @@
 // the store is available.
 func (b *Balancer) syncEvacuations() {
 	w := b.w
-	if !w.Now.Before(w.StoreDownUntil) && b.Core.Feeds(w.Now) {
+	if !w.Now.Before(w.StoreDownUntil) && b.Core.MustFeed(w.Now) {
 		b.Core.Operator().StoreAnswered(w.Now)
 		b.Core.SetEvacuations(w.Now, w.Evacuations)
 	}
@@ -118,7 +118,7 @@
 		return
 	}
 	for _, d := range b.Core.DeadNodes(w.Now) {
-		if d.Role != fleet.RoleAgent || w.Registry[d.IP].Incarnation != d.Incarnation {
+		if d.Role != fleet.RoleAgent || w.Registry[d.IP].ProcessIncarnation != d.ProcessIncarnation {
 			continue
 		}
 		delete(w.Registry, d.IP)
@@ -227,7 +227,7 @@
 	if a.Target == nil {
 		outcome = agentfront.ProbeRefused
 	}
-	a.Core.Probed(a.w.Now, outcome)
+	a.Core.TargetProbed(a.w.Now, outcome)
 }
 
 // maintainRegistration keeps the agent's registry entry in the state that the core wants. Every
@@ -246,7 +246,7 @@
 		stored = wanted
 		delete(w.Registry, a.IP)
 		if wanted == fleet.EntryPresent {
-			w.Registry[a.IP] = fleet.Entry{IP: a.IP, Incarnation: incarnation}
+			w.Registry[a.IP] = fleet.Entry{IP: a.IP, ProcessIncarnation: incarnation}
 			w.Calls[CallRegister]++
 		}
 		a.Core.EntryStored(w.Now, wanted)
--- a/model/sim/noop.go
+++ b/model/sim/noop.go
@@ -31,7 +31,7 @@
 func (NoopBalancerEvents) ZoneSilenceChanged(fleet.ZoneSilence)                     {}
 func (NoopBalancerEvents) ZoneRelayed(flow.Tag, int, bool)                          {}
 func (NoopBalancerEvents) Relayed(int)                                              {}
-func (NoopBalancerEvents) Probed(flow.IPv4, time.Duration)                          {}
+func (NoopBalancerEvents) NodeProbed(flow.IPv4, time.Duration)                      {}
 func (NoopBalancerEvents) RotationChanged(bool, float64, float64, int)              {}
 func (NoopBalancerEvents) EvacuationsChanged(_, _ flow.Evacuations, _ string)       {}
 
@@ -59,7 +59,7 @@
 func (NoopAgentEvents) OverloadChanged(bool, backlog.Load, int, time.Duration) {}
 func (NoopAgentEvents) PeerChanged(flow.IPv4, string)                          {}
 func (NoopAgentEvents) ZoneRelayed(flow.Tag, int, bool)                        {}
-func (NoopAgentEvents) Probed(flow.IPv4, time.Duration)                        {}
+func (NoopAgentEvents) NodeProbed(flow.IPv4, time.Duration)                    {}
 func (NoopAgentEvents) EvacuationsChanged(_, _ flow.Evacuations, _ string)     {}
 
 // agentEvents calls World.PassedOn for each new flow that an agent does not take; it ignores all
--- a/model/target.go
+++ b/model/target.go
@@ -102,7 +102,7 @@
 	}
 	now := t.run.world.Now
 	t.agent.Core.Heartbeat(now, fleet.Heartbeat{
-		Incarnation: fleet.Incarnation{TargetID: t.id}, Service: t.service.Name, Slots: t.service.Slots, Draining: t.draining, Sequence: t.sequence,
+		TargetIncarnation: fleet.TargetIncarnation{TargetID: t.id}, Service: t.service.Name, Slots: t.service.Slots, Draining: t.draining, Sequence: t.sequence,
 		WarmupLeft: max(t.startedAt.Add(t.service.ColdTime.D()).Sub(now), 0),
 	})
 }
--- a/soak/site.go
+++ b/soak/site.go
@@ -214,13 +214,13 @@
 func (s *site) putConfig() error {
 	s.version++
 	c := &flow.Config{Version: s.version, IdleTimeout: 15 * time.Second, Routes: map[flow.Front]*flow.Route{
-		versionFront(s.version): {Name: "extra", Backends: []flow.Backend{{Name: services[0]}}},
+		versionFront(s.version): {Name: "extra", Services: []flow.WeightedService{{Name: services[0]}}},
 	}}
 	for i, service := range services {
-		c.Routes[frontOf(i)] = &flow.Route{Name: service, Backends: []flow.Backend{{Name: service}}}
+		c.Routes[frontOf(i)] = &flow.Route{Name: service, Services: []flow.WeightedService{{Name: service}}}
 	}
 	for i := range s.idleRoutes {
-		c.Routes[idleRouteFront(i)] = &flow.Route{Name: fmt.Sprintf("idle-%064d", i), Backends: []flow.Backend{{Name: services[0]}}}
+		c.Routes[idleRouteFront(i)] = &flow.Route{Name: fmt.Sprintf("idle-%064d", i), Services: []flow.WeightedService{{Name: services[0]}}}
 	}
 	return platformtest.PutConfig(s.store, c)
 }
