--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,11 @@
-# Commands of the project; `make trial` runs it, `make test` passes the tests.
+# Commands of the project; `make trial` runs it, `make test` runs the tests.
 STATICCHECK := honnef.co/go/tools/cmd/staticcheck@v0.8.2
 # Language server; `make tools` installs it. `gopls rename -w FILE:LINE:COLUMN NEW` renames through all modules.
 GOPLS := golang.org/x/tools/gopls@v0.22.0
 BINARIES := poppywall-balancer poppywall-agent poppywallctl poppywall-load poppywall-trial poppywall-standin poppywall-measure poppywall-soak
 VERSION := $(shell git describe --always --dirty 2>/dev/null || echo dev)
 LDFLAGS := -X github.com/poppywall/poppywall/telemetry.Version=$(VERSION)
-# Tests that are red for a known fault: the second word of each line.
+# Tests that fail because of a known fault: the second word of each line of KNOWN-RED.txt.
 KNOWN_RED = $(shell awk '{sub(":$$", "", $$2); print $$2}' KNOWN-RED.txt | paste -sd '|')
 MODULES = $(patsubst %/go.mod,./%/...,$(wildcard */go.mod))
 
@@ -13,7 +13,7 @@
 
 .PHONY: trial soak test fuzz build lint tools model ablation capacity ejection choice overload costs fleet mesh relay packets startup bench experiments modules mutants
 
-# The QUIC front in one process, then the packet front as processes under a few faults.
+# Runs the QUIC front in one process, then the packet front as separate processes with a few faults.
 trial: build
 	bin/poppywall-trial
 	bin/poppywall-soak --seed 1 --faults 4
@@ -30,21 +30,21 @@
 	go vet work
 	go run $(STATICCHECK) $(MODULES)
 
-# Installs the rename tool where go install puts binaries.
+# Installs the language server into the directory of go install.
 tools:
 	go install $(GOPLS)
 
 modules:
 	tools/modules.sh
 
-# Shows that each guarantee's test goes red without its mechanism.
+# Checks that the test of each guarantee fails without the mechanism behind it.
 mutants:
 	tools/mutants.sh
 
-# Longer stateful fuzzing with fresh seeds; the seed of a failure is printed. Not
-# twice at the same time: two runs of one target share Go's corpus cache, and one
-# that reads a file which the other is writing ends with "cannot unmarshal empty
-# string".
+# Longer stateful fuzzing with fresh seeds; the seed of a failure is printed. Do not
+# run it twice at the same time: two runs of one fuzz target share Go's corpus cache,
+# and a run that reads a file while the other writes it ends with "cannot unmarshal
+# empty string".
 FUZZ_PACKAGES := ./e2e/packets ./flow ./flow/envelope ./fleet ./platform ./route ./relay/encap ./choose ./directory ./catalog ./change ./forward ./returnpath ./admission ./outlier ./agent
 fuzz:
 	POPPYWALL_SEED=0 POPPYWALL_CHECKS=5000 go test -count=1 -timeout 30m $(FUZZ_PACKAGES)
@@ -67,7 +67,7 @@
 choice ejection overload capacity costs fleet mesh relay packets startup model: build
 	bin/poppywall-measure $@
 
-# What each mechanism of the packet front is worth to callers, in the model.
+# Measures in the model what each mechanism of the packet front is worth to callers.
 ablation:
 	tools/ablation.sh
 
--- a/e2e/packets/membership_test.go
+++ b/e2e/packets/membership_test.go
@@ -83,9 +83,9 @@
 }
 
 // TestATargetThatStartsLateIsNotOverlooked: a balancer that starts after an agent that has no
-// target yet must learn of the target as soon as the other balancers, even if the first
-// message about it is lost. Otherwise it would treat the target's first flows as ended, as
-// was seen in a run of the platform's bench.
+// target yet must learn of the target as soon as the other balancers, even if the agent's first
+// announcement to it after the target's start is lost. If the agent did not retry until the
+// balancer acknowledges, the balancer would treat the target's first flows as ended.
 func TestATargetThatStartsLateIsNotOverlooked(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(seed)
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -40,8 +40,8 @@
 	return true
 }
 
-// Target is a target as its agent last announced it. Its ProcessIncarnation is that of the agent's process,
-// TargetIncarnation that of the target itself.
+// Target is a target as its agent last announced it. Its ProcessIncarnation is that of the
+// agent's process, TargetIncarnation that of the target itself.
 type Target struct {
 	IP flow.IPv4
 	Announcement
--- a/tools/ablation.sh
+++ b/tools/ablation.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Plays the model with one mechanism at a time taken out of a copy of the tree, by
-# the table beside this file. The first row of each pattern is the whole system.
-# What is no use to callers in the model may still save bytes or calls.
+# Runs the model with one mechanism at a time removed from a copy of the tree, as
+# listed in tools/ablation.txt. The first row of each pattern is the unmodified
+# system. A mechanism without benefit to callers in the model may still save bytes
+# or calls.
 #
 #   tools/ablation.sh [SEEDS [DRAWN [PATTERN...]]]
 set -uo pipefail
--- a/tools/modules.sh
+++ b/tools/modules.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Writes each module's go.mod: local modules are replaced by their folders, so
-# that every module also builds outside the workspace. Run after adding a module
-# or a dependency.
+# Updates each module's go.mod: replace directives point local modules to their
+# folders, so that every module also builds outside the workspace. Run it after
+# adding a module or a dependency.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 base=github.com/poppywall/poppywall
--- a/tools/mutants.sh
+++ b/tools/mutants.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Shows that each guarantee's test fails without its mechanism: every line of
-# the table takes one mechanism out of a copy of the tree and expects the named
-# test to go red. Prints a line each; exits 1 when a test stayed green.
+# Checks that the test of each guarantee fails without the mechanism behind it:
+# every line of tools/mutants.txt removes one mechanism from a copy of the tree and
+# names the test that must fail then. Prints the result of each line; exits with 1
+# if a test passed, or if a line did not apply or did not build.
 #
 #   file | perl expression | package | test
 set -uo pipefail
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,9 +1,9 @@
 // Package verdict describes whether a request may have been executed.
 //
 // Every error that crosses a module boundary on the request path carries a
-// Verdict, so that NotRun is reported to a caller only when it is certain. This
-// is a requirement of the project's brief: "When a counter is told a hold was not
-// run, it was not run".
+// Verdict, so that NotRun is reported to a caller only when it is certain: a
+// caller that receives it may rely on it, for example to repeat a request that
+// must not run twice.
 package verdict
 
 import (
