--- a/agent/registry.go
+++ b/agent/registry.go
@@ -39,9 +39,9 @@
 }
 
 var (
-	errNotLoopback    = errors.New("field \"address\": not a loopback address")
+	errNotLoopback    = errors.New("field \"address\": a target must listen on loopback")
 	errTooManyTargets = errors.New("too many targets on this host")
-	errAddressTaken   = errors.New("field \"address\": already announced by another target")
+	errAddressTaken   = errors.New("field \"address\": another target has announced it")
 )
 
 type registeredTarget struct {
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -83,7 +83,7 @@
 
 func (b *Balancer) handleEntries(_ context.Context, req control.EntriesRequest) (control.EntriesReply, error) {
 	if len(req.Entries) > control.MaxEntriesPerCall {
-		return control.EntriesReply{}, errors.Errorf("request has more than %d entries", control.MaxEntriesPerCall)
+		return control.EntriesReply{}, errors.Errorf("more than %d entries", control.MaxEntriesPerCall)
 	}
 	b.view.mu.Lock()
 	reply := control.EntriesReply{Entries: b.view.dir.EntriesInLeaves(req.Leaves, control.MaxEntriesPerCall)}
--- a/standin/target.go
+++ b/standin/target.go
@@ -232,7 +232,7 @@
 	h := sha256.New()
 	n, err := io.Copy(h, r.Body)
 	if err != nil {
-		http.Error(w, "upload ended early", http.StatusBadRequest)
+		http.Error(w, "upload cut short", http.StatusBadRequest)
 		return
 	}
 	fmt.Fprintf(w, "%d %s\n", n, hex.EncodeToString(h.Sum(nil)))
